--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/StepList.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ActionList.java
@@ -7,22 +7,22 @@
 import org.rattanplank.schema.message.ClaimMessage;
 
 /** Collects what one event leads to. Confined to one thread. */
-final class StepList {
-    private final List<ClaimStep> steps = new ArrayList<>();
+final class ActionList {
+    private final List<ClaimStep> actions = new ArrayList<>();
 
     List<ClaimStep> toList() {
-        return List.copyOf(steps);
+        return List.copyOf(actions);
     }
 
     void send(String host, ClaimMessage message) {
-        steps.add(new ClaimStep.Send(host, message));
+        actions.add(new ClaimStep.Send(host, message));
     }
 
     void callStore(long callId, StoreCommand command) {
-        steps.add(new ClaimStep.CallStore(callId, command));
+        actions.add(new ClaimStep.CallStore(callId, command));
     }
 
     void decide(String requestId, ClaimKey key, ClaimDecision decision) {
-        steps.add(new ClaimStep.Decide(requestId, key, decision));
+        actions.add(new ClaimStep.Decide(requestId, key, decision));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claim.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claim.java
@@ -49,7 +49,7 @@
                 key, requestId, runner, viewNumber, sequence, nowMillis, ClaimState.RUNNING, Option.none(), NO_FAILURE);
     }
 
-    boolean isOf(String otherRequestId) {
+    boolean isClaimedBy(String otherRequestId) {
         return requestId.equals(otherRequestId);
     }
 
@@ -77,7 +77,7 @@
         return with(ClaimState.UNKNOWN, Option.none(), why);
     }
 
-    Claim orderedAs(long newViewNumber, long newSequence) {
+    Claim withOrder(long newViewNumber, long newSequence) {
         return new Claim(key, requestId, runner, newViewNumber, newSequence, claimedAtMillis, state, answer, failure);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimEntries.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimEntryCodec.java
@@ -9,10 +9,10 @@
 import org.rattanplank.schema.message.ClaimEntry;
 
 /** Turns claims into what messages carry, and back. Stateless and thread safe. */
-final class ClaimEntries {
+final class ClaimEntryCodec {
     private static final Answer NO_ANSWER = Answer.of(0, "", new byte[0]);
 
-    private ClaimEntries() {}
+    private ClaimEntryCodec() {}
 
     static ClaimEntry toEntry(Claim claim) {
         Answer answer = claim.answer().getOrElse(NO_ANSWER);
@@ -48,10 +48,10 @@
                 entry.claimedAtMillis(),
                 state,
                 answer,
-                Failure.of(step(entry.step()), entry.peer(), entry.reason()));
+                Failure.of(parseStep(entry.step()), entry.peer(), entry.reason()));
     }
 
-    private static Step step(String label) {
+    private static Step parseStep(String label) {
         return Arrays.stream(Step.values())
                 .filter(step -> step.label().equals(label))
                 .findFirst()
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimKey.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimKey.java
@@ -31,6 +31,6 @@
      * @return whether its age can be known
      */
     public boolean hasTime() {
-        return KeyTime.of(key).isDefined();
+        return KeyTimestamp.of(key).isDefined();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
@@ -9,12 +9,12 @@
  * @param maxTotalAnswerBytes the most bytes of all kept answers
  * @param clockMarginMillis by how much the clocks of hosts and callers may differ
  * @param openTimeoutMillis how long a request waits for the right to run before it is refused
- * @param silentMillis how long a member may leave a claim unanswered before its removal is proposed
+ * @param unresponsiveMillis how long a member may leave a claim unanswered before its removal is proposed
  * @param resendMillis after how long an unanswered message is sent again
- * @param lostGraceMillis how long a member's link may be down before its removal is proposed
- * @param pauseMillis the gap between two events after which a host takes itself for having been paused
+ * @param disconnectGraceMillis how long a member's link may be down before its removal is proposed
+ * @param pauseThresholdMillis the gap between two events after which a host takes itself for having been paused
  * @param storeRetryMillis how long to wait after a failed call to the store
- * @param listLagMillis how long the platform's list of hosts may lag
+ * @param hostListLagMillis how long the platform's list of hosts may lag
  * @param leaveTimeoutMillis how long a host that leaves waits for the others
  */
 public record ClaimLimits(
@@ -24,12 +24,12 @@
         long maxTotalAnswerBytes,
         long clockMarginMillis,
         long openTimeoutMillis,
-        long silentMillis,
+        long unresponsiveMillis,
         long resendMillis,
-        long lostGraceMillis,
-        long pauseMillis,
+        long disconnectGraceMillis,
+        long pauseThresholdMillis,
         long storeRetryMillis,
-        long listLagMillis,
+        long hostListLagMillis,
         long leaveTimeoutMillis) {
     private static final ClaimLimits DEFAULTS = new ClaimLimits(
             900_000, 50_000, 16_384, 16_777_216, 5_000, 2_000, 1_000, 250, 300, 2_000, 500, 30_000, 10_000);
@@ -89,18 +89,18 @@
                 totalAnswerBytes,
                 clockMargin,
                 openTimeoutMillis,
-                silentMillis,
+                unresponsiveMillis,
                 resendMillis,
-                lostGraceMillis,
-                pauseMillis,
+                disconnectGraceMillis,
+                pauseThresholdMillis,
                 storeRetryMillis,
-                listLagMillis,
+                hostListLagMillis,
                 leaveTimeoutMillis);
     }
 
     /** When a claim may be forgotten; by then every host refuses its key as too old, whatever its clock's error. */
-    long forgetAtMillis(ClaimKey key, long claimedAtMillis) {
-        long madeAtMillis = KeyTime.of(key.key()).getOrElse(claimedAtMillis);
+    long expiresAtMillis(ClaimKey key, long claimedAtMillis) {
+        long madeAtMillis = KeyTimestamp.of(key.key()).getOrElse(claimedAtMillis);
         return Math.max(madeAtMillis, claimedAtMillis) + retentionMillis + 2 * clockMarginMillis;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
@@ -44,7 +44,7 @@
     }
 
     /** Whether an answer is small enough to be kept now; checked where the call ran, so that all hosts agree. */
-    boolean canKeep(int bytes) {
+    boolean canStoreAnswer(int bytes) {
         return bytes <= limits.maxAnswerBytes() && answerBytes + bytes <= limits.maxTotalAnswerBytes();
     }
 
@@ -59,17 +59,17 @@
             put(claim);
             return true;
         }
-        if (!held.isOf(claim.requestId())) {
+        if (!held.isClaimedBy(claim.requestId())) {
             return held.isOrderedBefore(claim) && put(claim);
         }
         return mergeSameRequest(held, claim);
     }
 
-    void forget(long nowMillis) {
+    void removeExpired(long nowMillis) {
         while (!expiries.isEmpty() && expiries.peek().atMillis() <= nowMillis) {
             ClaimKey key = expiries.poll().key();
             Claim held = claims.get(key);
-            if (held != null && limits.forgetAtMillis(key, held.claimedAtMillis()) <= nowMillis) {
+            if (held != null && limits.expiresAtMillis(key, held.claimedAtMillis()) <= nowMillis) {
                 claims.remove(key);
                 answerBytes -= held.answerBytes();
             }
@@ -83,13 +83,13 @@
     }
 
     private boolean mergeSameRequest(Claim held, Claim claim) {
-        Claim known = strongerOf(held, claim);
+        Claim known = moreDefinite(held, claim);
         Claim newest = held.isOrderedBefore(claim) ? claim : held;
-        Claim merged = known.orderedAs(newest.viewNumber(), newest.sequence());
+        Claim merged = known.withOrder(newest.viewNumber(), newest.sequence());
         return !merged.equals(held) && put(merged);
     }
 
-    private static Claim strongerOf(Claim held, Claim claim) {
+    private static Claim moreDefinite(Claim held, Claim claim) {
         if (held.state().isSettled()) {
             return held;
         }
@@ -100,7 +100,7 @@
         Claim old = claims.put(claim.key(), claim);
         answerBytes += claim.answerBytes() - (old == null ? 0 : old.answerBytes());
         if (old == null || old.claimedAtMillis() != claim.claimedAtMillis()) {
-            expiries.add(new Expiry(limits.forgetAtMillis(claim.key(), claim.claimedAtMillis()), claim.key()));
+            expiries.add(new Expiry(limits.expiresAtMillis(claim.key(), claim.claimedAtMillis()), claim.key()));
         }
         return true;
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
@@ -33,7 +33,7 @@
         return members.contains(member);
     }
 
-    Option<ViewMemberId> memberAt(String host) {
+    Option<ViewMemberId> memberOn(String host) {
         return Option.ofOptional(
                 members.stream().filter(member -> member.host().equals(host)).findFirst());
     }
@@ -58,7 +58,7 @@
         return new ClaimView(dataCentre, newNumber, completeFromMillis, changeId, members);
     }
 
-    ClaimView takenOver(String newChangeId, ViewMemberId by, long nowMillis) {
+    ClaimView takeover(String newChangeId, ViewMemberId by, long nowMillis) {
         return new ClaimView(dataCentre, number + TAKEOVER_STRIDE, nowMillis, newChangeId, List.of(by));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
@@ -36,19 +36,19 @@
  */
 public final class Claims {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Opener opener;
+    private final RequestIdQualifier requestIdQualifier;
     private final ClaimLimits limits;
     private final ClaimTable table;
-    private final ViewKeeper keeper;
-    private final ClaimDesk desk;
-    private boolean leftInTime;
+    private final ViewManager viewManager;
+    private final ClaimCoordinator coordinator;
+    private boolean leaveTimedOut;
 
-    private Claims(Opener opener, ClaimLimits limits, ClaimTable table, ViewKeeper keeper, ClaimDesk desk) {
-        this.opener = opener;
+    private Claims(RequestIdQualifier opener, ClaimLimits limits, ClaimTable table, ViewManager keeper, ClaimCoordinator desk) {
+        this.requestIdQualifier = opener;
         this.limits = limits;
         this.table = table;
-        this.keeper = keeper;
-        this.desk = desk;
+        this.viewManager = keeper;
+        this.coordinator = desk;
     }
 
     /**
@@ -74,18 +74,18 @@
 
     static Claims of(NodeIdentity self, ClaimLimits limits, TakeoverRule rule) {
         ClaimTable table = new ClaimTable(limits);
-        ViewKeeper keeper = new ViewKeeper(self, limits, rule, table);
-        return new Claims(Opener.of(self), limits, table, keeper, new ClaimDesk(keeper, table, limits));
+        ViewManager keeper = new ViewManager(self, limits, rule, table);
+        return new Claims(RequestIdQualifier.of(self), limits, table, keeper, new ClaimCoordinator(keeper, table, limits));
     }
 
     Claims copy() {
         lock.lock();
         try {
             ClaimTable copiedTable = table.copy();
-            ViewKeeper copiedKeeper = keeper.copy(copiedTable);
-            ClaimDesk copiedDesk = desk.copy(copiedKeeper, copiedTable);
-            Claims copy = new Claims(opener, limits, copiedTable, copiedKeeper, copiedDesk);
-            copy.leftInTime = leftInTime;
+            ViewManager copiedKeeper = viewManager.copy(copiedTable);
+            ClaimCoordinator copiedDesk = coordinator.copy(copiedKeeper, copiedTable);
+            Claims copy = new Claims(requestIdQualifier, limits, copiedTable, copiedKeeper, copiedDesk);
+            copy.leaveTimedOut = leaveTimedOut;
             return copy;
         } finally {
             lock.unlock();
@@ -93,10 +93,10 @@
     }
 
     /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
-    String describe() {
+    String stateKey() {
         lock.lock();
         try {
-            return keeper.describe() + " | " + desk.describe();
+            return viewManager.stateKey() + " | " + coordinator.stateKey();
         } finally {
             lock.unlock();
         }
@@ -111,7 +111,7 @@
      * @return what to do
      */
     public List<ClaimStep> open(ClaimKey key, String requestId, long nowMillis) {
-        return apply(nowMillis, out -> desk.open(key, opener.nameOf(requestId), nowMillis, out));
+        return apply(nowMillis, out -> coordinator.open(key, requestIdQualifier.qualify(requestId), nowMillis, out));
     }
 
     /**
@@ -124,7 +124,7 @@
      * @return what to do
      */
     public List<ClaimStep> settle(ClaimKey key, String requestId, ClaimResult result, long nowMillis) {
-        return apply(nowMillis, out -> desk.settle(key, opener.nameOf(requestId), result, nowMillis, out));
+        return apply(nowMillis, out -> coordinator.settle(key, requestIdQualifier.qualify(requestId), result, nowMillis, out));
     }
 
     /**
@@ -138,7 +138,7 @@
     public ClaimDecision abandon(ClaimKey key, String requestId, long nowMillis) {
         lock.lock();
         try {
-            return desk.abandon(key, opener.nameOf(requestId), nowMillis);
+            return coordinator.abandon(key, requestIdQualifier.qualify(requestId), nowMillis);
         } finally {
             lock.unlock();
         }
@@ -155,7 +155,7 @@
      */
     public List<ClaimStep> receive(String host, long incarnation, ClaimMessage message, long nowMillis) {
         return apply(nowMillis, out -> {
-            keeper.heard(host, incarnation);
+            viewManager.messageReceived(host, incarnation);
             dispatch(host, incarnation, message, nowMillis, out);
         });
     }
@@ -169,7 +169,7 @@
      * @return what to do
      */
     public List<ClaimStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
-        return apply(nowMillis, out -> keeper.storeReplied(callId, reply, nowMillis, out));
+        return apply(nowMillis, out -> viewManager.storeReplied(callId, reply, nowMillis, out));
     }
 
     /**
@@ -181,7 +181,7 @@
      * @return what to do
      */
     public List<ClaimStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
-        return apply(nowMillis, out -> keeper.storeChanged(entries, nowMillis));
+        return apply(nowMillis, out -> viewManager.storeChanged(entries, nowMillis));
     }
 
     /**
@@ -193,7 +193,7 @@
      * @return what to do
      */
     public List<ClaimStep> connected(String host, long incarnation, long nowMillis) {
-        return apply(nowMillis, out -> keeper.connected(host, incarnation));
+        return apply(nowMillis, out -> viewManager.connected(host, incarnation));
     }
 
     /**
@@ -205,7 +205,7 @@
      * @return what to do
      */
     public List<ClaimStep> lost(String host, boolean refused, long nowMillis) {
-        return apply(nowMillis, out -> keeper.lost(host, refused, nowMillis));
+        return apply(nowMillis, out -> viewManager.disconnected(host, refused, nowMillis));
     }
 
     /**
@@ -216,7 +216,7 @@
      * @return what to do
      */
     public List<ClaimStep> listed(HostList list, long nowMillis) {
-        return apply(nowMillis, out -> keeper.listed(list, nowMillis));
+        return apply(nowMillis, out -> viewManager.hostListUpdated(list, nowMillis));
     }
 
     /**
@@ -226,7 +226,7 @@
      * @return what to do
      */
     public List<ClaimStep> leave(long nowMillis) {
-        return apply(nowMillis, out -> keeper.leave(nowMillis));
+        return apply(nowMillis, out -> viewManager.leave(nowMillis));
     }
 
     /**
@@ -237,7 +237,7 @@
     public boolean hasLeft() {
         lock.lock();
         try {
-            return leftInTime || (keeper.hasLeft() && desk.areResultsKnown());
+            return leaveTimedOut || (viewManager.hasLeft() && coordinator.areResultsAcknowledged());
         } finally {
             lock.unlock();
         }
@@ -251,7 +251,7 @@
     public long viewNumber() {
         lock.lock();
         try {
-            return keeper.active().map(ClaimView::number).getOrElse(0L);
+            return viewManager.activeView().map(ClaimView::number).getOrElse(0L);
         } finally {
             lock.unlock();
         }
@@ -265,67 +265,67 @@
      */
     public List<ClaimStep> tick(long nowMillis) {
         return apply(nowMillis, out -> {
-            keeper.tick(desk.areResultsKnown(), nowMillis, out);
-            desk.follow(nowMillis, out);
-            desk.tick(nowMillis, out);
-            leftInTime = leftInTime || keeper.isLeavingSince(limits.leaveTimeoutMillis(), nowMillis);
+            viewManager.tick(coordinator.areResultsAcknowledged(), nowMillis, out);
+            coordinator.followView(nowMillis, out);
+            coordinator.tick(nowMillis, out);
+            leaveTimedOut = leaveTimedOut || viewManager.hasBeenLeavingFor(limits.leaveTimeoutMillis(), nowMillis);
         });
     }
 
-    private List<ClaimStep> apply(long nowMillis, Consumer<StepList> change) {
+    private List<ClaimStep> apply(long nowMillis, Consumer<ActionList> change) {
         lock.lock();
         try {
-            StepList out = new StepList();
-            keeper.noticeTime(nowMillis, out);
+            ActionList out = new ActionList();
+            viewManager.detectPause(nowMillis, out);
             change.accept(out);
-            desk.follow(nowMillis, out);
-            return opener.withRequestIds(out.toList());
+            coordinator.followView(nowMillis, out);
+            return requestIdQualifier.unqualifyAll(out.toList());
         } finally {
             lock.unlock();
         }
     }
 
-    private void dispatch(String host, long incarnation, ClaimMessage message, long nowMillis, StepList out) {
+    private void dispatch(String host, long incarnation, ClaimMessage message, long nowMillis, ActionList out) {
         if (message instanceof ClaimOpen open) {
-            desk.receiveOpen(host, incarnation, open, nowMillis, out);
+            coordinator.receiveOpen(host, incarnation, open, nowMillis, out);
         } else if (message instanceof ClaimCopy copy) {
-            desk.receiveCopy(host, incarnation, copy, out);
+            coordinator.receiveCopy(host, incarnation, copy, out);
         } else if (message instanceof ClaimCopied copied) {
-            desk.receiveCopied(host, incarnation, copied, nowMillis, out);
+            coordinator.receiveCopied(host, incarnation, copied, nowMillis, out);
         } else if (message instanceof ClaimGrant grant) {
-            desk.receiveGrant(grant, nowMillis, out);
+            coordinator.receiveGrant(grant, nowMillis, out);
         } else if (message instanceof ClaimSettle settle) {
-            desk.receiveSettle(host, settle, nowMillis, out);
+            coordinator.receiveSettle(host, settle, nowMillis, out);
         } else if (message instanceof ClaimSettled settled) {
-            desk.receiveSettled(host, settled);
+            coordinator.receiveSettled(host, settled);
         } else if (message instanceof ClaimAsk ask) {
-            desk.receiveAsk(host, ask, nowMillis, out);
+            coordinator.receiveAsk(host, ask, nowMillis, out);
         } else {
             dispatchView(host, incarnation, message, nowMillis, out);
         }
     }
 
-    private void dispatchView(String host, long incarnation, ClaimMessage message, long nowMillis, StepList out) {
+    private void dispatchView(String host, long incarnation, ClaimMessage message, long nowMillis, ActionList out) {
         if (message instanceof ViewInstall install) {
-            keeper.receiveInstall(host, install, nowMillis, out);
+            viewManager.receiveInstall(host, install, nowMillis, out);
         } else if (message instanceof ViewInstalled installed) {
-            keeper.receiveInstalled(host, installed.viewNumber());
+            viewManager.receiveInstalled(host, installed.viewNumber());
         } else if (message instanceof ViewAsk ask) {
-            keeper.receiveAsk(host, ask, out);
+            viewManager.receiveAsk(host, ask, out);
         } else if (message instanceof ViewPropose propose) {
-            keeper.receivePropose(host, incarnation, propose, out);
+            viewManager.receivePropose(host, incarnation, propose, out);
         } else if (message instanceof ViewConsent consent) {
-            keeper.receiveConsent(host, consent, nowMillis, out);
+            viewManager.receiveConsent(host, consent, nowMillis, out);
         } else if (message instanceof ViewWithdraw withdraw) {
-            keeper.receiveWithdraw(withdraw.changeId());
+            viewManager.receiveWithdraw(withdraw.changeId());
         } else if (message instanceof ViewLeave) {
-            keeper.receiveLeave(host, incarnation);
+            viewManager.receiveLeave(host, incarnation);
         } else if (message instanceof ViewJoin join) {
-            keeper.receiveJoin(host, incarnation, join, out);
+            viewManager.receiveJoin(host, incarnation, join, out);
         } else if (message instanceof ViewSync sync) {
-            keeper.receiveSync(host, sync, out);
+            viewManager.receiveSync(host, sync, out);
         } else if (message instanceof ViewSynced synced) {
-            keeper.receiveSynced(host, synced, nowMillis, out);
+            viewManager.receiveSynced(host, synced, nowMillis, out);
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyAge.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyAgePolicy.java
@@ -12,14 +12,14 @@
  * @param limits the bounds
  * @param host the host that judges, for failures
  */
-record KeyAge(ClaimLimits limits, String host) {
+record KeyAgePolicy(ClaimLimits limits, String host) {
 
     /** Judges against the clock alone. */
-    Option<ClaimDecision> judge(ClaimKey key, long nowMillis) {
-        return KeyTime.of(key.key()).flatMap(madeAtMillis -> judge(madeAtMillis, nowMillis));
+    Option<ClaimDecision> check(ClaimKey key, long nowMillis) {
+        return KeyTimestamp.of(key.key()).flatMap(madeAtMillis -> check(madeAtMillis, nowMillis));
     }
 
-    private Option<ClaimDecision> judge(long madeAtMillis, long nowMillis) {
+    private Option<ClaimDecision> check(long madeAtMillis, long nowMillis) {
         long aheadMillis = madeAtMillis - nowMillis - limits.clockMarginMillis();
         if (aheadMillis > 0) {
             // A key from the future would pass for one made after a loss of claims that it was in fact made before: it
@@ -33,11 +33,11 @@
     }
 
     /** Judges against what the members of a view remember. */
-    Option<ClaimDecision> judge(ClaimKey key, ClaimView view, long nowMillis) {
+    Option<ClaimDecision> check(ClaimKey key, ClaimView view, long nowMillis) {
         if (view.completeFromMillis() == 0) {
             return Option.none();
         }
-        Option<Long> madeAtMillis = KeyTime.of(key.key());
+        Option<Long> madeAtMillis = KeyTimestamp.of(key.key());
         if (madeAtMillis.isEmpty()) {
             long leftMillis = view.completeFromMillis() + limits.retentionMillis() - nowMillis;
             return Option.when(
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyTime.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyTimestamp.java
@@ -6,12 +6,12 @@
 import io.vavr.control.Try;
 
 /** Reads when an idempotency key was made. Stateless and thread safe. */
-final class KeyTime {
-    private static final int TIME_ORDERED_VERSION = 7;
-    private static final int TIME_SHIFT_BITS = 16;
+final class KeyTimestamp {
+    private static final int UUID_VERSION_WITH_TIMESTAMP = 7;
+    private static final int TIMESTAMP_SHIFT_BITS = 16;
     private static final int UUID_CHARACTERS = 36;
 
-    private KeyTime() {}
+    private KeyTimestamp() {}
 
     /** The time in milliseconds that a version 7 UUID carries; none for any other key. */
     static Option<Long> of(String key) {
@@ -19,8 +19,8 @@
             return Option.none();
         }
         return Try.of(() -> UUID.fromString(key))
-                .filter(uuid -> uuid.version() == TIME_ORDERED_VERSION)
-                .map(uuid -> uuid.getMostSignificantBits() >>> TIME_SHIFT_BITS)
+                .filter(uuid -> uuid.version() == UUID_VERSION_WITH_TIMESTAMP)
+                .map(uuid -> uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT_BITS)
                 .toOption();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Links.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/PeerReachability.java
@@ -12,50 +12,50 @@
  * Which hosts of the data centre can be reached now, and since when others cannot. What it suspects steers proposals
  * only; nothing that must be safe rests on it. Not thread safe; guarded by the lock of {@link Claims}.
  */
-final class Links {
+final class PeerReachability {
     private final Map<String, Long> connected = new TreeMap<>();
-    private final Map<String, Long> downSinceMillis = new TreeMap<>();
-    private final Set<String> silent = new TreeSet<>();
+    private final Map<String, Long> disconnectedSinceMillis = new TreeMap<>();
+    private final Set<String> markUnresponsive = new TreeSet<>();
 
-    Links copy() {
-        Links copy = new Links();
+    PeerReachability copy() {
+        PeerReachability copy = new PeerReachability();
         copy.connected.putAll(connected);
-        copy.downSinceMillis.putAll(downSinceMillis);
-        copy.silent.addAll(silent);
+        copy.disconnectedSinceMillis.putAll(disconnectedSinceMillis);
+        copy.markUnresponsive.addAll(markUnresponsive);
         return copy;
     }
 
     void connected(String host, long incarnation) {
         connected.put(host, incarnation);
-        downSinceMillis.remove(host);
-        silent.remove(host);
+        disconnectedSinceMillis.remove(host);
+        markUnresponsive.remove(host);
     }
 
-    void lost(String host, long nowMillis) {
+    void disconnected(String host, long nowMillis) {
         connected.remove(host);
-        downSinceMillis.putIfAbsent(host, nowMillis);
+        disconnectedSinceMillis.putIfAbsent(host, nowMillis);
     }
 
     /** Takes note of a host that is connected but does not answer. */
-    void silent(String host) {
-        silent.add(host);
+    void markUnresponsive(String host) {
+        markUnresponsive.add(host);
     }
 
-    void heard(String host) {
-        silent.remove(host);
+    void messageReceived(String host) {
+        markUnresponsive.remove(host);
     }
 
     /** Forgets who did not answer, since that was about another view. */
     void viewChanged() {
-        silent.clear();
+        markUnresponsive.clear();
     }
 
     /** All hosts of the data centre that can be reached. */
-    List<String> hosts() {
+    List<String> reachableHosts() {
         return List.copyOf(connected.keySet());
     }
 
-    boolean isUp(ViewMemberId member) {
+    boolean isReachable(ViewMemberId member) {
         return Option.of(connected.get(member.host())).contains(member.incarnation());
     }
 
@@ -65,17 +65,17 @@
 
     /** Whether a member was unreachable for some time, or another process answers at its host. */
     boolean isLost(ViewMemberId member, long graceMillis, long nowMillis) {
-        if (silent.contains(member.host())) {
+        if (markUnresponsive.contains(member.host())) {
             return true;
         }
         Option<Long> incarnation = incarnation(member.host());
         if (incarnation.isDefined()) {
             return incarnation.get() > member.incarnation();
         }
-        return nowMillis - downSinceMillis.computeIfAbsent(member.host(), host -> nowMillis) >= graceMillis;
+        return nowMillis - disconnectedSinceMillis.computeIfAbsent(member.host(), host -> nowMillis) >= graceMillis;
     }
 
-    String describe() {
-        return connected + " down " + downSinceMillis.keySet() + " silent " + silent;
+    String stateKey() {
+        return connected + " down " + disconnectedSinceMillis.keySet() + " silent " + markUnresponsive;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingOpen.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingOpen.java
@@ -7,11 +7,11 @@
  *
  * @param key its key
  * @param requestId the request
- * @param sinceMillis since when it waits for its own right, rather than for another request's end
- * @param sentMillis when the primary was last asked
- * @param asked whether the primary was ever asked, so that copies of the claim may be about
+ * @param waitingSinceMillis since when it waits for its own right, rather than for another request's end
+ * @param lastSentAtMillis when the primary was last asked
+ * @param sentToPrimary whether the primary was ever asked, so that copies of the claim may be about
  */
-record PendingOpen(ClaimKey key, String requestId, long sinceMillis, long sentMillis, boolean asked) {
+record PendingOpen(ClaimKey key, String requestId, long waitingSinceMillis, long lastSentAtMillis, boolean sentToPrimary) {
     PendingOpen {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(requestId, "requestId");
@@ -21,15 +21,15 @@
         return new PendingOpen(key, requestId, nowMillis, Long.MIN_VALUE / 2, false);
     }
 
-    PendingOpen sent(long nowMillis) {
-        return new PendingOpen(key, requestId, sinceMillis, nowMillis, true);
+    PendingOpen withSentToPrimary(long nowMillis) {
+        return new PendingOpen(key, requestId, waitingSinceMillis, nowMillis, true);
     }
 
-    PendingOpen joined(long nowMillis) {
-        return new PendingOpen(key, requestId, nowMillis, nowMillis, asked);
+    PendingOpen withHolderQueried(long nowMillis) {
+        return new PendingOpen(key, requestId, nowMillis, nowMillis, sentToPrimary);
     }
 
-    PendingOpen afresh() {
-        return new PendingOpen(key, requestId, sinceMillis, Long.MIN_VALUE / 2, asked);
+    PendingOpen withRetryDue() {
+        return new PendingOpen(key, requestId, waitingSinceMillis, Long.MIN_VALUE / 2, sentToPrimary);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Opener.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/RequestIdQualifier.java
@@ -14,24 +14,24 @@
  *
  * @param suffix what this process adds to the identifier of a request
  */
-record Opener(String suffix) {
-    Opener {
+record RequestIdQualifier(String suffix) {
+    RequestIdQualifier {
         Objects.requireNonNull(suffix, "suffix");
     }
 
-    static Opener of(NodeIdentity self) {
-        return new Opener("@" + self.host() + "/" + self.incarnation());
+    static RequestIdQualifier of(NodeIdentity self) {
+        return new RequestIdQualifier("@" + self.host() + "/" + self.incarnation());
     }
 
-    String nameOf(String requestId) {
+    String qualify(String requestId) {
         return requestId + suffix;
     }
 
-    List<ClaimStep> withRequestIds(List<ClaimStep> steps) {
-        return steps.stream().map(this::withRequestId).toList();
+    List<ClaimStep> unqualifyAll(List<ClaimStep> steps) {
+        return steps.stream().map(this::unqualify).toList();
     }
 
-    private ClaimStep withRequestId(ClaimStep step) {
+    private ClaimStep unqualify(ClaimStep step) {
         if (step instanceof ClaimStep.Decide decide && decide.requestId().endsWith(suffix)) {
             String requestId =
                     decide.requestId().substring(0, decide.requestId().length() - suffix.length());
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncCopy.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncReceiver.java
@@ -12,62 +12,62 @@
  * <p>Invariant: this host is ready for a view only while it holds every claim of the session in which it agreed; a new
  * session makes it unready. Not thread safe; guarded by the lock of {@link Claims}.
  */
-final class SyncCopy {
-    private static final int QUIET_JOINS = 4;
+final class SyncReceiver {
+    private static final int MAX_UNANSWERED_JOINS = 4;
 
     private final ClaimTable table;
     private String sessionId = "";
-    private long number = -1;
-    private String readyFor = "";
-    private int joinsSinceHeard;
-    private int contact;
+    private long lastChunkNumber = -1;
+    private String readyForChangeId = "";
+    private int unansweredJoins;
+    private int contactIndex;
 
-    SyncCopy(ClaimTable table) {
+    SyncReceiver(ClaimTable table) {
         this.table = table;
     }
 
-    SyncCopy copy(ClaimTable copiedTable) {
-        SyncCopy copy = new SyncCopy(copiedTable);
+    SyncReceiver copy(ClaimTable copiedTable) {
+        SyncReceiver copy = new SyncReceiver(copiedTable);
         copy.sessionId = sessionId;
-        copy.number = number;
-        copy.readyFor = readyFor;
-        copy.joinsSinceHeard = joinsSinceHeard;
-        copy.contact = contact;
+        copy.lastChunkNumber = lastChunkNumber;
+        copy.readyForChangeId = readyForChangeId;
+        copy.unansweredJoins = unansweredJoins;
+        copy.contactIndex = contactIndex;
         return copy;
     }
 
     /** Whether nobody has answered for some time, so that what this host knows may be out of date. */
-    boolean isQuiet() {
-        return joinsSinceHeard >= QUIET_JOINS;
+    boolean isUnanswered() {
+        return unansweredJoins >= MAX_UNANSWERED_JOINS;
     }
 
     /** Asks one member to be taken in, and another when that one does not answer. */
-    void ask(List<ViewMemberId> members, StepList out) {
-        joinsSinceHeard++;
-        if (joinsSinceHeard > QUIET_JOINS) {
-            contact++;
-            joinsSinceHeard = 1;
+    void requestJoin(List<ViewMemberId> members, ActionList out) {
+        unansweredJoins++;
+        if (unansweredJoins > MAX_UNANSWERED_JOINS) {
+            contactIndex++;
+            unansweredJoins = 1;
             sessionId = "";
         }
-        out.send(members.get(contact % members.size()).host(), new ViewJoin(sessionId));
+        out.send(members.get(contactIndex % members.size()).host(), new ViewJoin(sessionId));
     }
 
-    void receive(String host, ViewSync message, StepList out) {
+    void receive(String host, ViewSync message, ActionList out) {
         boolean starts = message.number() == 0 && !sessionId.equals(message.sessionId());
         if (starts) {
             // What this host held may be older than what the members hold, and they hold every claim that counts.
             table.clear();
             sessionId = message.sessionId();
-            number = -1;
-            readyFor = "";
+            lastChunkNumber = -1;
+            readyForChangeId = "";
         }
-        if (!sessionId.equals(message.sessionId()) || message.number() > number + 1) {
+        if (!sessionId.equals(message.sessionId()) || message.number() > lastChunkNumber + 1) {
             return;
         }
-        joinsSinceHeard = 0;
-        if (message.number() == number + 1) {
-            message.claims().forEach(entry -> table.merge(ClaimEntries.fromEntry(entry)));
-            number++;
+        unansweredJoins = 0;
+        if (message.number() == lastChunkNumber + 1) {
+            message.claims().forEach(entry -> table.merge(ClaimEntryCodec.fromEntry(entry)));
+            lastChunkNumber++;
         }
         out.send(host, new ViewSynced(sessionId, message.number()));
     }
@@ -77,21 +77,21 @@
      *
      * @return whether this host is ready
      */
-    boolean agree(String proposersSessionId, String changeId) {
+    boolean consent(String proposersSessionId, String changeId) {
         boolean ready = !sessionId.isEmpty() && sessionId.equals(proposersSessionId);
-        readyFor = ready ? changeId : readyFor;
+        readyForChangeId = ready ? changeId : readyForChangeId;
         return ready;
     }
 
     boolean isReadyFor(String changeId) {
-        return readyFor.equals(changeId);
+        return readyForChangeId.equals(changeId);
     }
 
-    void unready() {
-        readyFor = "";
+    void clearReady() {
+        readyForChangeId = "";
     }
 
-    String describe() {
-        return sessionId + " " + number + " " + readyFor;
+    String stateKey() {
+        return sessionId + " " + lastChunkNumber + " " + readyForChangeId;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSession.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSession.java
@@ -13,29 +13,29 @@
  * other host holds all that this one does. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class SyncSession {
-    private static final int CHUNK_CLAIMS = 256;
+    private static final int MAX_CLAIMS_PER_CHUNK = 256;
 
     private final String id;
     private final ViewMemberId joiner;
-    private final Set<ClaimKey> dirty = new LinkedHashSet<>();
-    private List<ClaimKey> chunk = List.of();
-    private long number = -1;
+    private final Set<ClaimKey> dirtyKeys = new LinkedHashSet<>();
+    private List<ClaimKey> chunkKeys = List.of();
+    private long chunkNumber = -1;
     private boolean acknowledged = true;
-    private long sentMillis;
+    private long lastSentAtMillis;
 
     SyncSession(String id, ViewMemberId joiner, List<Claim> claims) {
         this.id = id;
         this.joiner = joiner;
-        claims.forEach(claim -> dirty.add(claim.key()));
+        claims.forEach(claim -> dirtyKeys.add(claim.key()));
     }
 
     SyncSession copy() {
         SyncSession copy = new SyncSession(id, joiner, List.of());
-        copy.dirty.addAll(dirty);
-        copy.chunk = chunk;
-        copy.number = number;
+        copy.dirtyKeys.addAll(dirtyKeys);
+        copy.chunkKeys = chunkKeys;
+        copy.chunkNumber = chunkNumber;
         copy.acknowledged = acknowledged;
-        copy.sentMillis = sentMillis;
+        copy.lastSentAtMillis = lastSentAtMillis;
         return copy;
     }
 
@@ -47,55 +47,55 @@
         return joiner;
     }
 
-    long number() {
-        return number;
+    long chunkNumber() {
+        return chunkNumber;
     }
 
-    List<ClaimKey> chunk() {
-        return chunk;
+    List<ClaimKey> chunkKeys() {
+        return chunkKeys;
     }
 
-    void changed(ClaimKey key) {
-        dirty.add(key);
+    void markDirty(ClaimKey key) {
+        dirtyKeys.add(key);
     }
 
-    boolean hasBegun() {
-        return number > 0 || (number == 0 && acknowledged);
+    boolean hasStarted() {
+        return chunkNumber > 0 || (chunkNumber == 0 && acknowledged);
     }
 
     boolean isClean() {
-        return number >= 0 && acknowledged && dirty.isEmpty();
+        return chunkNumber >= 0 && acknowledged && dirtyKeys.isEmpty();
     }
 
     /** Whether a chunk is to be sent, anew or again. */
     boolean isDue(long resendMillis, long nowMillis) {
-        return acknowledged ? number < 0 || !dirty.isEmpty() : nowMillis - sentMillis >= resendMillis;
+        return acknowledged ? chunkNumber < 0 || !dirtyKeys.isEmpty() : nowMillis - lastSentAtMillis >= resendMillis;
     }
 
-    void send(long nowMillis) {
-        sentMillis = nowMillis;
+    void prepareChunk(long nowMillis) {
+        lastSentAtMillis = nowMillis;
         if (!acknowledged) {
             return;
         }
         acknowledged = false;
-        number++;
+        chunkNumber++;
         List<ClaimKey> next = new ArrayList<>();
-        Iterator<ClaimKey> keys = dirty.iterator();
-        while (keys.hasNext() && next.size() < CHUNK_CLAIMS) {
+        Iterator<ClaimKey> keys = dirtyKeys.iterator();
+        while (keys.hasNext() && next.size() < MAX_CLAIMS_PER_CHUNK) {
             next.add(keys.next());
             keys.remove();
         }
-        chunk = List.copyOf(next);
+        chunkKeys = List.copyOf(next);
     }
 
     void acknowledge(String sessionId, long chunkNumber) {
-        if (id.equals(sessionId) && number == chunkNumber) {
+        if (id.equals(sessionId) && chunkNumber == chunkNumber) {
             acknowledged = true;
-            chunk = List.of();
+            chunkKeys = List.of();
         }
     }
 
-    String describe() {
-        return joiner + " " + id + " " + number + " " + acknowledged + " " + dirty;
+    String stateKey() {
+        return joiner + " " + id + " " + chunkNumber + " " + acknowledged + " " + dirtyKeys;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSessions.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSessions.java
@@ -15,17 +15,17 @@
  */
 final class SyncSessions {
     private final ClaimTable table;
-    private final Links links;
+    private final PeerReachability reachability;
     private final long resendMillis;
     private final Map<String, SyncSession> sessions = new TreeMap<>();
 
-    SyncSessions(ClaimTable table, Links links, long resendMillis) {
+    SyncSessions(ClaimTable table, PeerReachability links, long resendMillis) {
         this.table = table;
-        this.links = links;
+        this.reachability = links;
         this.resendMillis = resendMillis;
     }
 
-    SyncSessions copy(ClaimTable copiedTable, Links copiedLinks) {
+    SyncSessions copy(ClaimTable copiedTable, PeerReachability copiedLinks) {
         SyncSessions copy = new SyncSessions(copiedTable, copiedLinks, resendMillis);
         sessions.forEach((host, session) -> copy.sessions.put(host, session.copy()));
         return copy;
@@ -40,20 +40,20 @@
         return sessions.values().stream()
                 .filter(SyncSession::isClean)
                 .map(SyncSession::joiner)
-                .filter(links::isUp)
+                .filter(reachability::isReachable)
                 .toList();
     }
 
-    void changed(ClaimKey key) {
-        sessions.values().forEach(session -> session.changed(key));
+    void claimChanged(ClaimKey key) {
+        sessions.values().forEach(session -> session.markDirty(key));
     }
 
     /** Begins to copy, unless a session with the same process goes on and that process keeps track of it. */
-    void begin(String newId, ViewMemberId joiner, String joinersSessionId) {
+    void startIfNeeded(String newId, ViewMemberId joiner, String joinersSessionId) {
         Option<SyncSession> running =
                 find(joiner.host()).filter(session -> session.joiner().equals(joiner));
         boolean lostTrack =
-                running.exists(session -> session.hasBegun() && !session.id().equals(joinersSessionId));
+                running.exists(session -> session.hasStarted() && !session.id().equals(joinersSessionId));
         if (running.isEmpty() || lostTrack) {
             sessions.put(joiner.host(), new SyncSession(newId, joiner, table.all()));
         }
@@ -63,8 +63,8 @@
         sessions.remove(host);
     }
 
-    void endMembers(ClaimView view) {
-        sessions.keySet().removeIf(host -> view.memberAt(host).isDefined());
+    void endForMembers(ClaimView view) {
+        sessions.keySet().removeIf(host -> view.memberOn(host).isDefined());
     }
 
     void endAll() {
@@ -76,8 +76,8 @@
     }
 
     /** Sends every chunk that is due. */
-    void send(long nowMillis, StepList out) {
-        sessions.values().removeIf(session -> !links.isUp(session.joiner()));
+    void sendDueChunks(long nowMillis, ActionList out) {
+        sessions.values().removeIf(session -> !reachability.isReachable(session.joiner()));
         for (SyncSession session : sessions.values()) {
             if (session.isDue(resendMillis, nowMillis)) {
                 sendChunk(session, nowMillis, out);
@@ -85,16 +85,16 @@
         }
     }
 
-    private void sendChunk(SyncSession session, long nowMillis, StepList out) {
-        session.send(nowMillis);
-        List<ClaimEntry> claims = session.chunk().stream()
+    private void sendChunk(SyncSession session, long nowMillis, ActionList out) {
+        session.prepareChunk(nowMillis);
+        List<ClaimEntry> claims = session.chunkKeys().stream()
                 .flatMap(key -> table.find(key).toJavaStream())
-                .map(ClaimEntries::toEntry)
+                .map(ClaimEntryCodec::toEntry)
                 .toList();
-        out.send(session.joiner().host(), new ViewSync(session.id(), session.number(), claims));
+        out.send(session.joiner().host(), new ViewSync(session.id(), session.chunkNumber(), claims));
     }
 
-    String describe() {
-        return sessions.values().stream().map(SyncSession::describe).toList().toString();
+    String stateKey() {
+        return sessions.values().stream().map(SyncSession::stateKey).toList().toString();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/TakeoverRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/TakeoverRule.java
@@ -5,17 +5,17 @@
     /** Only when every old member has surely ended. */
     SURVIVOR_REQUIRED {
         @Override
-        boolean mayTakeOver(boolean allEnded, boolean allSilent) {
+        boolean canTakeOver(boolean allEnded, boolean allSilent) {
             return allEnded;
         }
     },
     /** Also when no old member was heard of; wrong, and there only for a test to show why. */
     ON_SILENCE {
         @Override
-        boolean mayTakeOver(boolean allEnded, boolean allSilent) {
+        boolean canTakeOver(boolean allEnded, boolean allSilent) {
             return allEnded || allSilent;
         }
     };
 
-    abstract boolean mayTakeOver(boolean allEnded, boolean allSilent);
+    abstract boolean canTakeOver(boolean allEnded, boolean allSilent);
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
@@ -11,23 +11,23 @@
  *
  * @param proposed the next view
  * @param byStore whether the store decides; otherwise all members of the old view do
- * @param awaited the hosts whose consent is missing
- * @param unsure whether a call to the store may have taken effect, or still may
- * @param calling whether a call to the store is in flight
- * @param startedMillis when it was proposed
- * @param sentMillis when it was last sent
+ * @param awaitedHosts the hosts whose consent is missing
+ * @param maybeApplied whether a call to the store may have taken effect, or still may
+ * @param callInFlight whether a call to the store is in flight
+ * @param proposedAtMillis when it was proposed
+ * @param lastSentAtMillis when it was last sent
  */
 record ViewChange(
         ClaimView proposed,
         boolean byStore,
-        List<String> awaited,
-        boolean unsure,
-        boolean calling,
-        long startedMillis,
-        long sentMillis) {
+        List<String> awaitedHosts,
+        boolean maybeApplied,
+        boolean callInFlight,
+        long proposedAtMillis,
+        long lastSentAtMillis) {
     ViewChange {
         Objects.requireNonNull(proposed, "proposed");
-        Objects.requireNonNull(awaited, "awaited");
+        Objects.requireNonNull(awaitedHosts, "awaited");
     }
 
     static ViewChange byStore(ClaimView proposed, long nowMillis) {
@@ -38,23 +38,23 @@
         return new ViewChange(proposed, false, awaited, false, false, nowMillis, nowMillis);
     }
 
-    boolean isSafeToWithdraw() {
-        return !unsure && !calling;
+    boolean canWithdraw() {
+        return !maybeApplied && !callInFlight;
     }
 
-    ViewChange agreed(String host) {
-        return new ViewChange(proposed, byStore, awaited.remove(host), unsure, calling, startedMillis, sentMillis);
+    ViewChange withConsent(String host) {
+        return new ViewChange(proposed, byStore, awaitedHosts.remove(host), maybeApplied, callInFlight, proposedAtMillis, lastSentAtMillis);
     }
 
-    ViewChange sent(long nowMillis) {
-        return new ViewChange(proposed, byStore, awaited, unsure, calling, startedMillis, nowMillis);
+    ViewChange withSent(long nowMillis) {
+        return new ViewChange(proposed, byStore, awaitedHosts, maybeApplied, callInFlight, proposedAtMillis, nowMillis);
     }
 
-    ViewChange called(long nowMillis) {
-        return new ViewChange(proposed, byStore, awaited, unsure, true, startedMillis, nowMillis);
+    ViewChange withStoreCall(long nowMillis) {
+        return new ViewChange(proposed, byStore, awaitedHosts, maybeApplied, true, proposedAtMillis, nowMillis);
     }
 
-    ViewChange replied(boolean maybeDone) {
-        return new ViewChange(proposed, byStore, awaited, unsure || maybeDone, false, startedMillis, sentMillis);
+    ViewChange withStoreReply(boolean maybeDone) {
+        return new ViewChange(proposed, byStore, awaitedHosts, maybeApplied || maybeDone, false, proposedAtMillis, lastSentAtMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewKeeper.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -32,87 +32,87 @@
  * the view that the store holds, so that whoever finds all of the latter ended knows that the former cannot claim. Not
  * thread safe; guarded by the lock of {@link Claims}.
  */
-final class ViewKeeper {
-    private final ViewMemberId me;
+final class ViewManager {
+    private final ViewMemberId self;
     private final String dataCentre;
     private final ClaimLimits limits;
-    private final TakeoverRule rule;
+    private final TakeoverRule takeoverRule;
     private final ClaimTable table;
-    private final Links links;
-    private final Evidence evidence;
+    private final PeerReachability reachability;
+    private final TerminationEvidence evidence;
     private final ViewStore store;
-    private final SyncSessions syncs;
-    private final SyncCopy copying;
-    private final Set<String> leavers = new TreeSet<>();
-    private final Set<String> uninstalled = new TreeSet<>();
-    private final Set<String> unconfirmed = new TreeSet<>();
+    private final SyncSessions syncSessions;
+    private final SyncReceiver syncReceiver;
+    private final Set<String> leavingHosts = new TreeSet<>();
+    private final Set<String> uninstalledHosts = new TreeSet<>();
+    private final Set<String> unconfirmedHosts = new TreeSet<>();
     private ViewPhase phase = ViewPhase.OUTSIDE;
     private Option<ClaimView> view = Option.none();
     private Option<ViewChange> change = Option.none();
-    private Option<ClaimView> consented = Option.none();
-    private String consentedTo = "";
+    private Option<ClaimView> consentedView = Option.none();
+    private String consentedProposer = "";
     private long epoch;
     private long nextId = 1;
     private boolean leaving;
-    private long leaveSinceMillis;
+    private long leavingSinceMillis;
     private long lastEventMillis = -1;
-    private long nextTryMillis;
+    private long nextAttemptMillis;
 
-    ViewKeeper(NodeIdentity self, ClaimLimits limits, TakeoverRule rule, ClaimTable table) {
+    ViewManager(NodeIdentity self, ClaimLimits limits, TakeoverRule rule, ClaimTable table) {
         this.table = table;
-        this.me = new ViewMemberId(self.host(), self.incarnation());
+        this.self = new ViewMemberId(self.host(), self.incarnation());
         this.dataCentre = self.place().dataCentre();
         this.limits = limits;
-        this.rule = rule;
-        links = new Links();
-        syncs = new SyncSessions(table, links, limits.resendMillis());
-        copying = new SyncCopy(table);
-        evidence = new Evidence(self.place(), limits.listLagMillis());
+        this.takeoverRule = rule;
+        reachability = new PeerReachability();
+        syncSessions = new SyncSessions(table, reachability, limits.resendMillis());
+        syncReceiver = new SyncReceiver(table);
+        evidence = new TerminationEvidence(self.place(), limits.hostListLagMillis());
         store = new ViewStore(dataCentre);
     }
 
-    private ViewKeeper(ViewKeeper other, ClaimTable table) {
+    private ViewManager(ViewManager other, ClaimTable table) {
         this.table = table;
-        me = other.me;
+        self = other.self;
         dataCentre = other.dataCentre;
         limits = other.limits;
-        rule = other.rule;
-        links = other.links.copy();
+        takeoverRule = other.takeoverRule;
+        reachability = other.reachability.copy();
         evidence = other.evidence.copy();
         store = other.store.copy();
-        syncs = other.syncs.copy(table, links);
-        copying = other.copying.copy(table);
-        leavers.addAll(other.leavers);
-        uninstalled.addAll(other.uninstalled);
-        unconfirmed.addAll(other.unconfirmed);
+        syncSessions = other.syncSessions.copy(table, reachability);
+        syncReceiver = other.syncReceiver.copy(table);
+        leavingHosts.addAll(other.leavingHosts);
+        uninstalledHosts.addAll(other.uninstalledHosts);
+        unconfirmedHosts.addAll(other.unconfirmedHosts);
         phase = other.phase;
         view = other.view;
         change = other.change;
-        consented = other.consented;
-        consentedTo = other.consentedTo;
+        consentedView = other.consentedView;
+        consentedProposer = other.consentedProposer;
         epoch = other.epoch;
         nextId = other.nextId;
         leaving = other.leaving;
-        leaveSinceMillis = other.leaveSinceMillis;
+        leavingSinceMillis = other.leavingSinceMillis;
         lastEventMillis = other.lastEventMillis;
-        nextTryMillis = other.nextTryMillis;
+        nextAttemptMillis = other.nextAttemptMillis;
     }
 
-    ViewKeeper copy(ClaimTable copiedTable) {
-        return new ViewKeeper(this, copiedTable);
+    ViewManager copy(ClaimTable copiedTable) {
+        return new ViewManager(this, copiedTable);
     }
 
-    ViewMemberId me() {
-        return me;
+    ViewMemberId self() {
+        return self;
     }
 
     /** The view in which this host may order and copy claims now. */
-    Option<ClaimView> active() {
-        return phase.mayClaim() ? view : Option.none();
+    Option<ClaimView> activeView() {
+        return phase.canClaim() ? view : Option.none();
     }
 
     /** The newest view that this host knows, whether it is in it or not. */
-    Option<ClaimView> known() {
+    Option<ClaimView> latestView() {
         return view;
     }
 
@@ -121,113 +121,113 @@
         return epoch;
     }
 
-    boolean isUp(ViewMemberId member) {
-        return links.isUp(member);
+    boolean isReachable(ViewMemberId member) {
+        return reachability.isReachable(member);
     }
 
     /**
      * Whether waiting for the right to claim has no prospect: there is nobody to be asked, or a member is lost and only
      * the store could take it out, which does not answer.
      */
-    boolean isHopeless(long nowMillis) {
-        if (!store.isDown()) {
+    boolean isClaimingBlocked(long nowMillis) {
+        if (!store.isUnavailable()) {
             return false;
         }
         if (phase == ViewPhase.OUTSIDE) {
             return reachableMembers().isEmpty();
         }
-        if (phase == ViewPhase.STALE && unconfirmed.isEmpty()) {
+        if (phase == ViewPhase.STALE && unconfirmedHosts.isEmpty()) {
             return true;
         }
         return change.exists(ViewChange::byStore) || !lostMembers(nowMillis).isEmpty();
     }
 
     /** Whether a member is lost and nothing but the store, which does not answer, could take it out of the view. */
-    boolean isLostForNow(ViewMemberId member, long nowMillis) {
-        return store.isDown() && view.isDefined() && lostMembers(nowMillis).contains(member);
+    boolean isRemovalBlocked(ViewMemberId member, long nowMillis) {
+        return store.isUnavailable() && view.isDefined() && lostMembers(nowMillis).contains(member);
     }
 
     boolean hasLeft() {
-        return phase == ViewPhase.OUTSIDE && change.isEmpty() && uninstalled.isEmpty();
+        return phase == ViewPhase.OUTSIDE && change.isEmpty() && uninstalledHosts.isEmpty();
     }
 
-    boolean isLeavingSince(long millis, long nowMillis) {
-        return leaving && nowMillis - leaveSinceMillis >= millis;
+    boolean hasBeenLeavingFor(long millis, long nowMillis) {
+        return leaving && nowMillis - leavingSinceMillis >= millis;
     }
 
     /**
      * Looks whether this host was paused. A host that was paused may have been taken for ended, and a new view be
      * formed without it; alone in its old view it would then run a key that also runs in the new one.
      */
-    void noticeTime(long nowMillis, StepList out) {
-        boolean paused = lastEventMillis >= 0 && nowMillis - lastEventMillis > limits.pauseMillis();
+    void detectPause(long nowMillis, ActionList out) {
+        boolean paused = lastEventMillis >= 0 && nowMillis - lastEventMillis > limits.pauseThresholdMillis();
         lastEventMillis = Math.max(lastEventMillis, nowMillis);
         if (paused && phase == ViewPhase.ACTIVE) {
-            enter(ViewPhase.STALE);
+            enterPhase(ViewPhase.STALE);
             // The answer to a read from before the pause would show the view as it was then.
-            store.dropReads();
-            view.get().others(me).forEach(member -> unconfirmed.add(member.host()));
-            confirm(out);
+            store.discardReads();
+            view.get().others(self).forEach(member -> unconfirmedHosts.add(member.host()));
+            requestConfirmation(out);
         }
     }
 
-    void changed(ClaimKey key) {
-        syncs.changed(key);
+    void claimChanged(ClaimKey key) {
+        syncSessions.claimChanged(key);
     }
 
     void connected(String host, long incarnation) {
-        links.connected(host, incarnation);
+        reachability.connected(host, incarnation);
         evidence.connected(host, incarnation);
     }
 
-    void lost(String host, boolean refused, long nowMillis) {
-        links.lost(host, nowMillis);
+    void disconnected(String host, boolean refused, long nowMillis) {
+        reachability.disconnected(host, nowMillis);
         if (refused) {
-            evidence.refused(host);
+            evidence.connectionRefused(host);
         }
     }
 
-    void silent(String host) {
-        links.silent(host);
+    void markUnresponsive(String host) {
+        reachability.markUnresponsive(host);
     }
 
-    void heard(String host, long incarnation) {
+    void messageReceived(String host, long incarnation) {
         if (view.exists(current -> current.contains(new ViewMemberId(host, incarnation)))) {
-            links.heard(host);
+            reachability.messageReceived(host);
         }
     }
 
-    void listed(HostList list, long nowMillis) {
-        evidence.listed(list, nowMillis);
+    void hostListUpdated(HostList list, long nowMillis) {
+        evidence.hostListUpdated(list, nowMillis);
     }
 
     void leave(long nowMillis) {
         if (!leaving) {
             leaving = true;
-            leaveSinceMillis = nowMillis;
+            leavingSinceMillis = nowMillis;
         }
     }
 
     void storeChanged(List<StoreEntry> entries, long nowMillis) {
-        String key = ViewRecords.storeKey(dataCentre);
+        String key = ViewRecordCodec.storeKey(dataCentre);
         entries.stream()
                 .filter(entry -> entry.key().equals(key) && entry.modRevision() > 0)
-                .forEach(entry -> store.learn(Option.some(entry)));
-        followRecord(nowMillis);
+                .forEach(entry -> store.update(Option.some(entry)));
+        adoptRecordedView(nowMillis);
     }
 
-    void storeReplied(long callId, StoreReply reply, long nowMillis, StepList out) {
-        Option<ViewStore.Call> call = store.replied(callId, reply);
+    void storeReplied(long callId, StoreReply reply, long nowMillis, ActionList out) {
+        Option<ViewStore.Call> call = store.callReplied(callId, reply);
         if (call.isEmpty()) {
             return;
         }
-        if (store.isDown()) {
-            nextTryMillis = nowMillis + limits.storeRetryMillis();
+        if (store.isUnavailable()) {
+            nextAttemptMillis = nowMillis + limits.storeRetryMillis();
         }
         switch (call.get().purpose()) {
-            case READ -> wasRead(reply, nowMillis, out);
+            case READ -> recordRead(reply, nowMillis, out);
             case CHANGE -> changeReplied(call.get().view().get(), reply, nowMillis, out);
-            case RECORD -> followRecord(nowMillis);
+            case RECORD -> adoptRecordedView(nowMillis);
             default -> throw new IllegalStateException("no such purpose");
         }
     }
@@ -237,55 +237,55 @@
      *
      * @param resultsKnown whether every member knows how the calls that this host ran have ended
      */
-    void tick(boolean resultsKnown, long nowMillis, StepList out) {
-        resendInstalls(out);
+    void tick(boolean resultsKnown, long nowMillis, ActionList out) {
+        sendInstalls(out);
         switch (phase) {
-            case OUTSIDE -> seek(nowMillis, out);
-            case STALE -> confirm(out);
-            case STOPPED -> proceed(nowMillis, out);
-            case ACTIVE -> keep(resultsKnown, nowMillis, out);
+            case OUTSIDE -> joinOrForm(nowMillis, out);
+            case STALE -> requestConfirmation(out);
+            case STOPPED -> advanceChange(nowMillis, out);
+            case ACTIVE -> maintain(resultsKnown, nowMillis, out);
             default -> throw new IllegalStateException("no such phase");
         }
-        syncs.send(nowMillis, out);
+        syncSessions.sendDueChunks(nowMillis, out);
     }
 
     // Outside: find a view to join, or form one.
 
-    private void seek(long nowMillis, StepList out) {
+    private void joinOrForm(long nowMillis, ActionList out) {
         if (leaving) {
-            change = change.filter(pending -> !pending.isSafeToWithdraw());
+            change = change.filter(pending -> !pending.canWithdraw());
         }
         if (change.isDefined()) {
-            askStore(nowMillis, out);
+            writeChange(nowMillis, out);
             return;
         }
-        if (leaving || nowMillis < nextTryMillis) {
+        if (leaving || nowMillis < nextAttemptMillis) {
             return;
         }
-        nextTryMillis = nowMillis + limits.storeRetryMillis();
-        if (mayTakeOver(nowMillis)) {
-            changeByStore(view.get().takenOver(newId(), me, nowMillis), nowMillis, out);
+        nextAttemptMillis = nowMillis + limits.storeRetryMillis();
+        if (canTakeOver(nowMillis)) {
+            changeByStore(view.get().takeover(newId(), self, nowMillis), nowMillis, out);
             return;
         }
         List<ViewMemberId> members = reachableMembers();
         if (!members.isEmpty()) {
-            copying.ask(members, out);
+            syncReceiver.requestJoin(members, out);
         }
         if (members.isEmpty()) {
-            links.hosts().forEach(host -> out.send(host, new ViewAsk(0, "")));
+            reachability.reachableHosts().forEach(host -> out.send(host, new ViewAsk(0, "")));
         }
-        if (members.isEmpty() || copying.isQuiet()) {
+        if (members.isEmpty() || syncReceiver.isUnanswered()) {
             store.read(out);
         }
     }
 
     private List<ViewMemberId> reachableMembers() {
-        return view.map(known -> known.members().stream().filter(links::isUp).toList())
+        return view.map(known -> known.members().stream().filter(reachability::isReachable).toList())
                 .getOrElse(List.of());
     }
 
-    private boolean mayTakeOver(long nowMillis) {
-        if (view.isEmpty() || !store.isKnown()) {
+    private boolean canTakeOver(long nowMillis) {
+        if (view.isEmpty() || !store.isRecordKnown()) {
             return false;
         }
         List<ViewMemberId> members = view.toJavaStream()
@@ -294,87 +294,87 @@
                         .flatMap(recorded -> Stream.concat(known.members().stream(), recorded.members().stream())))
                 .distinct()
                 .toList();
-        boolean allEnded = members.stream().allMatch(this::hasEnded);
-        boolean allSilent = members.stream().allMatch(member -> isSilent(member, nowMillis));
-        return store.recorded().isDefined() && rule.mayTakeOver(allEnded, allSilent);
+        boolean allEnded = members.stream().allMatch(this::hasTerminated);
+        boolean allSilent = members.stream().allMatch(member -> isUnreachable(member, nowMillis));
+        return store.recorded().isDefined() && takeoverRule.canTakeOver(allEnded, allSilent);
     }
 
-    private boolean isSilent(ViewMemberId member, long nowMillis) {
-        return member.equals(me) || links.isLost(member, limits.lostGraceMillis(), nowMillis);
+    private boolean isUnreachable(ViewMemberId member, long nowMillis) {
+        return member.equals(self) || reachability.isLost(member, limits.disconnectGraceMillis(), nowMillis);
     }
 
-    private boolean hasEnded(ViewMemberId member) {
+    private boolean hasTerminated(ViewMemberId member) {
         // This process itself acts in no view while it is outside, so neither does an older one of its host.
-        boolean self = member.host().equals(me.host()) && member.incarnation() <= me.incarnation();
-        return self || evidence.hasEnded(member);
+        boolean ownProcess = member.host().equals(self.host()) && member.incarnation() <= self.incarnation();
+        return ownProcess || evidence.hasTerminated(member);
     }
 
-    private void wasRead(StoreReply reply, long nowMillis, StepList out) {
+    private void recordRead(StoreReply reply, long nowMillis, ActionList out) {
         if (!(reply instanceof StoreReply.Found)) {
             return;
         }
-        followRecord(nowMillis);
+        adoptRecordedView(nowMillis);
         if (phase == ViewPhase.STALE) {
-            enter(ViewPhase.ACTIVE);
+            enterPhase(ViewPhase.ACTIVE);
         }
         if (phase == ViewPhase.OUTSIDE && change.isEmpty() && !leaving) {
             boolean first = store.recorded().isEmpty() && view.isEmpty();
             if (first) {
-                changeByStore(new ClaimView(dataCentre, 1, 0, newId(), List.of(me)), nowMillis, out);
-            } else if (mayTakeOver(nowMillis)) {
-                changeByStore(view.get().takenOver(newId(), me, nowMillis), nowMillis, out);
+                changeByStore(new ClaimView(dataCentre, 1, 0, newId(), List.of(self)), nowMillis, out);
+            } else if (canTakeOver(nowMillis)) {
+                changeByStore(view.get().takeover(newId(), self, nowMillis), nowMillis, out);
             }
         }
     }
 
     // Inside: keep the view fit.
 
-    private void keep(boolean resultsKnown, long nowMillis, StepList out) {
+    private void maintain(boolean resultsKnown, long nowMillis, ActionList out) {
         List<ViewMemberId> lost = lostMembers(nowMillis);
-        if (nowMillis < nextTryMillis) {
+        if (nowMillis < nextAttemptMillis) {
             return;
         }
         if (!lost.isEmpty()) {
-            if (isDueToRemove(lost, nowMillis)) {
-                remove(lost, nowMillis, out);
+            if (isRemovalDue(lost, nowMillis)) {
+                removeLost(lost, nowMillis, out);
             }
             return;
         }
         if (leaving && resultsKnown) {
-            leavers.add(me.host());
+            leavingHosts.add(self.host());
         }
-        if (!view.get().members().get(0).equals(me)) {
-            askToLeave(nowMillis, out);
+        if (!view.get().members().get(0).equals(self)) {
+            requestLeave(nowMillis, out);
             return;
         }
-        record(out);
-        adjust(nowMillis, out);
+        writeRecord(out);
+        adjustMembers(nowMillis, out);
     }
 
     private List<ViewMemberId> lostMembers(long nowMillis) {
-        return view.get().others(me).stream()
-                .filter(member -> links.isLost(member, limits.lostGraceMillis(), nowMillis))
+        return view.get().others(self).stream()
+                .filter(member -> reachability.isLost(member, limits.disconnectGraceMillis(), nowMillis))
                 .toList();
     }
 
-    private boolean isDueToRemove(List<ViewMemberId> lost, long nowMillis) {
+    private boolean isRemovalDue(List<ViewMemberId> lost, long nowMillis) {
         List<ViewMemberId> rest = view.get().members().stream()
                 .filter(member -> !lost.contains(member))
                 .toList();
-        long wait = limits.lostGraceMillis() + rest.indexOf(me) * limits.resendMillis();
-        return lost.stream().allMatch(member -> links.isLost(member, wait, nowMillis));
+        long wait = limits.disconnectGraceMillis() + rest.indexOf(self) * limits.resendMillis();
+        return lost.stream().allMatch(member -> reachability.isLost(member, wait, nowMillis));
     }
 
     /** Takes lost members out: this host, a member of the old view, stops it first and lets the store decide. */
-    private void remove(List<ViewMemberId> lost, long nowMillis, StepList out) {
+    private void removeLost(List<ViewMemberId> lost, long nowMillis, ActionList out) {
         List<ViewMemberId> wanted = view.get().members().stream()
                 .filter(member -> !lost.contains(member))
                 // A host that is leaving still has to take out the lost ones, or it could neither claim nor leave.
-                .filter(member -> member.equals(me) || !leavers.contains(member.host()))
-                .filter(member -> consented.forAll(next -> next.contains(member)))
+                .filter(member -> member.equals(self) || !leavingHosts.contains(member.host()))
+                .filter(member -> consentedView.forAll(next -> next.contains(member)))
                 .toList();
-        if (wanted.contains(me)) {
-            ClaimView next = consented.getOrElse(view.get()).next(newId(), wanted);
+        if (wanted.contains(self)) {
+            ClaimView next = consentedView.getOrElse(view.get()).next(newId(), wanted);
             changeByStore(withCompleteFrom(next), nowMillis, out);
         }
     }
@@ -384,30 +384,30 @@
                 dataCentre, next.number(), view.get().completeFromMillis(), next.changeId(), next.members());
     }
 
-    private void askToLeave(long nowMillis, StepList out) {
-        if (leavers.contains(me.host())) {
-            nextTryMillis = nowMillis + limits.storeRetryMillis();
+    private void requestLeave(long nowMillis, ActionList out) {
+        if (leavingHosts.contains(self.host())) {
+            nextAttemptMillis = nowMillis + limits.storeRetryMillis();
             out.send(
                     view.get().members().get(0).host(), new ViewLeave(view.get().number()));
         }
     }
 
     /** Writes down a view that its members have formed without the store. */
-    private void record(StepList out) {
+    private void writeRecord(ActionList out) {
         if (store.recorded().equals(view) || store.isCalling(ViewStore.Purpose.RECORD)) {
             return;
         }
-        if (store.isKnown()) {
+        if (store.isRecordKnown()) {
             store.write(ViewStore.Purpose.RECORD, view.get(), out);
         } else {
             store.read(out);
         }
     }
 
-    private void adjust(long nowMillis, StepList out) {
-        List<ViewMemberId> joiners = syncs.cleanJoiners();
+    private void adjustMembers(long nowMillis, ActionList out) {
+        List<ViewMemberId> joiners = syncSessions.cleanJoiners();
         List<ViewMemberId> staying = view.get().members().stream()
-                .filter(member -> !leavers.contains(member.host()))
+                .filter(member -> !leavingHosts.contains(member.host()))
                 .toList();
         boolean someLeave = staying.size() < view.get().members().size();
         if (joiners.isEmpty() && !someLeave) {
@@ -428,74 +428,74 @@
         }
     }
 
-    private void changeByConsent(ClaimView next, long nowMillis, StepList out) {
+    private void changeByConsent(ClaimView next, long nowMillis, ActionList out) {
         io.vavr.collection.List<String> awaited = io.vavr.collection.List.ofAll(
                         view.get().members())
                 .appendAll(next.members())
                 .distinct()
-                .remove(me)
+                .remove(self)
                 .map(ViewMemberId::host)
                 .distinct();
-        enter(ViewPhase.STOPPED);
+        enterPhase(ViewPhase.STOPPED);
         change = Option.some(ViewChange.byConsent(next, awaited, nowMillis));
-        propose(out);
+        sendProposals(out);
     }
 
-    private void changeByStore(ClaimView next, long nowMillis, StepList out) {
+    private void changeByStore(ClaimView next, long nowMillis, ActionList out) {
         if (phase.isMember()) {
-            enter(ViewPhase.STOPPED);
+            enterPhase(ViewPhase.STOPPED);
         }
         change = Option.some(ViewChange.byStore(next, nowMillis));
-        askStore(nowMillis, out);
+        writeChange(nowMillis, out);
     }
 
     // Stopped: see the change through.
 
-    private void proceed(long nowMillis, StepList out) {
+    private void advanceChange(long nowMillis, ActionList out) {
         if (change.isEmpty()) {
-            awaitConsented(nowMillis, out);
+            awaitConsentedView(nowMillis, out);
             return;
         }
         if (change.get().byStore()) {
-            askStore(nowMillis, out);
+            writeChange(nowMillis, out);
             return;
         }
-        if (nowMillis - change.get().startedMillis() >= limits.openTimeoutMillis()) {
-            change.get().awaited().forEach(this::blame);
+        if (nowMillis - change.get().proposedAtMillis() >= limits.openTimeoutMillis()) {
+            change.get().awaitedHosts().forEach(this::handleMissingConsent);
             withdraw(nowMillis, out);
-        } else if (nowMillis - change.get().sentMillis() >= limits.resendMillis()) {
-            change = change.map(pending -> pending.sent(nowMillis));
-            propose(out);
+        } else if (nowMillis - change.get().lastSentAtMillis() >= limits.resendMillis()) {
+            change = change.map(pending -> pending.withSent(nowMillis));
+            sendProposals(out);
         }
     }
 
-    private void blame(String host) {
-        if (view.get().memberAt(host).isDefined()) {
-            links.silent(host);
+    private void handleMissingConsent(String host) {
+        if (view.get().memberOn(host).isDefined()) {
+            reachability.markUnresponsive(host);
         } else {
-            syncs.end(host);
+            syncSessions.end(host);
         }
     }
 
-    private void awaitConsented(long nowMillis, StepList out) {
+    private void awaitConsentedView(long nowMillis, ActionList out) {
         List<ViewMemberId> lost = lostMembers(nowMillis);
-        boolean proposerLost = lost.stream().anyMatch(member -> member.host().equals(consentedTo));
-        if (proposerLost && isDueToRemove(lost, nowMillis)) {
-            remove(lost, nowMillis, out);
+        boolean proposerLost = lost.stream().anyMatch(member -> member.host().equals(consentedProposer));
+        if (proposerLost && isRemovalDue(lost, nowMillis)) {
+            removeLost(lost, nowMillis, out);
         } else {
             out.send(
-                    consentedTo,
+                    consentedProposer,
                     new ViewAsk(
                             view.get().number(),
-                            consented.map(ClaimView::changeId).getOrElse("")));
+                            consentedView.map(ClaimView::changeId).getOrElse("")));
         }
     }
 
-    private void propose(StepList out) {
+    private void sendProposals(ActionList out) {
         ViewChange pending = change.get();
-        for (String host : pending.awaited()) {
-            Option<SyncSession> sync = syncs.find(host);
-            boolean member = view.get().memberAt(host).isDefined();
+        for (String host : pending.awaitedHosts()) {
+            Option<SyncSession> sync = syncSessions.find(host);
+            boolean member = view.get().memberOn(host).isDefined();
             // A joining host must hold every claim of the old view before it agrees to be in the next one.
             if (member || sync.exists(SyncSession::isClean)) {
                 out.send(
@@ -503,75 +503,75 @@
                         new ViewPropose(
                                 view.get().number(),
                                 sync.map(SyncSession::id).getOrElse(""),
-                                ViewRecords.toRecord(pending.proposed())));
+                                ViewRecordCodec.toRecord(pending.proposed())));
             }
         }
     }
 
-    private void withdraw(long nowMillis, StepList out) {
+    private void withdraw(long nowMillis, ActionList out) {
         ViewChange pending = change.get();
         change = Option.none();
-        nextTryMillis = nowMillis + limits.storeRetryMillis();
-        if (consented.isEmpty()) {
-            enter(ViewPhase.ACTIVE);
+        nextAttemptMillis = nowMillis + limits.storeRetryMillis();
+        if (consentedView.isEmpty()) {
+            enterPhase(ViewPhase.ACTIVE);
         }
         ViewWithdraw message = new ViewWithdraw(pending.proposed().changeId());
-        view.get().others(me).forEach(member -> out.send(member.host(), message));
-        pending.proposed().others(me).stream()
+        view.get().others(self).forEach(member -> out.send(member.host(), message));
+        pending.proposed().others(self).stream()
                 .filter(member -> !view.get().contains(member))
                 .forEach(member -> out.send(member.host(), message));
     }
 
-    private void askStore(long nowMillis, StepList out) {
+    private void writeChange(long nowMillis, ActionList out) {
         ViewChange pending = change.get();
-        if (pending.calling() || (pending.sentMillis() > 0 && nowMillis < nextTryMillis)) {
+        if (pending.callInFlight() || (pending.lastSentAtMillis() > 0 && nowMillis < nextAttemptMillis)) {
             return;
         }
-        if (!store.isKnown()) {
+        if (!store.isRecordKnown()) {
             store.read(out);
             return;
         }
-        change = Option.some(pending.called(nowMillis));
+        change = Option.some(pending.withStoreCall(nowMillis));
         store.write(ViewStore.Purpose.CHANGE, pending.proposed(), out);
     }
 
-    private void changeReplied(ClaimView proposed, StoreReply reply, long nowMillis, StepList out) {
+    private void changeReplied(ClaimView proposed, StoreReply reply, long nowMillis, ActionList out) {
         boolean current = change.exists(pending -> pending.proposed().equals(proposed));
         if (!current) {
-            followRecord(nowMillis);
+            adoptRecordedView(nowMillis);
             return;
         }
-        change = change.map(pending -> pending.replied(reply instanceof StoreReply.Unsure));
+        change = change.map(pending -> pending.withStoreReply(reply instanceof StoreReply.Unsure));
         if (reply instanceof StoreReply.Written) {
-            form(proposed, nowMillis, out);
+            installFormed(proposed, nowMillis, out);
         } else if (reply instanceof StoreReply.Conflicted) {
             changeConflicted(proposed, nowMillis, out);
-        } else if (reply instanceof StoreReply.Unavailable && change.get().isSafeToWithdraw()) {
-            giveUpChange(nowMillis, out);
+        } else if (reply instanceof StoreReply.Unavailable && change.get().canWithdraw()) {
+            abandonChange(nowMillis, out);
         }
         // An unsure write is asked for again, word for word, when it is due: the record shows whether it was applied,
         // and a record that is still the old one would not show that it never will be.
     }
 
-    private void changeConflicted(ClaimView proposed, long nowMillis, StepList out) {
+    private void changeConflicted(ClaimView proposed, long nowMillis, ActionList out) {
         if (store.recorded().exists(recorded -> recorded.changeId().equals(proposed.changeId()))) {
-            form(proposed, nowMillis, out);
+            installFormed(proposed, nowMillis, out);
             return;
         }
-        followRecord(nowMillis);
+        adoptRecordedView(nowMillis);
         if (change.isEmpty()) {
             return;
         }
         boolean superseded =
                 !phase.isMember() || store.recorded().exists(recorded -> recorded.number() >= proposed.number());
         if (superseded) {
-            giveUpChange(nowMillis, out);
+            abandonChange(nowMillis, out);
         } else {
-            askStore(nowMillis, out);
+            writeChange(nowMillis, out);
         }
     }
 
-    private void giveUpChange(long nowMillis, StepList out) {
+    private void abandonChange(long nowMillis, ActionList out) {
         if (phase.isMember()) {
             withdraw(nowMillis, out);
         } else {
@@ -580,118 +580,118 @@
     }
 
     /** Takes a view that this host has just formed. */
-    private void form(ClaimView formed, long nowMillis, StepList out) {
+    private void installFormed(ClaimView formed, long nowMillis, ActionList out) {
         Set<String> others = new TreeSet<>();
-        view.forEach(old -> old.others(me).forEach(member -> others.add(member.host())));
-        formed.others(me).forEach(member -> others.add(member.host()));
+        view.forEach(old -> old.others(self).forEach(member -> others.add(member.host())));
+        formed.others(self).forEach(member -> others.add(member.host()));
         install(formed, nowMillis);
-        uninstalled.clear();
-        uninstalled.addAll(others);
-        resendInstalls(out);
+        uninstalledHosts.clear();
+        uninstalledHosts.addAll(others);
+        sendInstalls(out);
     }
 
     private void install(ClaimView next, long nowMillis) {
         view = Option.some(next);
         change = Option.none();
-        consented = Option.none();
+        consentedView = Option.none();
         // A host that only learns of a view may still be ready for the one after it.
-        if (next.contains(me)) {
-            copying.unready();
+        if (next.contains(self)) {
+            syncReceiver.clearReady();
         }
-        unconfirmed.clear();
-        syncs.endMembers(next);
-        leavers.removeIf(host -> next.memberAt(host).isEmpty());
-        evidence.viewLearned(nowMillis);
-        links.viewChanged();
-        enter(next.contains(me) ? ViewPhase.ACTIVE : ViewPhase.OUTSIDE);
+        unconfirmedHosts.clear();
+        syncSessions.endForMembers(next);
+        leavingHosts.removeIf(host -> next.memberOn(host).isEmpty());
+        evidence.viewUpdated(nowMillis);
+        reachability.viewChanged();
+        enterPhase(next.contains(self) ? ViewPhase.ACTIVE : ViewPhase.OUTSIDE);
     }
 
-    private void enter(ViewPhase next) {
+    private void enterPhase(ViewPhase next) {
         phase = next;
         epoch++;
         if (!next.isMember()) {
-            syncs.endAll();
-            leavers.clear();
+            syncSessions.endAll();
+            leavingHosts.clear();
         }
     }
 
     // Learn of views that others formed.
 
-    private void followRecord(long nowMillis) {
-        store.recorded().forEach(recorded -> follow(recorded, nowMillis));
+    private void adoptRecordedView(long nowMillis) {
+        store.recorded().forEach(recorded -> adoptIfNewer(recorded, nowMillis));
     }
 
-    private void follow(ClaimView next, long nowMillis) {
+    private void adoptIfNewer(ClaimView next, long nowMillis) {
         if (view.exists(current -> next.number() <= current.number())) {
             return;
         }
-        boolean continuing = phase.isMember() && view.exists(current -> current.contains(me));
-        boolean prepared = copying.isReadyFor(next.changeId());
+        boolean continuing = phase.isMember() && view.exists(current -> current.contains(self));
+        boolean prepared = syncReceiver.isReadyFor(next.changeId());
         boolean own = change.exists(pending -> pending.proposed().equals(next));
-        if (!next.contains(me) || continuing || prepared || own) {
+        if (!next.contains(self) || continuing || prepared || own) {
             install(next, nowMillis);
             return;
         }
         // The view names this host, but it does not hold the claims: it must be taken out and copy them first.
         view = Option.some(next);
-        evidence.viewLearned(nowMillis);
+        evidence.viewUpdated(nowMillis);
     }
 
-    void receiveInstall(String host, ViewInstall message, long nowMillis, StepList out) {
-        ViewRecords.fromRecord(message.recorded())
-                .forEach(recorded -> store.learn(Option.some(recorded), message.recordRevision()));
-        followRecord(nowMillis);
-        Option<ClaimView> told = ViewRecords.fromRecord(message.view());
+    void receiveInstall(String host, ViewInstall message, long nowMillis, ActionList out) {
+        ViewRecordCodec.fromRecord(message.recorded())
+                .forEach(recorded -> store.update(Option.some(recorded), message.recordRevision()));
+        adoptRecordedView(nowMillis);
+        Option<ClaimView> told = ViewRecordCodec.fromRecord(message.view());
         // While the store may still form the change of this host, only the store can tell what came of it: acting in
         // another view meanwhile would grant claims that the members of that change do not hold.
         boolean mine = change.exists(ViewChange::byStore);
         if (!mine) {
-            told.forEach(next -> follow(next, nowMillis));
+            told.forEach(next -> adoptIfNewer(next, nowMillis));
         }
-        confirmed(host, told);
-        boolean taken = phase.isMember() || view.exists(current -> !current.contains(me));
+        viewConfirmed(host, told);
+        boolean taken = phase.isMember() || view.exists(current -> !current.contains(self));
         if (taken && view.equals(told)) {
             out.send(host, new ViewInstalled(view.get().number()));
         }
     }
 
-    private void confirmed(String host, Option<ClaimView> told) {
-        if (phase != ViewPhase.STALE || !view.equals(told) || !unconfirmed.remove(host)) {
+    private void viewConfirmed(String host, Option<ClaimView> told) {
+        if (phase != ViewPhase.STALE || !view.equals(told) || !unconfirmedHosts.remove(host)) {
             return;
         }
-        if (unconfirmed.isEmpty()) {
-            enter(ViewPhase.ACTIVE);
+        if (unconfirmedHosts.isEmpty()) {
+            enterPhase(ViewPhase.ACTIVE);
         }
     }
 
-    private void confirm(StepList out) {
+    private void requestConfirmation(ActionList out) {
         store.read(out);
         ViewAsk ask = new ViewAsk(view.get().number(), "");
-        unconfirmed.forEach(host -> out.send(host, ask));
+        unconfirmedHosts.forEach(host -> out.send(host, ask));
     }
 
     void receiveInstalled(String host, long number) {
         if (view.exists(current -> current.number() <= number)) {
-            uninstalled.remove(host);
+            uninstalledHosts.remove(host);
         }
     }
 
-    private void resendInstalls(StepList out) {
-        uninstalled.removeIf(host -> links.incarnation(host).isEmpty());
-        uninstalled.forEach(host -> tellView(host, out));
+    private void sendInstalls(ActionList out) {
+        uninstalledHosts.removeIf(host -> reachability.incarnation(host).isEmpty());
+        uninstalledHosts.forEach(host -> sendView(host, out));
     }
 
-    void tellView(String host, StepList out) {
+    void sendView(String host, ActionList out) {
         view.forEach(current -> out.send(
                 host,
                 new ViewInstall(
-                        ViewRecords.toRecord(current),
+                        ViewRecordCodec.toRecord(current),
                         Math.max(store.revision(), 0),
-                        store.recorded().map(ViewRecords::toRecord).getOrNull())));
+                        store.recorded().map(ViewRecordCodec::toRecord).getOrNull())));
     }
 
-    void receiveAsk(String host, ViewAsk message, StepList out) {
-        boolean mine = message.changeId().startsWith(idPrefix());
+    void receiveAsk(String host, ViewAsk message, ActionList out) {
+        boolean mine = message.changeId().startsWith(changeIdPrefix());
         boolean formed = view.exists(current -> current.changeId().equals(message.changeId()));
         boolean pending =
                 change.exists(proposal -> proposal.proposed().changeId().equals(message.changeId()));
@@ -699,37 +699,37 @@
             out.send(host, new ViewWithdraw(message.changeId()));
             return;
         }
-        tellView(host, out);
+        sendView(host, out);
     }
 
     // Consent to what others propose.
 
-    void receivePropose(String host, long incarnation, ViewPropose message, StepList out) {
-        Option<ClaimView> told = ViewRecords.fromRecord(message.view());
+    void receivePropose(String host, long incarnation, ViewPropose message, ActionList out) {
+        Option<ClaimView> told = ViewRecordCodec.fromRecord(message.view());
         if (told.isEmpty()) {
             return;
         }
         ClaimView proposed = told.get();
         if (phase == ViewPhase.OUTSIDE) {
-            boolean ready = proposed.contains(me) && copying.agree(message.sessionId(), proposed.changeId());
+            boolean ready = proposed.contains(self) && syncReceiver.consent(message.sessionId(), proposed.changeId());
             out.send(host, new ViewConsent(proposed.changeId(), ready));
             return;
         }
         boolean sameView =
                 view.get().number() == message.fromNumber() && view.get().contains(new ViewMemberId(host, incarnation));
-        boolean again = consented.exists(agreed -> agreed.changeId().equals(proposed.changeId()));
+        boolean again = consentedView.exists(agreed -> agreed.changeId().equals(proposed.changeId()));
         boolean agrees = sameView && change.isEmpty() && (again || phase == ViewPhase.ACTIVE);
         if (agrees && !again) {
-            consented = told;
-            consentedTo = host;
-            enter(ViewPhase.STOPPED);
+            consentedView = told;
+            consentedProposer = host;
+            enterPhase(ViewPhase.STOPPED);
         }
         if (sameView && phase != ViewPhase.STALE) {
             out.send(host, new ViewConsent(proposed.changeId(), agrees));
         }
     }
 
-    void receiveConsent(String host, ViewConsent message, long nowMillis, StepList out) {
+    void receiveConsent(String host, ViewConsent message, long nowMillis, ActionList out) {
         boolean current = change.exists(
                 pending -> !pending.byStore() && pending.proposed().changeId().equals(message.changeId()));
         if (!current) {
@@ -739,94 +739,94 @@
             return;
         }
         if (!message.agreed()) {
-            blameJoiner(host);
+            endJoinerSync(host);
             withdraw(nowMillis, out);
             return;
         }
-        change = change.map(pending -> pending.agreed(host));
-        if (change.get().awaited().isEmpty()) {
-            form(change.get().proposed(), nowMillis, out);
+        change = change.map(pending -> pending.withConsent(host));
+        if (change.get().awaitedHosts().isEmpty()) {
+            installFormed(change.get().proposed(), nowMillis, out);
         }
     }
 
-    private void blameJoiner(String host) {
-        if (view.get().memberAt(host).isEmpty()) {
-            syncs.end(host);
+    private void endJoinerSync(String host) {
+        if (view.get().memberOn(host).isEmpty()) {
+            syncSessions.end(host);
         }
     }
 
     void receiveWithdraw(String changeId) {
-        if (copying.isReadyFor(changeId)) {
-            copying.unready();
+        if (syncReceiver.isReadyFor(changeId)) {
+            syncReceiver.clearReady();
         }
-        boolean agreed = consented.exists(next -> next.changeId().equals(changeId));
+        boolean agreed = consentedView.exists(next -> next.changeId().equals(changeId));
         if (agreed && change.isEmpty()) {
-            consented = Option.none();
-            enter(ViewPhase.ACTIVE);
+            consentedView = Option.none();
+            enterPhase(ViewPhase.ACTIVE);
         }
     }
 
     void receiveLeave(String host, long incarnation) {
         if (phase.isMember() && view.get().contains(new ViewMemberId(host, incarnation))) {
-            leavers.add(host);
+            leavingHosts.add(host);
         }
     }
 
     // Copy the claims to hosts that join.
 
-    void receiveJoin(String host, long incarnation, ViewJoin message, StepList out) {
+    void receiveJoin(String host, long incarnation, ViewJoin message, ActionList out) {
         ViewMemberId joiner = new ViewMemberId(host, incarnation);
         if (phase == ViewPhase.OUTSIDE) {
-            tellView(host, out);
+            sendView(host, out);
             return;
         }
-        if (view.get().memberAt(host).isDefined()) {
+        if (view.get().memberOn(host).isDefined()) {
             // It is named by the view and yet is outside: it has lost what it held, or is a later process.
-            tellView(host, out);
-            links.silent(host);
+            sendView(host, out);
+            reachability.markUnresponsive(host);
             return;
         }
         ViewMemberId first = view.get().members().get(0);
-        if (!first.equals(me) && links.isUp(first)) {
-            tellView(host, out);
+        if (!first.equals(self) && reachability.isReachable(first)) {
+            sendView(host, out);
             return;
         }
-        syncs.begin(newId(), joiner, message.sessionId());
+        syncSessions.startIfNeeded(newId(), joiner, message.sessionId());
     }
 
-    void receiveSynced(String host, ViewSynced message, long nowMillis, StepList out) {
-        syncs.acknowledged(host, message);
-        syncs.send(nowMillis, out);
+    void receiveSynced(String host, ViewSynced message, long nowMillis, ActionList out) {
+        syncSessions.acknowledged(host, message);
+        syncSessions.sendDueChunks(nowMillis, out);
     }
 
-    void receiveSync(String host, ViewSync message, StepList out) {
+    void receiveSync(String host, ViewSync message, ActionList out) {
         if (!phase.isMember() && !leaving) {
-            copying.receive(host, message, out);
+            syncReceiver.receive(host, message, out);
         }
     }
 
-    private String idPrefix() {
-        return me.host() + "/" + me.incarnation() + "/";
+    private String changeIdPrefix() {
+        return self.host() + "/" + self.incarnation() + "/";
     }
 
     private String newId() {
-        return idPrefix() + nextId++;
+        return changeIdPrefix() + nextId++;
     }
 
     /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
-    String describe() {
+    String stateKey() {
         return String.join(
                 "; ",
-                phase + " " + view + " " + change.map(ViewKeeper::withoutTimes) + " " + consented + consentedTo,
-                copying.describe() + " " + uninstalled + unconfirmed + leavers + leaving,
-                links.describe(),
-                evidence.describe(),
-                store.describe(),
-                syncs.describe());
+                phase + " " + view + " " + change.map(ViewManager::withoutTimes) + " " + consentedView + consentedProposer,
+                syncReceiver.stateKey() + " " + uninstalledHosts + unconfirmedHosts + leavingHosts + leaving,
+                reachability.stateKey(),
+                evidence.stateKey(),
+                store.stateKey(),
+                syncSessions.stateKey());
     }
 
     private static ViewChange withoutTimes(ViewChange pending) {
         return new ViewChange(
-                pending.proposed(), pending.byStore(), pending.awaited(), pending.unsure(), pending.calling(), 0, 0);
+                pending.proposed(), pending.byStore(), pending.awaitedHosts(), pending.maybeApplied(), pending.callInFlight(), 0, 0);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewPhase.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewPhase.java
@@ -11,14 +11,14 @@
     /** A member that was paused, and does not know whether the view went on without it. */
     STALE(false);
 
-    private final boolean claiming;
+    private final boolean canClaim;
 
     ViewPhase(boolean claiming) {
-        this.claiming = claiming;
+        this.canClaim = claiming;
     }
 
-    boolean mayClaim() {
-        return claiming;
+    boolean canClaim() {
+        return canClaim;
     }
 
     boolean isMember() {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewRecords.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewRecordCodec.java
@@ -9,12 +9,12 @@
 import org.rattanplank.schema.message.ViewRecord;
 
 /** Turns views into what messages and the store carry, and back. Stateless and thread safe. */
-final class ViewRecords {
+final class ViewRecordCodec {
     private static final ObjectMapper JSON =
             new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
     private static final String KEY_PREFIX = "rattanplank/claim-view/";
 
-    private ViewRecords() {}
+    private ViewRecordCodec() {}
 
     static String storeKey(String dataCentre) {
         return KEY_PREFIX + dataCentre;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewStore.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewStore.java
@@ -36,22 +36,22 @@
     private static final long UNKNOWN_REVISION = -1;
 
     private final String key;
-    private final Map<Long, Call> calls = new TreeMap<>();
+    private final Map<Long, Call> callsInFlight = new TreeMap<>();
     private Option<ClaimView> recorded = Option.none();
     private long revision = UNKNOWN_REVISION;
-    private boolean down;
+    private boolean unavailable;
     private long nextCallId = 1;
 
     ViewStore(String dataCentre) {
-        key = ViewRecords.storeKey(dataCentre);
+        key = ViewRecordCodec.storeKey(dataCentre);
     }
 
     private ViewStore(ViewStore other) {
         key = other.key;
-        calls.putAll(other.calls);
+        callsInFlight.putAll(other.callsInFlight);
         recorded = other.recorded;
         revision = other.revision;
-        down = other.down;
+        unavailable = other.unavailable;
         nextCallId = other.nextCallId;
     }
 
@@ -67,20 +67,20 @@
         return revision;
     }
 
-    boolean isKnown() {
+    boolean isRecordKnown() {
         return revision != UNKNOWN_REVISION;
     }
 
     /** Whether the last call had no answer or could not be made. */
-    boolean isDown() {
-        return down;
+    boolean isUnavailable() {
+        return unavailable;
     }
 
     boolean isCalling(Purpose purpose) {
-        return calls.values().stream().anyMatch(call -> call.purpose() == purpose);
+        return callsInFlight.values().stream().anyMatch(call -> call.purpose() == purpose);
     }
 
-    void read(StepList out) {
+    void read(ActionList out) {
         if (isCalling(Purpose.READ)) {
             return;
         }
@@ -88,54 +88,54 @@
     }
 
     /** Pays no heed to the answers of reads in flight. */
-    void dropReads() {
-        calls.values().removeIf(call -> call.purpose() == Purpose.READ);
+    void discardReads() {
+        callsInFlight.values().removeIf(call -> call.purpose() == Purpose.READ);
     }
 
-    void write(Purpose purpose, ClaimView view, StepList out) {
-        String value = ViewRecords.toJson(view);
+    void write(Purpose purpose, ClaimView view, ActionList out) {
+        String value = ViewRecordCodec.toJson(view);
         call(new Call(purpose, Option.some(view)), new StoreCommand.Put(key, value, revision, 0), out);
     }
 
-    Option<Call> replied(long callId, StoreReply reply) {
-        Option<Call> call = Option.of(calls.remove(callId));
-        down = reply instanceof StoreReply.Unavailable || reply instanceof StoreReply.Unsure;
+    Option<Call> callReplied(long callId, StoreReply reply) {
+        Option<Call> call = Option.of(callsInFlight.remove(callId));
+        unavailable = reply instanceof StoreReply.Unavailable || reply instanceof StoreReply.Unsure;
         if (call.isEmpty()) {
             return call;
         }
         if (reply instanceof StoreReply.Found found) {
-            learn(found.entry());
+            update(found.entry());
         } else if (reply instanceof StoreReply.Conflicted conflicted) {
-            learn(conflicted.current());
+            update(conflicted.current());
         } else if (reply instanceof StoreReply.Written written) {
-            learn(call.get().view(), written.revision());
+            update(call.get().view(), written.revision());
         }
         return call;
     }
 
-    void learn(Option<StoreEntry> entry) {
+    void update(Option<StoreEntry> entry) {
         if (entry.isEmpty()) {
             recorded = Option.none();
             revision = 0;
             return;
         }
-        learn(ViewRecords.fromJson(entry.get().value()).toOption(), entry.get().modRevision());
+        update(ViewRecordCodec.fromJson(entry.get().value()).toOption(), entry.get().modRevision());
     }
 
-    void learn(Option<ClaimView> view, long atRevision) {
+    void update(Option<ClaimView> view, long atRevision) {
         if (view.isDefined() && atRevision > revision) {
             recorded = view;
             revision = atRevision;
         }
     }
 
-    private void call(Call call, StoreCommand command, StepList out) {
+    private void call(Call call, StoreCommand command, ActionList out) {
         long callId = nextCallId++;
-        calls.put(callId, call);
+        callsInFlight.put(callId, call);
         out.callStore(callId, command);
     }
 
-    String describe() {
-        return recorded + " at " + revision + " calls " + calls + " down " + down;
+    String stateKey() {
+        return recorded + " at " + revision + " calls " + callsInFlight + " down " + unavailable;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
@@ -29,9 +29,9 @@
     public static final String LOAD = "load";
 
     /** How many targets of the region load at once, for the weight store's sake. */
-    private static final int MAX_LOADS = 4;
+    private static final int MAX_CONCURRENT_LOADS = 4;
 
-    private static final long ORDERS_OF_ONE_LEASE = 1_000_000;
+    private static final long MAX_ORDERS_PER_LEASE = 1_000_000;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final ControllerLease lease;
@@ -40,8 +40,8 @@
     private List<ListedHost> targets = List.of();
     private Configuration configuration = Configuration.empty();
     private boolean candidate = true;
-    private long orderedUnder;
-    private long orders;
+    private long ordersFencingNumber;
+    private long orderCount;
     private long nextCallId = 1;
 
     private Controller(NodeIdentity self) {
@@ -86,7 +86,7 @@
     public void configured(Configuration newer, long nowMillis) {
         locked(() -> {
             configuration = newer;
-            arrange();
+            updateRollouts();
             return newer;
         });
     }
@@ -101,32 +101,32 @@
         locked(() -> {
             if (!newer.equals(targets)) {
                 targets = List.copyOf(newer);
-                arrange();
+                updateRollouts();
             }
             return newer;
         });
     }
 
     /** Gives each service that wants a version its targets. */
-    private void arrange() {
+    private void updateRollouts() {
         Map<String, List<ListedHost>> byService = new TreeMap<>();
         for (ListedHost target : targets) {
             byService
                     .computeIfAbsent(target.service(), name -> new ArrayList<>())
                     .add(target);
         }
-        rollouts.keySet().removeIf(name -> !isWanted(name));
+        rollouts.keySet().removeIf(name -> !hasWantedVersion(name));
         byService.forEach((name, hosts) -> {
-            if (isWanted(name)) {
+            if (hasWantedVersion(name)) {
                 Rollout rollout = rollouts.computeIfAbsent(name, added -> new Rollout());
                 rollout.targets(hosts);
-                hosts.forEach(host -> Option.of(reports.get(host.name())).forEach(rollout::reported));
+                hosts.forEach(host -> Option.of(reports.get(host.name())).forEach(rollout::targetReported));
             }
         });
         reports.keySet().retainAll(targets.stream().map(ListedHost::name).toList());
     }
 
-    private boolean isWanted(String service) {
+    private boolean hasWantedVersion(String service) {
         return configuration.service(service).exists(known -> !known.wantedVersion()
                 .isEmpty());
     }
@@ -140,7 +140,7 @@
     public void reported(TargetLoad load, long nowMillis) {
         locked(() -> {
             reports.put(load.target(), load);
-            Option.of(rollouts.get(load.service())).forEach(rollout -> rollout.reported(load));
+            Option.of(rollouts.get(load.service())).forEach(rollout -> rollout.targetReported(load));
             return load;
         });
     }
@@ -164,8 +164,8 @@
      */
     public List<ControlStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return locked(() -> {
-            lease.replied(callId, reply, nowMillis);
-            return steps(nowMillis);
+            lease.callReplied(callId, reply, nowMillis);
+            return nextActions(nowMillis);
         });
     }
 
@@ -179,13 +179,13 @@
      */
     public List<ControlStep> answered(long orderId, OrderResult result, long nowMillis) {
         return locked(() -> {
-            boolean ofThisLease = orderId / ORDERS_OF_ONE_LEASE == lease.fencingNumber();
+            boolean ofThisLease = orderId / MAX_ORDERS_PER_LEASE == lease.fencingNumber();
             if (result == OrderResult.FENCED && ofThisLease) {
-                lease.lose(nowMillis);
+                lease.release(nowMillis);
                 return List.of();
             }
-            rollouts.values().forEach(rollout -> rollout.answered(orderId, result, nowMillis));
-            return steps(nowMillis);
+            rollouts.values().forEach(rollout -> rollout.orderAnswered(orderId, result, nowMillis));
+            return nextActions(nowMillis);
         });
     }
 
@@ -196,45 +196,45 @@
      * @return what to do
      */
     public List<ControlStep> tick(long nowMillis) {
-        return locked(() -> steps(nowMillis));
+        return locked(() -> nextActions(nowMillis));
     }
 
-    private List<ControlStep> steps(long nowMillis) {
+    private List<ControlStep> nextActions(long nowMillis) {
         List<ControlStep> steps = new ArrayList<>();
         lease.tick(candidate, nextCallId, nowMillis)
                 .forEach(command -> steps.add(new ControlStep.CallStore(nextCallId++, command)));
-        if (lease.mayOrder(nowMillis)) {
-            order(steps, nowMillis);
+        if (lease.canSendOrder(nowMillis)) {
+            addDueOrders(steps, nowMillis);
         }
         return steps;
     }
 
-    private void order(List<ControlStep> steps, long nowMillis) {
-        if (orderedUnder != lease.fencingNumber()) {
-            orderedUnder = lease.fencingNumber();
-            orders = 0;
-            rollouts.values().forEach(Rollout::forget);
+    private void addDueOrders(List<ControlStep> steps, long nowMillis) {
+        if (ordersFencingNumber != lease.fencingNumber()) {
+            ordersFencingNumber = lease.fencingNumber();
+            orderCount = 0;
+            rollouts.values().forEach(Rollout::clearPendingOrders);
         }
         int loading = 0;
         for (Map.Entry<String, Rollout> entry : rollouts.entrySet()) {
             loading += entry.getValue()
-                    .settle(configuration.service(entry.getKey()).get());
+                    .removeCompleted(configuration.service(entry.getKey()).get());
         }
         for (Map.Entry<String, Rollout> entry : rollouts.entrySet()) {
             Service service = configuration.service(entry.getKey()).get();
             // A target that takes orders of anybody may still get one that the last holder sent. Ordered before that
             // one has arrived, the target would end in the older state, and nobody would know why.
-            boolean may = service.checksFencing() || lease.mayOrderUnfenced(nowMillis);
+            boolean may = service.checksFencing() || lease.canSendUnfencedOrder(nowMillis);
             if (!may) {
                 continue;
             }
-            int before = entry.getValue().settle(service);
-            for (String target : entry.getValue().due(service, MAX_LOADS - loading, nowMillis)) {
-                long orderId = orderedUnder * ORDERS_OF_ONE_LEASE + orders++;
-                entry.getValue().ordered(target, orderId, nowMillis);
-                steps.add(new ControlStep.Order(orderId, target, orderedUnder, LOAD, service.wantedVersion()));
+            int before = entry.getValue().removeCompleted(service);
+            for (String target : entry.getValue().selectDue(service, MAX_CONCURRENT_LOADS - loading, nowMillis)) {
+                long orderId = ordersFencingNumber * MAX_ORDERS_PER_LEASE + orderCount++;
+                entry.getValue().orderSent(target, orderId, nowMillis);
+                steps.add(new ControlStep.Order(orderId, target, ordersFencingNumber, LOAD, service.wantedVersion()));
             }
-            loading += entry.getValue().settle(service) - before;
+            loading += entry.getValue().removeCompleted(service) - before;
         }
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
@@ -23,12 +23,12 @@
     static final long STOP_MARGIN_MILLIS = 2_000;
 
     /** The longest that an order may be in flight; a successor gives none before its predecessor's have ended. */
-    static final long ORDER_LIMIT_MILLIS = 5_000;
+    static final long MAX_ORDER_IN_FLIGHT_MILLIS = 5_000;
 
-    private static final long KEEP_MILLIS = 3_000;
-    private static final long KEEP_RETRY_MILLIS = 1_000;
-    private static final long POLL_MILLIS = 5_000;
-    private static final long MAX_RETRY_MILLIS = 30_000;
+    private static final long RENEW_INTERVAL_MILLIS = 3_000;
+    private static final long RENEW_RETRY_MILLIS = 1_000;
+    private static final long POLL_INTERVAL_MILLIS = 5_000;
+    private static final long MAX_BACKOFF_MILLIS = 30_000;
     private static final long CALL_TIMEOUT_MILLIS = 3_000;
 
     private enum Call {
@@ -41,12 +41,12 @@
     private final NodeIdentity self;
     private final String key;
     private final RandomGenerator random;
-    private Backoff backoff = Backoff.of(POLL_MILLIS, POLL_MILLIS, MAX_RETRY_MILLIS);
-    private Option<Call> waiting = Option.none();
-    private long callId;
-    private long sentMillis;
-    private Option<Call> next = Option.none();
-    private long nextMillis;
+    private Backoff backoff = Backoff.of(POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS, MAX_BACKOFF_MILLIS);
+    private Option<Call> callInFlight = Option.none();
+    private long callInFlightId;
+    private long callSentAtMillis;
+    private Option<Call> nextCall = Option.none();
+    private long nextCallAtMillis;
     private long leaseId;
     private long validUntilMillis;
     private long fencingNumber;
@@ -63,13 +63,13 @@
     }
 
     /** Tells whether an order may leave to a target that refuses old fencing numbers. */
-    boolean mayOrder(long nowMillis) {
+    boolean canSendOrder(long nowMillis) {
         return isHeld(nowMillis) && nowMillis < validUntilMillis - STOP_MARGIN_MILLIS;
     }
 
     /** Tells whether an order may leave to a target that takes orders of anybody. */
-    boolean mayOrderUnfenced(long nowMillis) {
-        return mayOrder(nowMillis) && nowMillis >= heldSinceMillis + ORDER_LIMIT_MILLIS;
+    boolean canSendUnfencedOrder(long nowMillis) {
+        return canSendOrder(nowMillis) && nowMillis >= heldSinceMillis + MAX_ORDER_IN_FLIGHT_MILLIS;
     }
 
     long fencingNumber() {
@@ -77,115 +77,115 @@
     }
 
     /** Gives the lease up, because somebody else was seen to hold a newer one. */
-    void lose(long nowMillis) {
+    void release(long nowMillis) {
         fencingNumber = 0;
         leaseId = 0;
-        waiting = Option.none();
-        plan(Call.READ, nowMillis + backoff.delayMillis(random));
+        callInFlight = Option.none();
+        schedule(Call.READ, nowMillis + backoff.delayMillis(random));
     }
 
     Option<StoreCommand> tick(boolean candidate, long newCallId, long nowMillis) {
         if (fencingNumber > 0 && !isHeld(nowMillis)) {
-            lose(nowMillis);
+            release(nowMillis);
         }
-        if (waiting.isDefined() && nowMillis - sentMillis < CALL_TIMEOUT_MILLIS) {
+        if (callInFlight.isDefined() && nowMillis - callSentAtMillis < CALL_TIMEOUT_MILLIS) {
             return Option.none();
         }
-        if (waiting.isDefined()) {
-            unsure(waiting.get(), nowMillis);
+        if (callInFlight.isDefined()) {
+            callFailed(callInFlight.get(), nowMillis);
         }
-        if (next.isEmpty()) {
-            plan(Call.READ, nowMillis + random.nextLong(POLL_MILLIS / 2));
+        if (nextCall.isEmpty()) {
+            schedule(Call.READ, nowMillis + random.nextLong(POLL_INTERVAL_MILLIS / 2));
         }
-        if (nowMillis < nextMillis || (!candidate && fencingNumber == 0)) {
+        if (nowMillis < nextCallAtMillis || (!candidate && fencingNumber == 0)) {
             return Option.none();
         }
-        return Option.some(call(next.get(), newCallId, nowMillis));
+        return Option.some(call(nextCall.get(), newCallId, nowMillis));
     }
 
     private StoreCommand call(Call call, long newCallId, long nowMillis) {
-        waiting = Option.some(call);
-        callId = newCallId;
-        sentMillis = nowMillis;
+        callInFlight = Option.some(call);
+        callInFlightId = newCallId;
+        callSentAtMillis = nowMillis;
         return switch (call) {
             case READ -> new StoreCommand.Get(key);
             case GRANT -> new StoreCommand.GrantLease(TTL_MILLIS);
-            case WRITE -> new StoreCommand.Put(key, marker(), 0, leaseId);
+            case WRITE -> new StoreCommand.Put(key, holderValue(), 0, leaseId);
             case KEEP -> new StoreCommand.KeepLease(leaseId);
         };
     }
 
-    void replied(long repliedCall, StoreReply reply, long nowMillis) {
-        if (waiting.isEmpty() || repliedCall != callId) {
+    void callReplied(long repliedCall, StoreReply reply, long nowMillis) {
+        if (callInFlight.isEmpty() || repliedCall != callInFlightId) {
             return;
         }
-        Call call = waiting.get();
-        waiting = Option.none();
+        Call call = callInFlight.get();
+        callInFlight = Option.none();
         if (reply instanceof StoreReply.Unsure || reply instanceof StoreReply.Unavailable) {
-            unsure(call, nowMillis);
+            callFailed(call, nowMillis);
             return;
         }
         backoff = backoff.succeeded();
         if (reply instanceof StoreReply.Found found) {
-            found(found.entry(), nowMillis);
+            recordRead(found.entry(), nowMillis);
         } else if (reply instanceof StoreReply.Leased leased) {
-            leased(call, leased, nowMillis);
+            leaseGranted(call, leased, nowMillis);
         } else if (reply instanceof StoreReply.Written written) {
-            held(written.revision(), nowMillis);
+            acquired(written.revision(), nowMillis);
         } else {
-            lose(nowMillis);
+            release(nowMillis);
         }
     }
 
-    private void found(Option<StoreEntry> entry, long nowMillis) {
+    private void recordRead(Option<StoreEntry> entry, long nowMillis) {
         if (entry.isEmpty()) {
-            plan(Call.GRANT, nowMillis);
-        } else if (leaseId != 0 && entry.get().value().equals(marker()) && nowMillis < validUntilMillis) {
-            held(entry.get().modRevision(), nowMillis);
+            schedule(Call.GRANT, nowMillis);
+        } else if (leaseId != 0 && entry.get().value().equals(holderValue()) && nowMillis < validUntilMillis) {
+            acquired(entry.get().modRevision(), nowMillis);
         } else {
             leaseId = 0;
-            plan(Call.READ, nowMillis + backoff.delayMillis(random));
+            schedule(Call.READ, nowMillis + backoff.delayMillis(random));
         }
     }
 
-    private void leased(Call call, StoreReply.Leased leased, long nowMillis) {
+    private void leaseGranted(Call call, StoreReply.Leased leased, long nowMillis) {
         if (leased.ttlMillis() <= 0) {
-            lose(nowMillis);
+            release(nowMillis);
             return;
         }
         leaseId = leased.leaseId();
-        validUntilMillis = sentMillis + leased.ttlMillis();
+        validUntilMillis = callSentAtMillis + leased.ttlMillis();
         if (call == Call.GRANT) {
-            plan(Call.WRITE, nowMillis);
+            schedule(Call.WRITE, nowMillis);
         } else {
-            plan(Call.KEEP, sentMillis + KEEP_MILLIS);
+            schedule(Call.KEEP, callSentAtMillis + RENEW_INTERVAL_MILLIS);
         }
     }
 
-    private void held(long revision, long nowMillis) {
+    private void acquired(long revision, long nowMillis) {
         fencingNumber = revision;
         heldSinceMillis = nowMillis;
-        plan(Call.KEEP, sentMillis + KEEP_MILLIS);
+        schedule(Call.KEEP, callSentAtMillis + RENEW_INTERVAL_MILLIS);
     }
 
-    private void unsure(Call call, long nowMillis) {
-        waiting = Option.none();
+    private void callFailed(Call call, long nowMillis) {
+        callInFlight = Option.none();
         backoff = backoff.failed();
         if (call == Call.KEEP) {
-            plan(Call.KEEP, nowMillis + KEEP_RETRY_MILLIS);
+            schedule(Call.KEEP, nowMillis + RENEW_RETRY_MILLIS);
         } else {
             // A write whose answer was lost may have taken effect: the key then names this lease. Without reading it
             // back, the region would have no controller until the lease lapses.
-            plan(Call.READ, nowMillis + backoff.delayMillis(random) / 2);
+            schedule(Call.READ, nowMillis + backoff.delayMillis(random) / 2);
         }
     }
 
-    private void plan(Call call, long atMillis) {
-        next = Option.some(call);
-        nextMillis = atMillis;
+    private void schedule(Call call, long atMillis) {
+        nextCall = Option.some(call);
+        nextCallAtMillis = atMillis;
     }
 
-    private String marker() {
+    private String holderValue() {
         return self.host() + "/" + self.incarnation() + "/" + leaseId;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
@@ -19,85 +19,85 @@
  * go on serving. Not thread safe.
  */
 final class Rollout {
-    private static final long FRESH_MILLIS = 10_000;
-    private static final long REPEAT_TAKEN_MILLIS = 60_000;
-    private static final long REPEAT_UNSURE_MILLIS = 5_000;
-    private static final long REPEAT_REFUSED_MILLIS = 30_000;
-    private static final int PART_AT_ONCE = 8;
+    private static final long MAX_REPORT_AGE_MILLIS = 10_000;
+    private static final long RETRY_ACCEPTED_MILLIS = 60_000;
+    private static final long RETRY_UNCERTAIN_MILLIS = 5_000;
+    private static final long RETRY_REJECTED_MILLIS = 30_000;
+    private static final int CONCURRENCY_DIVISOR = 8;
 
-    private static final class Pending {
+    private static final class PendingOrder {
         private final String version;
         private long orderId;
-        private long againMillis;
+        private long retryAtMillis;
 
-        Pending(String version) {
+        PendingOrder(String version) {
             this.version = version;
         }
     }
 
     private final Map<String, TargetLoad> reports = new TreeMap<>();
-    private final Map<String, Pending> pending = new TreeMap<>();
+    private final Map<String, PendingOrder> pendingOrders = new TreeMap<>();
     private List<String> targets = List.of();
 
     void targets(List<ListedHost> newer) {
         targets = newer.stream().map(ListedHost::name).sorted().toList();
         reports.keySet().retainAll(targets);
-        pending.keySet().retainAll(targets);
+        pendingOrders.keySet().retainAll(targets);
     }
 
-    void reported(TargetLoad load) {
+    void targetReported(TargetLoad load) {
         reports.merge(
                 load.target(), load, (old, newer) -> newer.reportedAtMillis() >= old.reportedAtMillis() ? newer : old);
     }
 
     /** Forgets what was ordered, because another host may have given orders since. */
-    void forget() {
-        pending.clear();
+    void clearPendingOrders() {
+        pendingOrders.clear();
     }
 
     /** Takes the end of an order; tells whether it was one of this service. */
-    boolean answered(long orderId, OrderResult result, long nowMillis) {
-        for (Pending order : pending.values()) {
+    boolean orderAnswered(long orderId, OrderResult result, long nowMillis) {
+        for (PendingOrder order : pendingOrders.values()) {
             if (order.orderId == orderId) {
-                order.againMillis = nowMillis + repeatMillis(result);
+                order.retryAtMillis = nowMillis + retryDelayMillis(result);
                 return true;
             }
         }
         return false;
     }
 
-    private static long repeatMillis(OrderResult result) {
+    private static long retryDelayMillis(OrderResult result) {
         return switch (result) {
-            case TAKEN -> REPEAT_TAKEN_MILLIS;
-            case REFUSED -> REPEAT_REFUSED_MILLIS;
-            case UNSURE, FENCED -> REPEAT_UNSURE_MILLIS;
+            case TAKEN -> RETRY_ACCEPTED_MILLIS;
+            case REFUSED -> RETRY_REJECTED_MILLIS;
+            case UNSURE, FENCED -> RETRY_UNCERTAIN_MILLIS;
         };
     }
 
     /** Drops orders that are done or no longer wanted; gives the number of those that are not. */
-    int settle(Service service) {
-        pending.entrySet().removeIf(entry -> {
+    int removeCompleted(Service service) {
+        pendingOrders.entrySet().removeIf(entry -> {
             boolean other = !entry.getValue().version.equals(service.wantedVersion());
-            return other || has(entry.getKey(), service.wantedVersion());
+            return other || hasLoaded(entry.getKey(), service.wantedVersion());
         });
-        return pending.size();
+        return pendingOrders.size();
     }
 
     /** Finds the targets to order now, with at most so many new ones, and takes note of them. */
-    List<String> due(Service service, int maxNew, long nowMillis) {
+    List<String> selectDue(Service service, int maxNew, long nowMillis) {
         List<String> due = new ArrayList<>();
-        pending.forEach((target, order) -> {
-            if (nowMillis >= order.againMillis) {
+        pendingOrders.forEach((target, order) -> {
+            if (nowMillis >= order.retryAtMillis) {
                 due.add(target);
             }
         });
-        int places = Math.min(maxNew, atOnce() - pending.size());
+        int places = Math.min(maxNew, maxConcurrentLoads() - pendingOrders.size());
         for (String target : targets) {
-            if (places <= 0 || !leavesEnough(nowMillis)) {
+            if (places <= 0 || !keepsHalfServing(nowMillis)) {
                 break;
             }
-            if (!pending.containsKey(target) && isFresh(target, nowMillis) && !has(target, service.wantedVersion())) {
-                pending.put(target, new Pending(service.wantedVersion()));
+            if (!pendingOrders.containsKey(target) && hasRecentReport(target, nowMillis) && !hasLoaded(target, service.wantedVersion())) {
+                pendingOrders.put(target, new PendingOrder(service.wantedVersion()));
                 due.add(target);
                 places--;
             }
@@ -105,29 +105,29 @@
         return due;
     }
 
-    void ordered(String target, long orderId, long nowMillis) {
-        Option.of(pending.get(target)).forEach(order -> {
+    void orderSent(String target, long orderId, long nowMillis) {
+        Option.of(pendingOrders.get(target)).forEach(order -> {
             order.orderId = orderId;
-            order.againMillis = nowMillis + REPEAT_TAKEN_MILLIS;
+            order.retryAtMillis = nowMillis + RETRY_ACCEPTED_MILLIS;
         });
     }
 
-    private int atOnce() {
-        return Math.max(1, targets.size() / PART_AT_ONCE);
+    private int maxConcurrentLoads() {
+        return Math.max(1, targets.size() / CONCURRENCY_DIVISOR);
     }
 
-    private boolean leavesEnough(long nowMillis) {
+    private boolean keepsHalfServing(long nowMillis) {
         long serving = targets.stream()
-                .filter(target -> isFresh(target, nowMillis) && !pending.containsKey(target))
+                .filter(target -> hasRecentReport(target, nowMillis) && !pendingOrders.containsKey(target))
                 .count();
         return targets.size() == 1 || serving - 1 >= targets.size() / 2;
     }
 
-    private boolean isFresh(String target, long nowMillis) {
-        return reports.containsKey(target) && nowMillis - reports.get(target).reportedAtMillis() <= FRESH_MILLIS;
+    private boolean hasRecentReport(String target, long nowMillis) {
+        return reports.containsKey(target) && nowMillis - reports.get(target).reportedAtMillis() <= MAX_REPORT_AGE_MILLIS;
     }
 
-    private boolean has(String target, String version) {
+    private boolean hasLoaded(String target, String version) {
         return reports.containsKey(target) && reports.get(target).models().contains(version);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -30,16 +30,16 @@
     private final Map<String, Claims> processes = new TreeMap<>();
     private final Map<String, Long> incarnations = new TreeMap<>();
     private final Deque<StoreCall> storeCalls = new ArrayDeque<>();
-    private final List<StoreCommand> lateWrites = new ArrayList<>();
+    private final List<StoreCommand> delayedWrites = new ArrayList<>();
     private final Set<String> paused = new TreeSet<>();
-    private final Set<String> cuts = new TreeSet<>();
+    private final Set<String> partitions = new TreeSet<>();
     private final Set<String> leaving = new TreeSet<>();
     final FakeStore store;
-    final List<String> ledger = new ArrayList<>();
+    final List<String> executedRequestIds = new ArrayList<>();
     final Map<String, List<ClaimDecision>> decisions = new TreeMap<>();
     private final Map<String, String> runners = new TreeMap<>();
     long nowMillis = START_MILLIS;
-    int opened;
+    int openCount;
 
     ClaimCluster(TakeoverRule rule, ClaimLimits limits) {
         this.rule = rule;
@@ -55,15 +55,15 @@
         other.processes.forEach((name, claims) -> processes.put(name, claims.copy()));
         incarnations.putAll(other.incarnations);
         storeCalls.addAll(other.storeCalls);
-        lateWrites.addAll(other.lateWrites);
+        delayedWrites.addAll(other.delayedWrites);
         paused.addAll(other.paused);
-        cuts.addAll(other.cuts);
+        partitions.addAll(other.partitions);
         leaving.addAll(other.leaving);
-        ledger.addAll(other.ledger);
+        executedRequestIds.addAll(other.executedRequestIds);
         other.decisions.forEach((id, list) -> decisions.put(id, new ArrayList<>(list)));
         runners.putAll(other.runners);
         nowMillis = other.nowMillis;
-        opened = other.opened;
+        openCount = other.openCount;
     }
 
     static ClaimCluster of(String... hosts) {
@@ -81,7 +81,7 @@
         return processes.get(host);
     }
 
-    Set<String> live() {
+    Set<String> liveHosts() {
         return processes.keySet();
     }
 
@@ -91,7 +91,7 @@
         processes.put(
                 host, Claims.of(new NodeIdentity(host, incarnation, Place.of("suva", "suva-hall")), limits, rule));
         for (String other : processes.keySet()) {
-            if (!other.equals(host) && !isCut(host, other)) {
+            if (!other.equals(host) && !isPartitioned(host, other)) {
                 link(host, other).items.add(new FakeLink.Item.Up(incarnation));
                 link(other, host).items.add(new FakeLink.Item.Up(incarnations.get(other)));
             }
@@ -103,11 +103,11 @@
         processes.remove(host);
         paused.remove(host);
         leaving.remove(host);
-        storeCalls.stream().filter(call -> call.host().equals(host)).forEach(call -> lateWrites.add(call.command()));
+        storeCalls.stream().filter(call -> call.host().equals(host)).forEach(call -> delayedWrites.add(call.command()));
         storeCalls.removeIf(call -> call.host().equals(host));
         for (String other : processes.keySet()) {
             link(other, host).items.clear();
-            if (!isCut(host, other)) {
+            if (!isPartitioned(host, other)) {
                 link(host, other).items.add(new FakeLink.Item.Down(true));
             }
         }
@@ -121,8 +121,8 @@
         paused.remove(host);
     }
 
-    void cut(String one, String other) {
-        if (!cuts.add(pair(one, other))) {
+    void partition(String one, String other) {
+        if (!partitions.add(pair(one, other))) {
             return;
         }
         for (FakeLink link : List.of(link(one, other), link(other, one))) {
@@ -131,13 +131,13 @@
         }
     }
 
-    void cutStore(String host) {
-        cuts.add(pair(host, "store"));
+    void partitionFromStore(String host) {
+        partitions.add(pair(host, "store"));
     }
 
-    void heal() {
-        Set<String> healed = new TreeSet<>(cuts);
-        cuts.clear();
+    void healPartitions() {
+        Set<String> healed = new TreeSet<>(partitions);
+        partitions.clear();
         for (FakeLink link : links.values()) {
             if (healed.contains(pair(link.from, link.to)) && processes.containsKey(link.from)) {
                 link.items.add(new FakeLink.Item.Up(incarnations.get(link.from)));
@@ -147,18 +147,18 @@
 
     void repairAll() {
         paused.clear();
-        heal();
+        healPartitions();
     }
 
     /** Ends the processes that were asked to leave and may stop. */
-    void stopLeavers() {
+    void stopLeftHosts() {
         List<String> left =
                 leaving.stream().filter(host -> claims(host).hasLeft()).toList();
         left.forEach(this::crash);
     }
 
-    void list(HostList list) {
-        processes.forEach((host, claims) -> take(host, claims.listed(list, nowMillis)));
+    void updateHostList(HostList list) {
+        processes.forEach((host, claims) -> perform(host, claims.listed(list, nowMillis)));
     }
 
     boolean isLeaving(String host) {
@@ -167,17 +167,17 @@
 
     void leave(String host) {
         leaving.add(host);
-        take(host, processes.get(host).leave(nowMillis));
+        perform(host, processes.get(host).leave(nowMillis));
     }
 
     void open(String host, ClaimKey key, String requestId) {
-        take(host, processes.get(host).open(key, requestId, nowMillis));
+        perform(host, processes.get(host).open(key, requestId, nowMillis));
     }
 
-    void end(String requestId, ClaimKey key, ClaimResult result) {
+    void settle(String requestId, ClaimKey key, ClaimResult result) {
         String host = runners.remove(requestId);
         if (host != null && processes.containsKey(host)) {
-            take(host, processes.get(host).settle(key, requestId, result, nowMillis));
+            perform(host, processes.get(host).settle(key, requestId, result, nowMillis));
         }
     }
 
@@ -192,29 +192,29 @@
         while (nowMillis < untilMillis) {
             nowMillis += 100;
             tick();
-            settleDown();
+            deliverAll();
         }
     }
 
     void tick() {
         for (String host : List.copyOf(processes.keySet())) {
             if (!paused.contains(host)) {
-                dialDead(host);
-                take(host, processes.get(host).tick(nowMillis));
+                dialTerminatedHosts(host);
+                perform(host, processes.get(host).tick(nowMillis));
             }
         }
     }
 
     /** A host goes on dialling the others of its list, and is refused where no process listens. */
-    private void dialDead(String host) {
+    private void dialTerminatedHosts(String host) {
         for (String other : incarnations.keySet()) {
-            if (!processes.containsKey(other) && !isCut(host, other)) {
-                take(host, processes.get(host).lost(other, true, nowMillis));
+            if (!processes.containsKey(other) && !isPartitioned(host, other)) {
+                perform(host, processes.get(host).lost(other, true, nowMillis));
             }
         }
     }
 
-    void settleDown() {
+    void deliverAll() {
         for (int i = 0; i < 10_000; i++) {
             if (!deliverNext()) {
                 return;
@@ -230,7 +230,7 @@
             deliver(next.get());
             return true;
         }
-        return serveStore(false);
+        return serveStoreCall(false);
     }
 
     Option<FakeLink> nextLink() {
@@ -238,7 +238,7 @@
                 links.values().stream().filter(this::canDeliver).findFirst());
     }
 
-    List<FakeLink> deliverable() {
+    List<FakeLink> deliverableLinks() {
         return links.values().stream().filter(this::canDeliver).toList();
     }
 
@@ -250,11 +250,11 @@
         FakeLink.Item item = link.items.poll();
         Claims claims = processes.get(link.to);
         if (item instanceof FakeLink.Item.Message message) {
-            take(link.to, claims.receive(link.from, message.incarnation(), message.content(), nowMillis));
+            perform(link.to, claims.receive(link.from, message.incarnation(), message.content(), nowMillis));
         } else if (item instanceof FakeLink.Item.Up up) {
-            take(link.to, claims.connected(link.from, up.incarnation(), nowMillis));
+            perform(link.to, claims.connected(link.from, up.incarnation(), nowMillis));
         } else if (item instanceof FakeLink.Item.Down down) {
-            take(link.to, claims.lost(link.from, down.refused(), nowMillis));
+            perform(link.to, claims.lost(link.from, down.refused(), nowMillis));
         }
     }
 
@@ -263,50 +263,50 @@
     }
 
     /** Serves the oldest call; its answer is lost if asked for. */
-    boolean serveStore(boolean losingAnswer) {
+    boolean serveStoreCall(boolean losingAnswer) {
         for (StoreCall call : storeCalls) {
             if (!paused.contains(call.host())) {
                 storeCalls.remove(call);
-                StoreReply reply = isCut(call.host(), "store")
+                StoreReply reply = isPartitioned(call.host(), "store")
                         ? new StoreReply.Unavailable("cut off")
                         : store.apply(call.command());
-                answer(call, losingAnswer ? new StoreReply.Unsure("no answer came") : reply);
+                replyToStoreCall(call, losingAnswer ? new StoreReply.Unsure("no answer came") : reply);
                 return true;
             }
         }
         return false;
     }
 
-    /** Loses the answer of the oldest call, whose effect comes only with {@link #applyLateWrites()}. */
-    void delayStore() {
+    /** Loses the answer of the oldest call, whose effect comes only with {@link #applyDelayedWrites()}. */
+    void delayStoreWrite() {
         StoreCall call = storeCalls.stream()
                 .filter(waiting -> !paused.contains(waiting.host()))
                 .findFirst()
                 .orElseThrow();
         storeCalls.remove(call);
-        lateWrites.add(call.command());
-        answer(call, new StoreReply.Unsure("no answer came"));
+        delayedWrites.add(call.command());
+        replyToStoreCall(call, new StoreReply.Unsure("no answer came"));
     }
 
-    boolean hasLateWrites() {
-        return !lateWrites.isEmpty();
+    boolean hasDelayedWrites() {
+        return !delayedWrites.isEmpty();
     }
 
-    void applyLateWrites() {
-        lateWrites.forEach(store::apply);
-        lateWrites.clear();
+    void applyDelayedWrites() {
+        delayedWrites.forEach(store::apply);
+        delayedWrites.clear();
     }
 
-    private void answer(StoreCall call, StoreReply reply) {
+    private void replyToStoreCall(StoreCall call, StoreReply reply) {
         if (processes.containsKey(call.host()) && incarnations.get(call.host()) == call.incarnation()) {
-            take(call.host(), processes.get(call.host()).storeReplied(call.callId(), reply, nowMillis));
+            perform(call.host(), processes.get(call.host()).storeReplied(call.callId(), reply, nowMillis));
         }
     }
 
-    private void take(String host, List<ClaimStep> steps) {
+    private void perform(String host, List<ClaimStep> steps) {
         for (ClaimStep step : steps) {
             if (step instanceof ClaimStep.Send send) {
-                boolean reaches = processes.containsKey(send.host()) && !isCut(host, send.host());
+                boolean reaches = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
                 if (reaches) {
                     link(host, send.host())
                             .items
@@ -315,15 +315,15 @@
             } else if (step instanceof ClaimStep.CallStore call) {
                 storeCalls.add(new StoreCall(host, incarnations.get(host), call.callId(), call.command()));
             } else if (step instanceof ClaimStep.Decide decide) {
-                decided(host, decide);
+                recordDecision(host, decide);
             }
         }
     }
 
-    private void decided(String host, ClaimStep.Decide decide) {
+    private void recordDecision(String host, ClaimStep.Decide decide) {
         decisions.computeIfAbsent(decide.requestId(), id -> new ArrayList<>()).add(decide.decision());
         if (decide.decision() instanceof ClaimDecision.Run) {
-            ledger.add(decide.requestId());
+            executedRequestIds.add(decide.requestId());
             runners.put(decide.requestId(), host);
         }
     }
@@ -340,16 +340,16 @@
         return links.computeIfAbsent(from + ">" + to, name -> new FakeLink(from, to));
     }
 
-    boolean isCut(String one, String other) {
-        return cuts.contains(pair(one, other));
+    boolean isPartitioned(String one, String other) {
+        return partitions.contains(pair(one, other));
     }
 
-    boolean isAnyCut() {
-        return !cuts.isEmpty();
+    boolean hasPartitions() {
+        return !partitions.isEmpty();
     }
 
     /** This cluster's own link between the ends of another cluster's. */
-    FakeLink same(FakeLink other) {
+    FakeLink linkLike(FakeLink other) {
         return link(other.from, other.to);
     }
 
@@ -362,26 +362,26 @@
     }
 
     /** All that decides what happens next. */
-    String describe() {
+    String stateKey() {
         StringBuilder text = new StringBuilder();
         processes.forEach(
-                (host, claims) -> text.append(host).append(claims.describe()).append('\n'));
+                (host, claims) -> text.append(host).append(claims.stateKey()).append('\n'));
         links.values().forEach(link -> text.append(link.from)
                 .append(link.to)
                 .append(link.items)
                 .append('\n'));
         return text.append(incarnations)
                 .append(storeCalls)
-                .append(lateWrites)
+                .append(delayedWrites)
                 .append(paused)
-                .append(cuts)
+                .append(partitions)
                 .append(leaving)
                 .append(store)
-                .append(ledger)
+                .append(executedRequestIds)
                 .append(decisions.keySet())
                 .append(runners)
                 .append(nowMillis)
-                .append(opened)
+                .append(openCount)
                 .toString();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearch.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearch.java
@@ -19,21 +19,21 @@
     private static final int MAX_OPENS = 2;
 
     /** Second run found; the steps that led to it. */
-    private Option<List<String>> found = Option.none();
+    private Option<List<String>> violation = Option.none();
 
     private final ClaimKey key;
     private final long keyMillis;
     private final List<String> hosts;
-    private final Map<Long, Integer> seen = new HashMap<>();
+    private final Map<Long, Integer> visitedDepths = new HashMap<>();
     private final List<String> path = new ArrayList<>();
-    long states;
+    long visitedStates;
 
     private record Choice(String name, int cost, Consumer<ClaimCluster> effect) {}
 
     ClaimSearch(List<String> hosts, long keyMillis) {
         this.hosts = hosts;
         this.keyMillis = keyMillis;
-        key = ClaimKey.of("floor", ClaimsTest.timed(keyMillis));
+        key = ClaimKey.of("floor", ClaimsTest.timestampedKey(keyMillis));
     }
 
     static ClaimLimits limits() {
@@ -42,7 +42,7 @@
 
     Option<List<String>> run(ClaimCluster cluster, int faults, int depth) {
         visit(cluster, faults, depth);
-        return found;
+        return violation;
     }
 
     /**
@@ -50,7 +50,7 @@
      *
      * @return the steps that were taken
      */
-    List<String> walk(ClaimCluster cluster, List<Integer> picks, int faults) {
+    List<String> followPicks(ClaimCluster cluster, List<Integer> picks, int faults) {
         int left = faults;
         for (int pick : picks) {
             List<Choice> choices = choices(cluster);
@@ -65,17 +65,17 @@
     }
 
     private void visit(ClaimCluster cluster, int faults, int depth) {
-        if (found.isDefined()) {
+        if (violation.isDefined()) {
             return;
         }
-        if (cluster.ledger.size() > 1) {
-            found = Option.some(List.copyOf(path));
+        if (cluster.executedRequestIds.size() > 1) {
+            violation = Option.some(List.copyOf(path));
             return;
         }
-        if (depth == 0 || isSeen(cluster, faults, depth)) {
+        if (depth == 0 || isVisited(cluster, faults, depth)) {
             return;
         }
-        states++;
+        visitedStates++;
         List<Choice> choices = choices(cluster);
         // Faults come last in the list and are tried first, since a search that looks for harm finds it sooner so.
         for (int i = choices.size() - 1; i >= 0; i--) {
@@ -90,12 +90,12 @@
         }
     }
 
-    private boolean isSeen(ClaimCluster cluster, int faults, int depth) {
-        long digest = digest(cluster.describe() + faults);
-        if (seen.getOrDefault(digest, 0) >= depth) {
+    private boolean isVisited(ClaimCluster cluster, int faults, int depth) {
+        long digest = digest(cluster.stateKey() + faults);
+        if (visitedDepths.getOrDefault(digest, 0) >= depth) {
             return true;
         }
-        seen.put(digest, depth);
+        visitedDepths.put(digest, depth);
         return false;
     }
 
@@ -111,11 +111,11 @@
     private List<Choice> choices(ClaimCluster cluster) {
         List<Choice> choices = new ArrayList<>();
         choices.add(new Choice("next", 0, ClaimSearch::next));
-        addCallers(cluster, choices);
+        addCallerChoices(cluster, choices);
         if (cluster.nextLink().isEmpty()) {
-            addRepairs(cluster, choices);
+            addRepairChoices(cluster, choices);
         }
-        addFaults(cluster, choices);
+        addFaultChoices(cluster, choices);
         return choices;
     }
 
@@ -126,35 +126,35 @@
         }
     }
 
-    private void addCallers(ClaimCluster cluster, List<Choice> choices) {
-        for (String id : List.copyOf(cluster.ledger)) {
+    private void addCallerChoices(ClaimCluster cluster, List<Choice> choices) {
+        for (String id : List.copyOf(cluster.executedRequestIds)) {
             if (cluster.isRunning(id)) {
                 choices.add(new Choice(
-                        "answer " + id, 0, next -> next.end(id, key, new ClaimResult.Answered(ClaimCluster.ANSWER))));
+                        "answer " + id, 0, next -> next.settle(id, key, new ClaimResult.Answered(ClaimCluster.ANSWER))));
                 choices.add(new Choice("not run " + id, 0, next -> {
-                    next.ledger.remove(id);
-                    next.end(id, key, new ClaimResult.NotRun());
+                    next.executedRequestIds.remove(id);
+                    next.settle(id, key, new ClaimResult.NotRun());
                 }));
             }
         }
-        int opened = cluster.opened;
+        int opened = cluster.openCount;
         if (opened == MAX_OPENS || cluster.nowMillis < keyMillis) {
             return;
         }
-        for (String host : cluster.live()) {
+        for (String host : cluster.liveHosts()) {
             // The first caller asks the first host: which name it has makes no difference.
             if (!cluster.isPaused(host) && (opened > 0 || host.equals(hosts.get(0)))) {
                 choices.add(new Choice("open r" + opened + " at " + host, 0, next -> {
-                    next.opened++;
+                    next.openCount++;
                     next.open(host, key, "r" + opened);
                 }));
             }
         }
     }
 
-    private void addRepairs(ClaimCluster cluster, List<Choice> choices) {
+    private void addRepairChoices(ClaimCluster cluster, List<Choice> choices) {
         for (String host : hosts) {
-            if (!cluster.live().contains(host)) {
+            if (!cluster.liveHosts().contains(host)) {
                 choices.add(new Choice("start " + host, 0, next -> next.start(host)));
             } else if (cluster.isLeaving(host) && cluster.claims(host).hasLeft()) {
                 choices.add(new Choice("stop " + host, 0, next -> next.crash(host)));
@@ -162,16 +162,16 @@
                 choices.add(new Choice("resume " + host, 0, next -> next.resume(host)));
             }
         }
-        if (cluster.hasLateWrites()) {
-            choices.add(new Choice("late write", 0, ClaimCluster::applyLateWrites));
+        if (cluster.hasDelayedWrites()) {
+            choices.add(new Choice("late write", 0, ClaimCluster::applyDelayedWrites));
         }
-        if (cluster.isAnyCut()) {
-            choices.add(new Choice("heal", 0, ClaimCluster::heal));
+        if (cluster.hasPartitions()) {
+            choices.add(new Choice("heal", 0, ClaimCluster::healPartitions));
         }
     }
 
-    private void addFaults(ClaimCluster cluster, List<Choice> choices) {
-        for (String host : cluster.live()) {
+    private void addFaultChoices(ClaimCluster cluster, List<Choice> choices) {
+        for (String host : cluster.liveHosts()) {
             choices.add(new Choice("crash " + host, 1, next -> next.crash(host)));
             if (!cluster.isPaused(host)) {
                 choices.add(new Choice("pause " + host, 1, next -> next.pause(host)));
@@ -179,28 +179,28 @@
             if (!cluster.isLeaving(host)) {
                 choices.add(new Choice("leave " + host, 1, next -> next.leave(host)));
             }
-            if (!cluster.isCut(host, "store")) {
-                choices.add(new Choice("cut store " + host, 1, next -> next.cutStore(host)));
+            if (!cluster.isPartitioned(host, "store")) {
+                choices.add(new Choice("cut store " + host, 1, next -> next.partitionFromStore(host)));
             }
         }
         for (String one : hosts) {
             for (String other : hosts) {
-                if (one.compareTo(other) < 0 && !cluster.isCut(one, other)) {
-                    choices.add(new Choice("cut " + one + " " + other, 1, next -> next.cut(one, other)));
+                if (one.compareTo(other) < 0 && !cluster.isPartitioned(one, other)) {
+                    choices.add(new Choice("cut " + one + " " + other, 1, next -> next.partition(one, other)));
                 }
             }
         }
         if (cluster.hasStoreCall()) {
-            choices.add(new Choice("lose store answer", 1, next -> next.serveStore(true)));
-            choices.add(new Choice("delay store write", 1, ClaimCluster::delayStore));
+            choices.add(new Choice("lose store answer", 1, next -> next.serveStoreCall(true)));
+            choices.add(new Choice("delay store write", 1, ClaimCluster::delayStoreWrite));
         }
-        cluster.nextLink().filter(FakeLink::headIsMessage).forEach(link -> addMessageFaults(link, choices));
+        cluster.nextLink().filter(FakeLink::headIsMessage).forEach(link -> addMessageFaultChoices(link, choices));
     }
 
-    private static void addMessageFaults(FakeLink link, List<Choice> choices) {
+    private static void addMessageFaultChoices(FakeLink link, List<Choice> choices) {
         choices.add(new Choice(
-                "lose " + link.from + link.to, 1, next -> next.same(link).dropHead()));
+                "lose " + link.from + link.to, 1, next -> next.linkLike(link).dropHead()));
         choices.add(new Choice(
-                "postpone " + link.from + link.to, 1, next -> next.same(link).postponeHead()));
+                "postpone " + link.from + link.to, 1, next -> next.linkLike(link).delayHead()));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearchTest.java
@@ -21,7 +21,7 @@
  */
 class ClaimSearchTest {
     private static final List<String> HOSTS = List.of("a", "b", "c", "d");
-    private static final long SECONDS_TO_HEAL = 60;
+    private static final long RECOVERY_SECONDS = 60;
 
     @ParameterizedTest
     @CsvSource({
@@ -37,11 +37,11 @@
         ClaimCluster cluster = cluster(TakeoverRule.SURVIVOR_REQUIRED, members);
         ClaimSearch search = new ClaimSearch(HOSTS.subList(0, hosts), cluster.nowMillis + keyMadeLaterMillis);
         assertEquals(Option.none(), search.run(cluster, faults, depth));
-        assertTrue(search.states > 1_000, "the search was cut short");
+        assertTrue(search.visitedStates > 1_000, "the search was cut short");
     }
 
     @Test
-    void shouldFindSecondRunWhenViewIsTakenOverOnSilence() {
+    void shouldFindSecondRunWhenViewIsTakenOverFromUnreachableMembers() {
         // Symptom: one booking is made at two hosts that cannot reach each other.
         // Sequence: the search's own; the only member is cut off from a newcomer, which takes the view over.
         // Cause: silence is taken for an end, and the old member still reaches callers and targets.
@@ -52,7 +52,7 @@
     }
 
     @Property(seed = "20261202", tries = 5_000, shrinking = ShrinkingMode.BOUNDED)
-    void shouldRunOnceAndHealWhenMessagesAreLostLateOrReordered(
+    void shouldRunOnceAndRecoverWhenMessagesAreLostDelayedOrReordered(
             @ForAll @IntRange(min = 1, max = 4) int members,
             @ForAll @IntRange(min = 2, max = 4) int hosts,
             @ForAll @IntRange(max = 4) int keyMadeLaterSeconds,
@@ -60,20 +60,20 @@
             @ForAll @Size(min = 20, max = 300) List<@IntRange(max = 120) Integer> picks) {
         ClaimCluster cluster = cluster(TakeoverRule.SURVIVOR_REQUIRED, Math.min(members, hosts));
         long keyMillis = cluster.nowMillis + 1_000L * keyMadeLaterSeconds;
-        List<String> path = new ClaimSearch(HOSTS.subList(0, hosts), keyMillis).walk(cluster, picks, faults);
+        List<String> path = new ClaimSearch(HOSTS.subList(0, hosts), keyMillis).followPicks(cluster, picks, faults);
         cluster.repairAll();
-        for (int i = 0; i < SECONDS_TO_HEAL; i++) {
+        for (int i = 0; i < RECOVERY_SECONDS; i++) {
             cluster.nowMillis += 1_000;
             cluster.tick();
-            cluster.settleDown();
-            cluster.stopLeavers();
+            cluster.deliverAll();
+            cluster.stopLeftHosts();
         }
-        assertTrue(cluster.ledger.size() < 2, () -> "ran twice after " + path);
+        assertTrue(cluster.executedRequestIds.size() < 2, () -> "ran twice after " + path);
         assertTrue(
                 cluster.decisions.values().stream().allMatch(made -> made.size() == 1),
                 () -> "two outcomes after " + path);
         assertTrue(
-                cluster.live().stream()
+                cluster.liveHosts().stream()
                         .filter(host -> !cluster.isLeaving(host))
                         .allMatch(host -> cluster.claims(host).viewNumber() > 0),
                 () -> "a host is " + "still outside after " + path);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
@@ -17,23 +17,23 @@
 
 class ClaimsTest {
     private static final ClaimResult ANSWERED = new ClaimResult.Answered(ClaimCluster.ANSWER);
-    private static final ClaimDecision KEPT = new ClaimDecision.Kept(ClaimCluster.ANSWER);
-    private static final long WHILE_MILLIS = 5_000;
+    private static final ClaimDecision REPLAY = new ClaimDecision.Kept(ClaimCluster.ANSWER);
+    private static final long RECOVERY_MILLIS = 5_000;
 
     private final ClaimCluster cluster = ClaimCluster.of("a", "b", "c");
     private final ClaimKey key = key(cluster.nowMillis);
 
     @Test
-    void shouldAnswerFromKeptAnswerWhenHostIsKilledAfterAnswer() {
+    void shouldReplayStoredAnswerWhenHostIsKilledAfterAnswer() {
         // Symptom: a fitter repeats a part booking at another host and the parts are ordered twice.
         // Sequence: a books and answers, is killed, and the key comes again at b.
         // Cause: only a knew the key and its answer.
-        runAt("a", "r1");
-        cluster.end("r1", key, ANSWERED);
+        openAndExpectRun("a", "r1");
+        cluster.settle("r1", key, ANSWERED);
         cluster.crash("a");
-        cluster.run(WHILE_MILLIS);
-        assertEquals(KEPT, repeatAt("b"));
-        assertEquals(List.of("r1"), cluster.ledger);
+        cluster.run(RECOVERY_MILLIS);
+        assertEquals(REPLAY, retryAt("b"));
+        assertEquals(List.of("r1"), cluster.executedRequestIds);
     }
 
     @Test
@@ -41,12 +41,12 @@
         // Symptom: a booking whose host died after the first byte to the target is made again at another host.
         // Sequence: a is told to run and is killed; the key comes again at b and at c.
         // Cause: the claim was held by the host that ran it alone.
-        runAt("a", "r1");
+        openAndExpectRun("a", "r1");
         cluster.crash("a");
-        assertInstanceOf(ClaimDecision.Unknown.class, repeatAt("b"));
+        assertInstanceOf(ClaimDecision.Unknown.class, retryAt("b"));
         cluster.open("c", key, "r3");
         assertInstanceOf(ClaimDecision.Unknown.class, cluster.decision("r3"));
-        assertEquals(List.of("r1"), cluster.ledger);
+        assertEquals(List.of("r1"), cluster.executedRequestIds);
     }
 
     @Test
@@ -54,47 +54,47 @@
         // Symptom: after a power cut of the data centre, repeated bookings are made a second time.
         // Sequence: every host is lost while a booking runs; new processes start; the key comes again.
         // Cause: the new hosts take their empty memory for a complete one.
-        runAt("a", "r1");
+        openAndExpectRun("a", "r1");
         List.of("a", "b", "c").forEach(cluster::crash);
         List.of("a", "b", "c").forEach(cluster::start);
-        cluster.run(WHILE_MILLIS);
-        assertInstanceOf(ClaimDecision.Unknown.class, repeatAt("b"));
+        cluster.run(RECOVERY_MILLIS);
+        assertInstanceOf(ClaimDecision.Unknown.class, retryAt("b"));
         cluster.open("b", ClaimKey.of("floor", "no time in it"), "r3");
         ClaimDecision.NotRun refused = assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r3"));
         assertTrue(refused.retryAfterMillis() > ClaimLimits.defaults().retentionMillis() / 2);
-        cluster.run(3 * WHILE_MILLIS);
+        cluster.run(3 * RECOVERY_MILLIS);
         cluster.open("c", key(cluster.nowMillis), "r4");
-        cluster.settleDown();
+        cluster.deliverAll();
         assertInstanceOf(ClaimDecision.Run.class, cluster.decision("r4"));
     }
 
     @Test
-    void shouldNotRunWhenHostWakesInOldViewWithBookingHalfWay() {
+    void shouldNotRunWhenPausedHostResumesInOldViewWithClaimInProgress() {
         // Symptom: a host frozen for half a minute wakes and makes a booking that another host has made meanwhile.
         // Sequence: the claim of r1 is on its way when a freezes; b and c go on without it and run r2; a wakes.
         // Cause: a goes on in its old view, from which the others have removed it.
         cluster.open("a", key, "r1");
         cluster.pause("a");
         cluster.open("b", key, "r2");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         assertInstanceOf(ClaimDecision.Run.class, cluster.decision("r2"));
         cluster.resume("a");
-        cluster.end("r2", key, ANSWERED);
-        cluster.run(WHILE_MILLIS);
+        cluster.settle("r2", key, ANSWERED);
+        cluster.run(RECOVERY_MILLIS);
         assertFalse(cluster.decision("r1") instanceof ClaimDecision.Run);
-        assertEquals(List.of("r2"), cluster.ledger);
+        assertEquals(List.of("r2"), cluster.executedRequestIds);
         assertTrue(cluster.claims("a").viewNumber() > 0);
     }
 
     @Test
-    void shouldGoOnWithoutStoreWhenNoMemberIsLostAndRefuseWhenOneIs() {
+    void shouldClaimWithoutStoreWhenNoMemberIsLostAndRejectWhenOneIs() {
         // Symptom: bookings stop with the store, or, worse, a lost member's bookings are made again without it.
         // Sequence: the store goes out; bookings and a newcomer come; then a member is killed, and the store is back.
         // Cause: only the store can tell apart two halves that each take the other for lost.
-        cluster.store.down = true;
-        runAt("a", "r1");
+        cluster.store.unavailable = true;
+        openAndExpectRun("a", "r1");
         cluster.start("d");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         assertTrue(cluster.claims("d").viewNumber() > 0);
         cluster.crash("a");
         cluster.run(1_000);
@@ -104,13 +104,13 @@
         assertTrue(assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r2"))
                         .retryAfterMillis()
                 > 0);
-        cluster.store.down = false;
-        cluster.run(WHILE_MILLIS);
+        cluster.store.unavailable = false;
+        cluster.run(RECOVERY_MILLIS);
         cluster.open("d", key, "r3");
         assertInstanceOf(ClaimDecision.Unknown.class, cluster.decision("r3"));
         cluster.open("b", fresh, "r4");
-        cluster.settleDown();
-        assertEquals(List.of("r1", "r4"), cluster.ledger);
+        cluster.deliverAll();
+        assertEquals(List.of("r1", "r4"), cluster.executedRequestIds);
     }
 
     @Test
@@ -118,96 +118,96 @@
         // Symptom: after a store's time-out two hosts each hold a view of their own, or none ever does again.
         // Sequence: a is killed; the write that removes it takes effect and its answer is lost.
         // Cause: the writer takes silence for failure and goes on in the old view.
-        runAt("a", "r1");
+        openAndExpectRun("a", "r1");
         cluster.crash("a");
         cluster.run(300);
         for (int i = 0; i < 100 && !cluster.hasStoreCall(); i++) {
             cluster.nowMillis += 50;
             cluster.tick();
         }
-        assertTrue(cluster.serveStore(true));
+        assertTrue(cluster.serveStoreCall(true));
         assertEquals(0, cluster.claims("b").viewNumber());
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         assertEquals(3, cluster.claims("b").viewNumber());
         assertEquals(3, cluster.claims("c").viewNumber());
-        assertInstanceOf(ClaimDecision.Unknown.class, repeatAt("c"));
+        assertInstanceOf(ClaimDecision.Unknown.class, retryAt("c"));
     }
 
     @Test
-    void shouldRunOnceWhenOneHalfReachesCallersAndOtherReachesStore() {
+    void shouldRunOnceWhenPartitionedHostReachesCallersButNotStore() {
         // Symptom: hosts cut off from one another both make the same booking.
         // Sequence: a is cut from b, c and the store but still reaches callers and targets; the key comes at both
         // sides.
         // Cause: one side takes the view over because the other is silent.
-        List.of("b", "c", "store").forEach(other -> cutFromA(other));
+        List.of("b", "c", "store").forEach(other -> partitionFromA(other));
         cluster.open("a", key, "r1");
         cluster.open("b", key, "r2");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r1"));
-        assertEquals(List.of("r2"), cluster.ledger);
-        cluster.heal();
-        cluster.run(WHILE_MILLIS);
+        assertEquals(List.of("r2"), cluster.executedRequestIds);
+        cluster.healPartitions();
+        cluster.run(RECOVERY_MILLIS);
         assertTrue(cluster.claims("a").viewNumber() > 0);
     }
 
     @Test
-    void shouldTakeNoViewOverWhenOldMembersAreSilentButNotEnded() {
+    void shouldNotTakeOverViewWhenOldMembersAreUnreachableButNotTerminated() {
         // Symptom: a newcomer that cannot reach the old hosts makes bookings that they make too.
         // Sequence: d starts, cut off from all; the old hosts are silent to it; only later does the list drop them.
         // Cause: silence is taken for an end.
-        cluster.list(hosts("a", "b", "c", "d"));
-        List.of("a", "b", "c").forEach(other -> cluster.cut("d", other));
+        cluster.updateHostList(hosts("a", "b", "c", "d"));
+        List.of("a", "b", "c").forEach(other -> cluster.partition("d", other));
         cluster.start("d");
-        cluster.list(hosts("a", "b", "c", "d"));
-        cluster.run(10 * WHILE_MILLIS);
+        cluster.updateHostList(hosts("a", "b", "c", "d"));
+        cluster.run(10 * RECOVERY_MILLIS);
         assertEquals(0, cluster.claims("d").viewNumber());
         List.of("a", "b", "c").forEach(cluster::crash);
-        cluster.list(hosts("d"));
-        cluster.run(WHILE_MILLIS);
+        cluster.updateHostList(hosts("d"));
+        cluster.run(RECOVERY_MILLIS);
         assertEquals(ClaimView.TAKEOVER_STRIDE + 2, cluster.claims("d").viewNumber());
     }
 
     @Test
-    void shouldAskStoreBeforeClaimingWhenOnlyMemberWasPaused() {
+    void shouldReadStoreBeforeClaimingWhenOnlyMemberWasPaused() {
         // Symptom: a lone host that was frozen makes bookings beside the host that has replaced it.
         // Sequence: b has taken over on the list's word that a was gone; a wakes and gets a key.
         // Cause: alone in its view, a needs nobody's copy and does not notice that it was replaced.
         ClaimCluster lone = ClaimCluster.of("a");
-        lone.list(hosts("a", "b"));
+        lone.updateHostList(hosts("a", "b"));
         lone.pause("a");
-        lone.cut("a", "b");
+        lone.partition("a", "b");
         lone.start("b");
-        lone.list(hosts("a", "b"));
-        lone.run(WHILE_MILLIS);
-        lone.run(ClaimLimits.defaults().listLagMillis());
+        lone.updateHostList(hosts("a", "b"));
+        lone.run(RECOVERY_MILLIS);
+        lone.run(ClaimLimits.defaults().hostListLagMillis());
         lone.claims("b").listed(hosts("b"), lone.nowMillis);
-        lone.run(3 * WHILE_MILLIS);
+        lone.run(3 * RECOVERY_MILLIS);
         assertTrue(lone.claims("b").viewNumber() > 0);
         lone.resume("a");
         ClaimKey fresh = key(lone.nowMillis);
         lone.open("a", fresh, "r1");
         lone.open("b", fresh, "r2");
-        lone.run(WHILE_MILLIS);
-        assertEquals(List.of("r2"), lone.ledger);
+        lone.run(RECOVERY_MILLIS);
+        assertEquals(List.of("r2"), lone.executedRequestIds);
     }
 
     @Test
-    void shouldLetNextRunWhenCallDidNotRunAndWaitersShareItsAnswer() {
-        runAt("a", "r1");
+    void shouldRunNextRequestWhenCallDidNotRunAndReplayItsAnswerToWaiters() {
+        openAndExpectRun("a", "r1");
         cluster.open("b", key, "r2");
-        cluster.settleDown();
-        cluster.end("r1", key, new ClaimResult.NotRun());
+        cluster.deliverAll();
+        cluster.settle("r1", key, new ClaimResult.NotRun());
         cluster.run(1_000);
-        assertEquals(List.of("r1", "r2"), cluster.ledger);
+        assertEquals(List.of("r1", "r2"), cluster.executedRequestIds);
         cluster.open("c", key, "r3");
         cluster.run(1_000);
-        cluster.end("r2", key, ANSWERED);
-        cluster.settleDown();
-        assertEquals(KEPT, cluster.decision("r3"));
+        cluster.settle("r2", key, ANSWERED);
+        cluster.deliverAll();
+        assertEquals(REPLAY, cluster.decision("r3"));
     }
 
     @Test
-    void shouldGiveClaimBackWhenRequestWasAbandonedBeforeItsRightCame() {
+    void shouldReleaseClaimWhenRequestWasAbandonedBeforeItsGrantArrived() {
         // Symptom: every repeat of a key waits until its deadline, though nothing runs.
         // Sequence: r1 is given up on while its claim is copied; its right to run comes afterwards.
         // Cause: the late right is dropped, and the members go on holding the key for r1.
@@ -216,13 +216,13 @@
         cluster.run(1_000);
         cluster.open("b", key, "r2");
         cluster.run(1_000);
-        assertEquals(List.of("r2"), cluster.ledger);
+        assertEquals(List.of("r2"), cluster.executedRequestIds);
         cluster.open("c", key, "r3");
         assertInstanceOf(ClaimDecision.Unknown.class, cluster.claims("c").abandon(key, "r3", cluster.nowMillis));
     }
 
     @Test
-    void shouldRefuseAtOnceWhenRequestThatWasGivenUpOnComesAgain() {
+    void shouldRejectWhenAbandonedRequestIsOpenedAgain() {
         // Symptom: two hosts send each other claims as fast as they can, and the caller hears nothing.
         // Sequence: a request is given up on; the same request comes to the same host again.
         // Cause: its primary answers with the old end, at which the host asks again.
@@ -231,107 +231,107 @@
             cluster.claims(host).abandon(key, "r " + host, cluster.nowMillis);
             cluster.run(1_000);
             cluster.open(host, key, "r " + host);
-            cluster.settleDown();
+            cluster.deliverAll();
             assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r " + host));
         }
     }
 
     @Test
-    void shouldRefuseNewKeysWhenMemoryIsFullAndForgetNoneBeforeTime() {
+    void shouldRejectNewKeysWhenTableIsFullAndKeepClaimsUntilTheyExpire() {
         ClaimCluster small = new ClaimCluster(
                 TakeoverRule.SURVIVOR_REQUIRED, ClaimLimits.defaults().withMaxClaims(1));
         small.start("a");
-        small.run(WHILE_MILLIS);
+        small.run(RECOVERY_MILLIS);
         small.open("a", key, "r1");
-        small.end("r1", key, ANSWERED);
+        small.settle("r1", key, ANSWERED);
         small.open("a", key(small.nowMillis + 1), "r2");
         assertTrue(assertInstanceOf(ClaimDecision.NotRun.class, small.decision("r2"))
                         .retryAfterMillis()
                 > 0);
-        small.run(ClaimLimits.defaults().retentionMillis() - WHILE_MILLIS);
+        small.run(ClaimLimits.defaults().retentionMillis() - RECOVERY_MILLIS);
         small.open("a", key, "r3");
-        assertEquals(KEPT, small.decision("r3"));
-        small.run(6 * WHILE_MILLIS);
+        assertEquals(REPLAY, small.decision("r3"));
+        small.run(6 * RECOVERY_MILLIS);
         small.open("a", key, "r4");
         assertInstanceOf(ClaimDecision.Unknown.class, small.decision("r4"));
         small.open("a", key(small.nowMillis), "r5");
-        assertEquals(List.of("r1", "r5"), small.ledger);
+        assertEquals(List.of("r1", "r5"), small.executedRequestIds);
     }
 
     @Test
     void shouldBeUnknownWhenAnswerWasStreamedOrTooLarge() {
-        runAt("a", "r1");
-        cluster.end("r1", key, new ClaimResult.Answered(Answer.ofStream(200, "text/event-stream")));
-        cluster.settleDown();
-        assertInstanceOf(ClaimDecision.Unknown.class, repeatAt("b"));
+        openAndExpectRun("a", "r1");
+        cluster.settle("r1", key, new ClaimResult.Answered(Answer.ofStream(200, "text/event-stream")));
+        cluster.deliverAll();
+        assertInstanceOf(ClaimDecision.Unknown.class, retryAt("b"));
         ClaimKey other = key(cluster.nowMillis);
         cluster.open("a", other, "r3");
-        cluster.settleDown();
+        cluster.deliverAll();
         byte[] large = new byte[ClaimLimits.defaults().maxAnswerBytes() + 1];
-        cluster.end("r3", other, new ClaimResult.Answered(Answer.of(200, "text/plain", large)));
-        cluster.settleDown();
+        cluster.settle("r3", other, new ClaimResult.Answered(Answer.of(200, "text/plain", large)));
+        cluster.deliverAll();
         cluster.open("c", other, "r4");
         assertInstanceOf(ClaimDecision.Unknown.class, cluster.decision("r4"));
     }
 
     @Test
-    void shouldKeepClaimsWhenEveryHostLeavesInTurnWithoutStore() {
+    void shouldKeepClaimsWhenHostsLeaveInTurnWhileStoreIsUnavailable() {
         // Symptom: after a rolling replacement during an outage of the store, a booking is made again.
         // Sequence: the store is out; d joins; a, b and c leave in turn; c, the last that the store names, may not.
         // Cause: once none that the store names is left, a new host finds them ended and starts a view of its own.
-        runAt("a", "r1");
-        cluster.end("r1", key, ANSWERED);
-        cluster.store.down = true;
+        openAndExpectRun("a", "r1");
+        cluster.settle("r1", key, ANSWERED);
+        cluster.store.unavailable = true;
         cluster.start("d");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         for (String host : List.of("a", "b")) {
             cluster.leave(host);
-            cluster.run(WHILE_MILLIS);
+            cluster.run(RECOVERY_MILLIS);
             assertTrue(cluster.claims(host).hasLeft());
             cluster.crash(host);
         }
         cluster.leave("c");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         assertFalse(cluster.claims("c").hasLeft());
-        cluster.store.down = false;
-        cluster.run(WHILE_MILLIS);
+        cluster.store.unavailable = false;
+        cluster.run(RECOVERY_MILLIS);
         assertTrue(cluster.claims("c").hasLeft());
-        assertEquals(KEPT, repeatAt("d"));
+        assertEquals(REPLAY, retryAt("d"));
     }
 
     @Test
-    void shouldRefuseWithTimeToComeBackWhenStoreIsOutAtFirstStart() {
+    void shouldRejectWithRetryDelayWhenStoreIsUnavailableAtFirstStart() {
         ClaimCluster first = new ClaimCluster(TakeoverRule.SURVIVOR_REQUIRED, ClaimLimits.defaults());
-        first.store.down = true;
+        first.store.unavailable = true;
         first.start("a");
         first.run(1_000);
         first.open("a", key(first.nowMillis), "r1");
         assertTrue(assertInstanceOf(ClaimDecision.NotRun.class, first.decision("r1"))
                         .retryAfterMillis()
                 > 0);
-        first.store.down = false;
-        first.run(WHILE_MILLIS);
+        first.store.unavailable = false;
+        first.run(RECOVERY_MILLIS);
         first.open("a", key(first.nowMillis), "r2");
-        assertEquals(List.of("r2"), first.ledger);
+        assertEquals(List.of("r2"), first.executedRequestIds);
     }
 
-    private void runAt(String host, String requestId) {
+    private void openAndExpectRun(String host, String requestId) {
         cluster.open(host, key, requestId);
-        cluster.settleDown();
+        cluster.deliverAll();
         assertInstanceOf(ClaimDecision.Run.class, cluster.decision(requestId));
     }
 
-    private ClaimDecision repeatAt(String host) {
+    private ClaimDecision retryAt(String host) {
         cluster.open(host, key, "repeat");
-        cluster.run(WHILE_MILLIS);
+        cluster.run(RECOVERY_MILLIS);
         return cluster.decision("repeat");
     }
 
-    private void cutFromA(String other) {
+    private void partitionFromA(String other) {
         if (other.equals("store")) {
-            cluster.cutStore("a");
+            cluster.partitionFromStore("a");
         } else {
-            cluster.cut("a", other);
+            cluster.partition("a", other);
         }
     }
 
@@ -345,10 +345,10 @@
     }
 
     static ClaimKey key(long madeAtMillis) {
-        return ClaimKey.of("floor", timed(madeAtMillis));
+        return ClaimKey.of("floor", timestampedKey(madeAtMillis));
     }
 
-    static String timed(long millis) {
+    static String timestampedKey(long millis) {
         return new UUID((millis << 16) | 0x7000L, 0x8000_0000_0000_0001L).toString();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeLink.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeLink.java
@@ -41,12 +41,12 @@
     }
 
     /** Lets the oldest item arrive after all others. */
-    void postponeHead() {
+    void delayHead() {
         Option.of(items.poll()).forEach(items::add);
     }
 
     /** Lets the oldest item arrive now and once more after all others. */
-    void doubleHead() {
+    void duplicateHead() {
         Option.of(items.peek()).forEach(items::add);
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
@@ -11,20 +11,20 @@
 final class FakeStore {
     private Option<StoreEntry> entry = Option.none();
     private long revision;
-    boolean down;
-    int writes;
+    boolean unavailable;
+    int writeCount;
 
     FakeStore copy() {
         FakeStore copy = new FakeStore();
         copy.entry = entry;
         copy.revision = revision;
-        copy.down = down;
-        copy.writes = writes;
+        copy.unavailable = unavailable;
+        copy.writeCount = writeCount;
         return copy;
     }
 
     StoreReply apply(StoreCommand command) {
-        if (down) {
+        if (unavailable) {
             return new StoreReply.Unavailable("the store is out");
         }
         if (command instanceof StoreCommand.Put put) {
@@ -38,13 +38,13 @@
             return new StoreReply.Conflicted(entry);
         }
         revision++;
-        writes++;
+        writeCount++;
         entry = Option.some(new StoreEntry(put.key(), put.value(), revision));
         return new StoreReply.Written(revision);
     }
 
     @Override
     public String toString() {
-        return entry + " " + down;
+        return entry + " " + unavailable;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -30,16 +30,16 @@
     private final FakeStore store = new FakeStore();
     private final Map<String, Controller> controllers = new TreeMap<>();
     private final Map<String, FakeTarget> targets = new TreeMap<>();
-    private final List<String> frozen = new ArrayList<>();
-    private final List<ControlStep.Order> halfSent = new ArrayList<>();
+    private final List<String> frozenHosts = new ArrayList<>();
+    private final List<ControlStep.Order> delayedOrders = new ArrayList<>();
     private FakeStore.Fault fault = FakeStore.Fault.NONE;
-    private int callWithLostAnswer;
+    private int callWithLostReply;
     private boolean checksFencing;
-    private boolean holdOrders;
-    private String wanted = "plank@1";
+    private boolean delayOrders;
+    private String wantedVersion = "plank@1";
     private long generation = 1;
     private long nowMillis = 1_000;
-    private int mostLoadingAtOnce;
+    private int maxConcurrentLoads;
 
     /** A target that serves one version, and nothing while it loads another. */
     private static final class FakeTarget {
@@ -62,7 +62,7 @@
             return OrderResult.TAKEN;
         }
 
-        void pass(long nowMillis) {
+        void advanceTo(long nowMillis) {
             if (!loading.isEmpty() && nowMillis >= loadedMillis) {
                 version = loading;
                 loading = "";
@@ -71,25 +71,25 @@
     }
 
     @Test
-    void shouldHaveOneHolderWhenTwoHostsTry() {
+    void shouldHaveOneHolderWhenTwoHostsCompete() {
         start(3, "suva-1", "suva-2");
         run(10_000);
-        assertEquals(1, holders());
+        assertEquals(1, holderCount());
     }
 
     @Test
-    void shouldLoadOneAfterTheOtherWhenVersionChanges() {
+    void shouldLoadOneTargetAtATimeWhenVersionChanges() {
         start(4, "suva-1");
         run(15_000);
-        want("plank@2");
+        setWantedVersion("plank@2");
         run(20_000);
         targets.values().forEach(target -> assertEquals("plank@2", target.version));
-        assertEquals(1, mostLoadingAtOnce);
+        assertEquals(1, maxConcurrentLoads);
         targets.values().forEach(target -> assertEquals(1, target.loads, "orders are not given without need"));
     }
 
     @Test
-    void shouldStopWhenAnotherTargetOfTheServiceIsSilent() {
+    void shouldPauseRolloutWhenOtherTargetsOfServiceAreUnresponsive() {
         start(3, "suva-1");
         run(15_000);
         targets.get("plank-1").loading = "hangs";
@@ -97,32 +97,32 @@
         targets.get("plank-2").loading = "hangs";
         targets.get("plank-2").loadedMillis = Long.MAX_VALUE;
         run(15_000);
-        want("plank@2");
+        setWantedVersion("plank@2");
         run(15_000);
         assertEquals(0, targets.get("plank-0").loads, "the last that serves is left alone");
     }
 
     @Test
-    void shouldSettleByReadingBackWhenAnswerOfTheWriteIsLost() {
+    void shouldAcquireLeaseByReadingBackWhenWriteReplyIsLost() {
         start(1, "suva-1");
-        callWithLostAnswer = 3;
-        for (int i = 0; i < 200 && holders() == 0; i++) {
+        callWithLostReply = 3;
+        for (int i = 0; i < 200 && holderCount() == 0; i++) {
             run(TICK_MILLIS);
         }
-        assertEquals(1, holders());
+        assertEquals(1, holderCount());
         assertEquals(4, store.calls(), "read, grant, write, read");
     }
 
     @Test
-    void shouldGiveNoOrderWhenStoreIsOutLongerThanTheLease() {
+    void shouldSendNoOrderWhenStoreIsUnavailableLongerThanLease() {
         // Symptom: two controllers give a region's targets opposite orders. Sequence: the holder cannot reach the
         // store, its lease lapses there, another takes it. Cause: a holder that believes in its lease until told.
         start(2, "suva-1");
         run(15_000);
         fault = FakeStore.Fault.DOWN;
         run(ControllerLease.TTL_MILLIS);
-        assertEquals(0, holders());
-        want("plank@2");
+        assertEquals(0, holderCount());
+        setWantedVersion("plank@2");
         run(20_000);
         targets.values().forEach(target -> assertEquals(0, target.loads));
         fault = FakeStore.Fault.NONE;
@@ -131,46 +131,46 @@
     }
 
     @Test
-    void shouldRefuseTheOldOrderWhenHolderWasFrozenAndTargetsCheck() {
+    void shouldRejectOldOrderWhenHolderWasFrozenAndTargetsCheckFencing() {
         // Symptom: a target goes back to the version before. Sequence: the holder is frozen with an order half sent;
         // its lease lapses; the successor rolls a newer version; the first wakes and its order arrives. Cause: an
         // order that carries no fencing number.
         checksFencing = true;
-        freezeWithOrderHalfSent();
-        FakeTarget target = targets.get(halfSent.get(0).target());
-        assertEquals(OrderResult.FENCED, target.order(halfSent.get(0), true, nowMillis));
+        freezeHolderWithOrderInFlight();
+        FakeTarget target = targets.get(delayedOrders.get(0).target());
+        assertEquals(OrderResult.FENCED, target.order(delayedOrders.get(0), true, nowMillis));
         run(5_000);
         assertEquals("plank@3", target.version);
     }
 
     @Test
-    void shouldCorrectTheTargetWhenHolderWasFrozenAndTargetsIgnoreFencing() {
+    void shouldCorrectTargetWhenHolderWasFrozenAndTargetsIgnoreFencing() {
         // Symptom, sequence as above; the target cannot tell. Cause: a controller that orders once and never reads the
         // target back.
-        freezeWithOrderHalfSent();
-        FakeTarget target = targets.get(halfSent.get(0).target());
-        target.order(halfSent.get(0), false, nowMillis);
+        freezeHolderWithOrderInFlight();
+        FakeTarget target = targets.get(delayedOrders.get(0).target());
+        target.order(delayedOrders.get(0), false, nowMillis);
         run(LOADING_MILLIS + TICK_MILLIS);
         assertEquals("plank@2", target.version);
         run(2 * LOADING_MILLIS);
         assertEquals("plank@3", target.version);
     }
 
-    private void freezeWithOrderHalfSent() {
+    private void freezeHolderWithOrderInFlight() {
         start(3, "suva-1", "suva-2");
         run(15_000);
         String first = holder();
-        holdOrders = true;
-        want("plank@2");
+        delayOrders = true;
+        setWantedVersion("plank@2");
         run(TICK_MILLIS);
-        holdOrders = false;
-        assertEquals(1, halfSent.size());
-        frozen.add(first);
-        want("plank@3");
+        delayOrders = false;
+        assertEquals(1, delayedOrders.size());
+        frozenHosts.add(first);
+        setWantedVersion("plank@3");
         run(60_000);
         assertFalse(first.equals(holder()), "a successor holds the lease");
         targets.values().forEach(target -> assertEquals("plank@3", target.version));
-        frozen.clear();
+        frozenHosts.clear();
         List<ControlStep> woken = controllers.get(first).tick(nowMillis);
         assertTrue(woken.stream().noneMatch(ControlStep.Order.class::isInstance), "the woken holder orders nothing");
     }
@@ -185,16 +185,16 @@
                     targets.keySet().stream().map(ControllerTest::listed).toList(), nowMillis);
             controllers.put(host, controller);
         }
-        want(wanted);
+        setWantedVersion(wantedVersion);
     }
 
-    private void want(String version) {
-        wanted = version;
-        Service service = new Service("plank-serve", true, wanted, true, checksFencing);
+    private void setWantedVersion(String version) {
+        wantedVersion = version;
+        Service service = new Service("plank-serve", true, wantedVersion, true, checksFencing);
         Configuration configuration = new Configuration(
                 generation++, "d", Map.of("plank-serve", service), Map.of(), Map.of(), Map.of(), Set.of());
         controllers.forEach((host, controller) -> {
-            if (!frozen.contains(host)) {
+            if (!frozenHosts.contains(host)) {
                 controller.configured(configuration, nowMillis);
             }
         });
@@ -202,15 +202,15 @@
 
     private void run(long millis) {
         for (long end = nowMillis + millis; nowMillis < end; nowMillis += TICK_MILLIS) {
-            targets.values().forEach(target -> target.pass(nowMillis));
+            targets.values().forEach(target -> target.advanceTo(nowMillis));
             int loading = (int) targets.values().stream()
                     .filter(target -> !target.loading.isEmpty())
                     .count();
-            mostLoadingAtOnce = Math.max(mostLoadingAtOnce, loading);
+            maxConcurrentLoads = Math.max(maxConcurrentLoads, loading);
             for (Map.Entry<String, Controller> entry : controllers.entrySet()) {
-                if (!frozen.contains(entry.getKey())) {
+                if (!frozenHosts.contains(entry.getKey())) {
                     report(entry.getValue());
-                    carryOut(entry.getValue(), entry.getValue().tick(nowMillis));
+                    perform(entry.getValue(), entry.getValue().tick(nowMillis));
                 }
             }
         }
@@ -226,25 +226,25 @@
         });
     }
 
-    private void carryOut(Controller controller, List<ControlStep> steps) {
+    private void perform(Controller controller, List<ControlStep> steps) {
         for (ControlStep step : steps) {
             if (step instanceof ControlStep.CallStore call) {
                 StoreCommand command = call.command();
-                boolean lose = store.calls() + 1 == callWithLostAnswer;
+                boolean lose = store.calls() + 1 == callWithLostReply;
                 FakeStore.Fault now = lose ? FakeStore.Fault.ANSWER_LOST : fault;
-                carryOut(
+                perform(
                         controller,
                         controller.storeReplied(call.callId(), store.call(command, now, nowMillis), nowMillis));
-            } else if (step instanceof ControlStep.Order order && holdOrders) {
-                halfSent.add(order);
+            } else if (step instanceof ControlStep.Order order && delayOrders) {
+                delayedOrders.add(order);
             } else if (step instanceof ControlStep.Order order) {
                 OrderResult result = targets.get(order.target()).order(order, checksFencing, nowMillis);
-                carryOut(controller, controller.answered(order.orderId(), result, nowMillis));
+                perform(controller, controller.answered(order.orderId(), result, nowMillis));
             }
         }
     }
 
-    private long holders() {
+    private long holderCount() {
         return controllers.values().stream()
                 .filter(controller -> controller.isHolder(nowMillis))
                 .count();
