--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ActionList.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ActionList.java
@@ -6,7 +6,7 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.schema.message.ClaimMessage;
 
-/** Collects what one event leads to. Confined to one thread. */
+/** Collects the actions that one event leads to. Confined to one thread. */
 final class ActionList {
     private final List<ClaimStep> actions = new ArrayList<>();
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claim.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claim.java
@@ -8,19 +8,19 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * What a host holds about one idempotency key. Immutable and thread safe.
+ * The state of one idempotency key. Immutable and thread safe.
  *
- * <p>Invariant: an answer is there exactly if the state is answered.
+ * <p>Invariant: an answer is present exactly if the state is answered.
  *
- * @param key the key
- * @param requestId the request that claimed it last
+ * @param key the idempotency key
+ * @param requestId the request that claimed the key last
  * @param runner the process of that request
  * @param viewNumber the view in which the claim was ordered
- * @param sequence its place among the claims of this key in that view
- * @param claimedAtMillis when it was ordered
- * @param state how far it is
- * @param answer the kept answer
- * @param failure what is known if there is none
+ * @param sequence the position among the claims of this key in that view
+ * @param claimedAtMillis the time at which it was ordered
+ * @param state the state of the claim
+ * @param answer the stored answer
+ * @param failure the reason if there is no answer
  */
 record Claim(
         ClaimKey key,
@@ -39,7 +39,7 @@
         Objects.requireNonNull(requestId, "requestId");
         Objects.requireNonNull(runner, "runner");
         if (answer.isDefined() != (state == ClaimState.ANSWERED)) {
-            throw new IllegalArgumentException("an answered claim and no other has an answer");
+            throw new IllegalArgumentException("a claim must have an answer if and only if its state is answered");
         }
     }
 
@@ -58,23 +58,23 @@
     }
 
     int answerBytes() {
-        return answer.map(kept -> kept.body().length).getOrElse(0);
+        return answer.map(stored -> stored.body().length).getOrElse(0);
     }
 
-    Claim answered(Answer kept) {
-        return with(ClaimState.ANSWERED, Option.some(kept), NO_FAILURE);
+    Claim answered(Answer newAnswer) {
+        return with(ClaimState.ANSWERED, Option.some(newAnswer), NO_FAILURE);
     }
 
     Claim freed() {
         return with(ClaimState.FREE, Option.none(), NO_FAILURE);
     }
 
-    Claim lost(Failure why) {
-        return with(ClaimState.LOST, Option.none(), why);
+    Claim lost(Failure reason) {
+        return with(ClaimState.LOST, Option.none(), reason);
     }
 
-    Claim unknown(Failure why) {
-        return with(ClaimState.UNKNOWN, Option.none(), why);
+    Claim unknown(Failure reason) {
+        return with(ClaimState.UNKNOWN, Option.none(), reason);
     }
 
     Claim withOrder(long newViewNumber, long newSequence) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
@@ -18,11 +18,10 @@
 import org.rattanplank.schema.message.ViewAsk;
 
 /**
- * Orders claims on their primary, copies them to every member, and answers the requests of this host.
+ * Orders claims as primary, replicates them to every member, and answers the requests of this host.
  *
- * <p>Invariants: a request is told to run only after every member of one view has acknowledged its claim, and at most
- * once; a request that was given up on is never told to run, and its claim is given back. Not thread safe; guarded by
- * the lock of {@link Claims}.
+ * <p>Invariants: a request may run only after every member of one view has acknowledged its claim, and at most once; an
+ * abandoned request never runs, and its claim is released. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class ClaimCoordinator {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -38,21 +37,26 @@
     private final Map<ClaimKey, PendingAcknowledgements> pendingGrants = new LinkedHashMap<>();
     private long lastEpoch;
 
-    ClaimCoordinator(ViewManager keeper, ClaimTable table, ClaimLimits limits) {
-        this(keeper, table, limits, new UnacknowledgedResults(limits.resendMillis()));
+    ClaimCoordinator(ViewManager viewManager, ClaimTable table, ClaimLimits limits) {
+        this(viewManager, table, limits, new UnacknowledgedResults(limits.resendMillis()));
     }
 
-    private ClaimCoordinator(ViewManager keeper, ClaimTable table, ClaimLimits limits, UnacknowledgedResults results) {
-        this.viewManager = keeper;
+    private ClaimCoordinator(
+            ViewManager viewManager,
+            ClaimTable table,
+            ClaimLimits limits,
+            UnacknowledgedResults unacknowledgedResults) {
+        this.viewManager = viewManager;
         this.table = table;
         this.limits = limits;
-        this.unacknowledgedResults = results;
-        self = keeper.self();
+        this.unacknowledgedResults = unacknowledgedResults;
+        self = viewManager.self();
         keyAgePolicy = new KeyAgePolicy(limits, self.host());
     }
 
-    ClaimCoordinator copy(ViewManager copiedKeeper, ClaimTable copiedTable) {
-        ClaimCoordinator copy = new ClaimCoordinator(copiedKeeper, copiedTable, limits, unacknowledgedResults.copy());
+    ClaimCoordinator copy(ViewManager copiedViewManager, ClaimTable copiedTable) {
+        ClaimCoordinator copy =
+                new ClaimCoordinator(copiedViewManager, copiedTable, limits, unacknowledgedResults.copy());
         copy.pendingOpens.putAll(pendingOpens);
         copy.runningKeys.putAll(runningKeys);
         copy.pendingGrants.putAll(pendingGrants);
@@ -70,19 +74,19 @@
         if (pendingOpens.containsKey(requestId) || runningKeys.containsKey(requestId)) {
             return;
         }
-        PendingOpen asked = PendingOpen.of(key, requestId, nowMillis);
-        pendingOpens.put(requestId, asked);
-        advance(asked, nowMillis, out);
+        PendingOpen pendingOpen = PendingOpen.of(key, requestId, nowMillis);
+        pendingOpens.put(requestId, pendingOpen);
+        advance(pendingOpen, nowMillis, out);
     }
 
     ClaimDecision abandon(ClaimKey key, String requestId, long nowMillis) {
-        PendingOpen asked = pendingOpens.remove(requestId);
+        PendingOpen pendingOpen = pendingOpens.remove(requestId);
         boolean heldByOther = table.find(key)
                 .exists(claim -> !claim.isClaimedBy(requestId) && !claim.state().isFree());
-        if (asked == null || heldByOther) {
+        if (pendingOpen == null || heldByOther) {
             return new ClaimDecision.Unknown(failure("the deadline passed while the key was claimed"));
         }
-        if (asked.sentToPrimary()) {
+        if (pendingOpen.sentToPrimary()) {
             unacknowledgedResults.addDeferred(release(key, requestId, nowMillis), otherMembers());
         }
         return new ClaimDecision.NotRun(failure("the deadline passed before the key was claimed"), RETRY_AFTER_MILLIS);
@@ -92,19 +96,19 @@
         if (runningKeys.remove(requestId) == null) {
             return;
         }
-        Claim ended = withResult(ownClaim(key, requestId, nowMillis), result);
-        mergeClaim(ended);
-        unacknowledgedResults.add(ended, otherMembers(), nowMillis, out);
+        Claim settled = withResult(ownClaim(key, requestId, nowMillis), result);
+        mergeClaim(settled);
+        unacknowledgedResults.add(settled, otherMembers(), nowMillis, out);
         advanceWaiters(key, nowMillis, out);
     }
 
     private Claim withResult(Claim claim, ClaimResult result) {
         if (result instanceof ClaimResult.Answered answered) {
-            boolean whole = !answered.answer().streamed()
+            boolean storable = !answered.answer().streamed()
                     && table.canStoreAnswer(answered.answer().body().length);
-            return whole
+            return storable
                     ? claim.answered(answered.answer())
-                    : claim.lost(failure("the call ran, and its answer was not kept"));
+                    : claim.lost(failure("the call ran, but its answer was not stored"));
         }
         if (result instanceof ClaimResult.Unknown unknown) {
             return claim.lost(unknown.failure());
@@ -125,57 +129,66 @@
         return freed;
     }
 
-    private void advance(PendingOpen asked, long nowMillis, ActionList out) {
-        Option<Claim> held = table.find(asked.key());
-        Option<ClaimDecision> known = held.flatMap(this::decisionFor)
-                .orElse(() -> held.isDefined() ? Option.none() : keyAgePolicy.check(asked.key(), nowMillis));
-        if (known.isDefined()) {
-            decide(asked, known.get(), out);
+    private void advance(PendingOpen pendingOpen, long nowMillis, ActionList out) {
+        Option<Claim> held = table.find(pendingOpen.key());
+        Option<ClaimDecision> decision = held.flatMap(this::decisionFor)
+                .orElse(() -> held.isDefined() ? Option.none() : keyAgePolicy.check(pendingOpen.key(), nowMillis));
+        if (decision.isDefined()) {
+            decide(pendingOpen, decision.get(), out);
             return;
         }
-        if (held.exists(claim -> claim.isClaimedBy(asked.requestId()) && claim.state().isFree())) {
-            // No primary will order it again; asking and being told so would go on without end.
-            reject(asked, "the request was given up on before", nowMillis, out);
+        if (held.exists(claim ->
+                claim.isClaimedBy(pendingOpen.requestId()) && claim.state().isFree())) {
+            // No primary orders a released claim of the same request again; a repeated request to the primary would
+            // return the same result without end.
+            reject(pendingOpen, "the request was abandoned earlier", nowMillis, out);
             return;
         }
-        boolean heldByOther = held.exists(
-                claim -> !claim.isClaimedBy(asked.requestId()) && !claim.state().isFree());
+        boolean heldByOther = held.exists(claim ->
+                !claim.isClaimedBy(pendingOpen.requestId()) && !claim.state().isFree());
         if (heldByOther && viewManager.isRemovalBlocked(held.get().runner(), nowMillis)) {
-            // The call's end would be known once its host is out of the view, which takes the store. Waiting for that
-            // holds the caller until its deadline; one would notice repeats that hang during an outage.
-            decide(asked, new ClaimDecision.Unknown(failure("the host that runs the call cannot be reached")), out);
+            // The result of the call is decided once its host is removed from the view, which needs the store. Waiting
+            // for that would hold the caller until its deadline. Symptom: retries that hang during an outage of the
+            // store.
+            decide(pendingOpen, new ClaimDecision.Unknown(failure("the host that runs the call is unreachable")), out);
             return;
         }
         if (heldByOther) {
-            waitForHolder(held.get(), asked, nowMillis, out);
+            waitForHolder(held.get(), pendingOpen, nowMillis, out);
             return;
         }
         if (viewManager.isClaimingBlocked(nowMillis)) {
-            reject(asked, "no view of the data centre can claim now", nowMillis, out);
+            reject(pendingOpen, "no view of the data centre can grant claims now", nowMillis, out);
             return;
         }
-        viewManager.activeView().forEach(view -> requestClaim(asked, held, view, nowMillis, out));
+        viewManager.activeView().forEach(view -> requestClaim(pendingOpen, held, view, nowMillis, out));
     }
 
-    private void requestClaim(PendingOpen asked, Option<Claim> held, ClaimView view, long nowMillis, ActionList out) {
-        Option<ClaimDecision> tooOld = held.isDefined() ? Option.none() : keyAgePolicy.check(asked.key(), view, nowMillis);
-        if (tooOld.isDefined()) {
-            decide(asked, tooOld.get(), out);
+    private void requestClaim(
+            PendingOpen pendingOpen, Option<Claim> held, ClaimView view, long nowMillis, ActionList out) {
+        Option<ClaimDecision> decision =
+                held.isDefined() ? Option.none() : keyAgePolicy.check(pendingOpen.key(), view, nowMillis);
+        if (decision.isDefined()) {
+            decide(pendingOpen, decision.get(), out);
             return;
         }
         if (held.isEmpty() && table.isFull()) {
-            reject(asked, "too many keys are remembered", nowMillis, out);
+            reject(pendingOpen, "the maximum number of claims is reached", nowMillis, out);
             return;
         }
-        pendingOpens.put(asked.requestId(), asked.withSentToPrimary(nowMillis));
-        ViewMemberId primary = view.primary(asked.key());
+        pendingOpens.put(pendingOpen.requestId(), pendingOpen.withSentToPrimary(nowMillis));
+        ViewMemberId primary = view.primary(pendingOpen.key());
         if (primary.equals(self)) {
-            order(asked.key(), asked.requestId(), self, view, nowMillis, out);
+            order(pendingOpen.key(), pendingOpen.requestId(), self, view, nowMillis, out);
             return;
         }
         out.send(
                 primary.host(),
-                new ClaimOpen(view.number(), asked.key().account(), asked.key().key(), asked.requestId()));
+                new ClaimOpen(
+                        view.number(),
+                        pendingOpen.key().account(),
+                        pendingOpen.key().key(),
+                        pendingOpen.requestId()));
     }
 
     private Option<ClaimDecision> decisionFor(Claim claim) {
@@ -186,9 +199,9 @@
         };
     }
 
-    private void waitForHolder(Claim held, PendingOpen asked, long nowMillis, ActionList out) {
-        boolean due = nowMillis - asked.lastSentAtMillis() >= limits.resendMillis();
-        pendingOpens.put(asked.requestId(), due ? asked.withHolderQueried(nowMillis) : asked);
+    private void waitForHolder(Claim held, PendingOpen pendingOpen, long nowMillis, ActionList out) {
+        boolean due = nowMillis - pendingOpen.lastSentAtMillis() >= limits.resendMillis();
+        pendingOpens.put(pendingOpen.requestId(), due ? pendingOpen.withHolderQueried(nowMillis) : pendingOpen);
         if (!due) {
             return;
         }
@@ -205,7 +218,7 @@
         }
     }
 
-    /** Gives back a claim of this host whose request has long been given up on. */
+    /** Releases a claim of this host whose request was abandoned. */
     private void releaseIfAbandoned(Claim held, long nowMillis, ActionList out) {
         if (!pendingOpens.containsKey(held.requestId()) && !runningKeys.containsKey(held.requestId())) {
             unacknowledgedResults.add(release(held.key(), held.requestId(), nowMillis), otherMembers(), nowMillis, out);
@@ -213,45 +226,47 @@
         }
     }
 
-    private void reject(PendingOpen asked, String reason, long nowMillis, ActionList out) {
-        if (asked.sentToPrimary()) {
-            unacknowledgedResults.add(release(asked.key(), asked.requestId(), nowMillis), otherMembers(), nowMillis, out);
+    private void reject(PendingOpen pendingOpen, String reason, long nowMillis, ActionList out) {
+        if (pendingOpen.sentToPrimary()) {
+            unacknowledgedResults.add(
+                    release(pendingOpen.key(), pendingOpen.requestId(), nowMillis), otherMembers(), nowMillis, out);
         }
-        decide(asked, new ClaimDecision.NotRun(failure(reason), RETRY_AFTER_MILLIS), out);
+        decide(pendingOpen, new ClaimDecision.NotRun(failure(reason), RETRY_AFTER_MILLIS), out);
     }
 
-    private void decide(PendingOpen asked, ClaimDecision decision, ActionList out) {
-        pendingOpens.remove(asked.requestId());
-        out.decide(asked.requestId(), asked.key(), decision);
+    private void decide(PendingOpen pendingOpen, ClaimDecision decision, ActionList out) {
+        pendingOpens.remove(pendingOpen.requestId());
+        out.decide(pendingOpen.requestId(), pendingOpen.key(), decision);
     }
 
     private void advanceWaiters(ClaimKey key, long nowMillis, ActionList out) {
-        for (PendingOpen asked : List.copyOf(pendingOpens.values())) {
-            if (asked.key().equals(key) && pendingOpens.containsKey(asked.requestId())) {
-                advance(asked.withRetryDue(), nowMillis, out);
+        for (PendingOpen pendingOpen : List.copyOf(pendingOpens.values())) {
+            if (pendingOpen.key().equals(key) && pendingOpens.containsKey(pendingOpen.requestId())) {
+                advance(pendingOpen.withRetryDue(), nowMillis, out);
             }
         }
     }
 
     private void acceptGrant(ClaimKey key, String requestId, long nowMillis, ActionList out) {
-        PendingOpen asked = pendingOpens.get(requestId);
-        if (asked != null) {
+        PendingOpen pendingOpen = pendingOpens.get(requestId);
+        if (pendingOpen != null) {
             runningKeys.put(requestId, key);
-            decide(asked, new ClaimDecision.Run(), out);
+            decide(pendingOpen, new ClaimDecision.Run(), out);
             return;
         }
-        // The right comes too late for a request that was given up on. Kept, the key would seem to run for ever and
-        // every repeat would wait in vain; it is given back, since nothing ran under it.
+        // The grant arrived after the request was abandoned. If the claim were kept, the key would appear to run
+        // forever and every retry would wait until its deadline; it is released, since nothing ran under it.
         boolean unused = !runningKeys.containsKey(requestId)
                 && table.find(key)
-                        .exists(claim -> claim.isClaimedBy(requestId) && !claim.state().isSettled());
+                        .exists(claim ->
+                                claim.isClaimedBy(requestId) && !claim.state().isSettled());
         if (unused) {
             unacknowledgedResults.add(release(key, requestId, nowMillis), otherMembers(), nowMillis, out);
             advanceWaiters(key, nowMillis, out);
         }
     }
 
-    // The primary of a key.
+    // Ordering of claims on the primary.
 
     void receiveOpen(String host, long incarnation, ClaimOpen message, long nowMillis, ActionList out) {
         ClaimKey key = ClaimKey.of(message.account(), message.key());
@@ -265,18 +280,18 @@
     private void order(
             ClaimKey key, String requestId, ViewMemberId runner, ClaimView view, long nowMillis, ActionList out) {
         Option<Claim> held = table.find(key);
-        boolean settledForIt =
-                held.exists(claim -> claim.isClaimedBy(requestId) && claim.state().isSettled());
-        if (settledForIt || held.exists(claim -> claim.state().isFinal())) {
+        boolean settledForRequest = held.exists(
+                claim -> claim.isClaimedBy(requestId) && claim.state().isSettled());
+        if (settledForRequest || held.exists(claim -> claim.state().isFinal())) {
             out.send(runner.host(), new ClaimSettle(ClaimEntryCodec.toEntry(held.get())));
             return;
         }
-        boolean heldByOther =
-                held.exists(claim -> !claim.isClaimedBy(requestId) && !claim.state().isFree());
-        boolean copying = Option.of(pendingGrants.get(key))
-                .exists(grant ->
-                        grant.claim().isClaimedBy(requestId) && nowMillis - grant.lastSentAtMillis() < limits.resendMillis());
-        if (heldByOther || copying || (held.isEmpty() && table.isFull())) {
+        boolean heldByOther = held.exists(
+                claim -> !claim.isClaimedBy(requestId) && !claim.state().isFree());
+        boolean recentlySent = Option.of(pendingGrants.get(key))
+                .exists(grant -> grant.claim().isClaimedBy(requestId)
+                        && nowMillis - grant.lastSentAtMillis() < limits.resendMillis());
+        if (heldByOther || recentlySent || (held.isEmpty() && table.isFull())) {
             return;
         }
         long sequence = held.filter(claim -> claim.viewNumber() == view.number())
@@ -315,7 +330,8 @@
 
     void receiveCopied(String host, long incarnation, ClaimCopied message, long nowMillis, ActionList out) {
         ClaimKey key = ClaimKey.of(message.account(), message.key());
-        boolean member = viewManager.activeView()
+        boolean member = viewManager
+                .activeView()
                 .exists(view ->
                         view.number() == message.viewNumber() && view.contains(new ViewMemberId(host, incarnation)));
         PendingAcknowledgements grant = pendingGrants.get(key);
@@ -324,13 +340,13 @@
                 && grant.claim().isClaimedBy(message.requestId())
                 && grant.claim().sequence() == message.sequence();
         if (current) {
-            PendingAcknowledgements rest = grant.withAcknowledgement(host);
-            pendingGrants.put(key, rest);
-            grantIfComplete(rest, nowMillis, out);
+            PendingAcknowledgements updated = grant.withAcknowledgement(host);
+            pendingGrants.put(key, updated);
+            grantIfComplete(updated, nowMillis, out);
         }
     }
 
-    // The other members.
+    // Messages to the other members.
 
     void receiveCopy(String host, long incarnation, ClaimCopy message, ActionList out) {
         Option<ClaimView> view = sharedView(host, new ViewMemberId(host, incarnation), message.viewNumber(), out);
@@ -362,7 +378,8 @@
         }
         Claim claim = ClaimEntryCodec.fromEntry(message.claim());
         mergeClaim(claim);
-        pendingGrants.computeIfPresent(claim.key(), (same, grant) -> grant.claim().isClaimedBy(claim.requestId()) ? null : grant);
+        pendingGrants.computeIfPresent(
+                claim.key(), (same, grant) -> grant.claim().isClaimedBy(claim.requestId()) ? null : grant);
         out.send(host, new ClaimSettled(claim.key().account(), claim.key().key(), claim.requestId()));
         advanceWaiters(claim.key(), nowMillis, out);
     }
@@ -372,33 +389,40 @@
     }
 
     void receiveAsk(String host, ClaimAsk message, long nowMillis, ActionList out) {
-        boolean another = message.incarnation() != self.incarnation();
-        if (another || pendingOpens.containsKey(message.requestId()) || runningKeys.containsKey(message.requestId())) {
+        boolean otherIncarnation = message.incarnation() != self.incarnation();
+        if (otherIncarnation
+                || pendingOpens.containsKey(message.requestId())
+                || runningKeys.containsKey(message.requestId())) {
             return;
         }
         ClaimKey key = ClaimKey.of(message.account(), message.key());
-        Claim known = unacknowledgedResults.find(key, message.requestId())
+        Claim settledClaim = unacknowledgedResults
+                .find(key, message.requestId())
                 .orElse(() -> table.find(key).filter(claim -> claim.isClaimedBy(message.requestId())))
                 .filter(claim -> claim.state().isSettled())
                 .getOrElse(() -> ownClaim(key, message.requestId(), nowMillis).freed());
-        out.send(host, new ClaimSettle(ClaimEntryCodec.toEntry(known)));
+        out.send(host, new ClaimSettle(ClaimEntryCodec.toEntry(settledClaim)));
     }
 
-    /** The view that this host shares with the sender; without one, whichever is behind gets to know. */
+    /**
+     * Returns the view in which both this host and the sender are active, if any; otherwise brings whichever of the two
+     * has the older view up to date.
+     */
     private Option<ClaimView> sharedView(String host, ViewMemberId sender, long viewNumber, ActionList out) {
-        Option<ClaimView> shared = viewManager.activeView().filter(view -> view.number() == viewNumber && view.contains(sender));
-        long known = viewManager.latestView().map(ClaimView::number).getOrElse(0L);
-        if (known > viewNumber) {
+        Option<ClaimView> shared =
+                viewManager.activeView().filter(view -> view.number() == viewNumber && view.contains(sender));
+        long latestNumber = viewManager.latestView().map(ClaimView::number).getOrElse(0L);
+        if (latestNumber > viewNumber) {
             viewManager.sendView(host, out);
-        } else if (known < viewNumber) {
-            out.send(host, new ViewAsk(known, ""));
+        } else if (latestNumber < viewNumber) {
+            out.send(host, new ViewAsk(latestNumber, ""));
         }
         return shared;
     }
 
-    // Time and views.
+    // Time and changes of the view.
 
-    /** Follows the keeper into another view, or out of one. */
+    /** Adapts claims, grants and pending requests after a change of view or phase. */
     void followView(long nowMillis, ActionList out) {
         if (viewManager.epoch() == lastEpoch) {
             return;
@@ -410,14 +434,14 @@
             return;
         }
         ClaimView view = viewManager.activeView().get();
-        Failure why = failure("the host that ran the call was lost");
+        Failure reason = failure("the host that ran the call was removed from the view");
         table.all().stream()
                 .filter(claim -> claim.state() == ClaimState.RUNNING && !view.contains(claim.runner()))
-                .forEach(claim -> mergeClaim(claim.unknown(why)));
+                .forEach(claim -> mergeClaim(claim.unknown(reason)));
         unacknowledgedResults.resend(nowMillis, out);
-        for (PendingOpen asked : new ArrayList<>(pendingOpens.values())) {
-            if (pendingOpens.containsKey(asked.requestId())) {
-                advance(asked.withRetryDue(), nowMillis, out);
+        for (PendingOpen pendingOpen : new ArrayList<>(pendingOpens.values())) {
+            if (pendingOpens.containsKey(pendingOpen.requestId())) {
+                advance(pendingOpen.withRetryDue(), nowMillis, out);
             }
         }
     }
@@ -435,30 +459,35 @@
                 sendCopies(grant, out);
             }
         }
-        for (PendingOpen asked : new ArrayList<>(pendingOpens.values())) {
-            if (pendingOpens.containsKey(asked.requestId())) {
-                checkPending(asked, nowMillis, out);
+        for (PendingOpen pendingOpen : new ArrayList<>(pendingOpens.values())) {
+            if (pendingOpens.containsKey(pendingOpen.requestId())) {
+                checkPending(pendingOpen, nowMillis, out);
             }
         }
     }
 
-    private void checkPending(PendingOpen asked, long nowMillis, ActionList out) {
-        markUnresponsivePrimary(asked, nowMillis);
-        if (nowMillis - asked.lastSentAtMillis() >= limits.resendMillis()) {
-            advance(asked, nowMillis, out);
+    private void checkPending(PendingOpen pendingOpen, long nowMillis, ActionList out) {
+        markUnresponsivePrimary(pendingOpen, nowMillis);
+        if (nowMillis - pendingOpen.lastSentAtMillis() >= limits.resendMillis()) {
+            advance(pendingOpen, nowMillis, out);
         }
-        PendingOpen still = pendingOpens.get(asked.requestId());
-        if (still != null && nowMillis - still.waitingSinceMillis() >= limits.openTimeoutMillis()) {
-            reject(still, "the members of the view did not agree in time", nowMillis, out);
+        PendingOpen remaining = pendingOpens.get(pendingOpen.requestId());
+        if (remaining != null && nowMillis - remaining.waitingSinceMillis() >= limits.openTimeoutMillis()) {
+            reject(remaining, "the members of the view did not acknowledge the claim in time", nowMillis, out);
         }
     }
 
-    /** A primary that has not even sent a copy may be frozen, with its link still up. */
-    private void markUnresponsivePrimary(PendingOpen asked, long nowMillis) {
-        boolean overdue = asked.sentToPrimary() && nowMillis - asked.waitingSinceMillis() >= limits.unresponsiveMillis();
-        if (overdue && table.find(asked.key()).isEmpty()) {
-            viewManager.activeView()
-                    .map(view -> view.primary(asked.key()))
+    /**
+     * Marks a primary as unresponsive that has sent no copy of the claim in time; its process may be frozen while its
+     * connection is still up.
+     */
+    private void markUnresponsivePrimary(PendingOpen pendingOpen, long nowMillis) {
+        boolean overdue = pendingOpen.sentToPrimary()
+                && nowMillis - pendingOpen.waitingSinceMillis() >= limits.unresponsiveMillis();
+        if (overdue && table.find(pendingOpen.key()).isEmpty()) {
+            viewManager
+                    .activeView()
+                    .map(view -> view.primary(pendingOpen.key()))
                     .filter(primary -> !primary.equals(self))
                     .forEach(primary -> viewManager.markUnresponsive(primary.host()));
         }
@@ -478,14 +507,15 @@
         return Failure.of(Step.CLAIM, self.host(), reason);
     }
 
-    /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
+    /** Returns all state that determines future behaviour, except times; equal keys imply equal behaviour. */
     String stateKey() {
-        List<String> asked = pendingOpens.values().stream()
+        List<String> opens = pendingOpens.values().stream()
                 .map(open -> open.requestId() + open.sentToPrimary())
                 .toList();
-        List<String> copying = pendingGrants.values().stream()
+        List<String> grants = pendingGrants.values().stream()
                 .map(grant -> grant.claim() + " " + grant.awaitedHosts())
                 .toList();
-        return table.all() + " " + asked + " " + runningKeys.keySet() + " " + copying + " " + unacknowledgedResults.stateKey();
+        return table.all() + " " + opens + " " + runningKeys.keySet() + " " + grants + " "
+                + unacknowledgedResults.stateKey();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimDecision.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimDecision.java
@@ -5,16 +5,16 @@
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.request.Failure;
 
-/** What a request with an idempotency key may do. Immutable and thread safe. */
+/** Decision on a request with an idempotency key. Immutable and thread safe. */
 public sealed interface ClaimDecision {
 
-    /** Run the call; no other request with this key may. */
+    /** The request runs the call; no other request with this key may. */
     record Run() implements ClaimDecision {}
 
     /**
-     * The call has run, and this is its answer.
+     * The call has run, and its stored answer is replayed.
      *
-     * @param answer the kept answer
+     * @param answer the stored answer
      */
     record Kept(Answer answer) implements ClaimDecision {
         public Kept {
@@ -23,9 +23,9 @@
     }
 
     /**
-     * The call may have run, and nobody has its answer.
+     * The call may have run, and its answer is not available.
      *
-     * @param failure what is known
+     * @param failure the reason
      */
     record Unknown(Failure failure) implements ClaimDecision {
         public Unknown {
@@ -34,10 +34,10 @@
     }
 
     /**
-     * The call did not run and this request will not run it.
+     * The call did not run, and this request will not run it.
      *
-     * @param failure why not
-     * @param retryAfterMillis when to come back, zero if coming back does not help
+     * @param failure the reason
+     * @param retryAfterMillis the time after which to retry, zero if a retry does not help
      */
     record NotRun(Failure failure, long retryAfterMillis) implements ClaimDecision {
         public NotRun {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimEntryCodec.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimEntryCodec.java
@@ -8,7 +8,7 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.schema.message.ClaimEntry;
 
-/** Turns claims into what messages carry, and back. Stateless and thread safe. */
+/** Converts claims to and from their message form. Stateless and thread safe. */
 final class ClaimEntryCodec {
     private static final Answer NO_ANSWER = Answer.of(0, "", new byte[0]);
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimKey.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimKey.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * What makes two calls the same call. Immutable and thread safe.
+ * Identifies calls that count as the same call. Immutable and thread safe.
  *
- * @param account the caller's account
- * @param key the caller's idempotency key
+ * @param account the client account of the caller
+ * @param key the idempotency key that the caller sent
  */
 public record ClaimKey(String account, String key) {
     public ClaimKey {
@@ -15,20 +15,20 @@
     }
 
     /**
-     * Makes a key.
+     * Creates a claim key.
      *
-     * @param account the caller's account
-     * @param key the caller's idempotency key
-     * @return the key
+     * @param account the client account of the caller
+     * @param key the idempotency key that the caller sent
+     * @return the claim key
      */
     public static ClaimKey of(String account, String key) {
         return new ClaimKey(account, key);
     }
 
     /**
-     * Tells whether the key carries the time at which it was made, as a version 7 UUID does.
+     * Returns whether the idempotency key carries its creation time, as a version 7 UUID does.
      *
-     * @return whether its age can be known
+     * @return whether the age of the key can be determined
      */
     public boolean hasTime() {
         return KeyTimestamp.of(key).isDefined();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
@@ -1,21 +1,22 @@
 package org.rattanplank.core.claim;
 
 /**
- * The bounds on time and memory of the claims. Immutable and thread safe.
+ * Bounds on the time and memory of claims. Immutable and thread safe.
  *
- * @param retentionMillis how long a claim is kept, counted from when its key was made or claimed, whichever is later
- * @param maxClaims the most claims that are held; at the bound new keys are refused and nothing is forgotten
- * @param maxAnswerBytes the largest answer that is kept
- * @param maxTotalAnswerBytes the most bytes of all kept answers
- * @param clockMarginMillis by how much the clocks of hosts and callers may differ
- * @param openTimeoutMillis how long a request waits for the right to run before it is refused
- * @param unresponsiveMillis how long a member may leave a claim unanswered before its removal is proposed
- * @param resendMillis after how long an unanswered message is sent again
- * @param disconnectGraceMillis how long a member's link may be down before its removal is proposed
- * @param pauseThresholdMillis the gap between two events after which a host takes itself for having been paused
- * @param storeRetryMillis how long to wait after a failed call to the store
- * @param hostListLagMillis how long the platform's list of hosts may lag
- * @param leaveTimeoutMillis how long a host that leaves waits for the others
+ * @param retentionMillis how long a claim is kept, from the creation of its key or the time it was claimed, whichever
+ *     is later
+ * @param maxClaims the maximum number of claims; at this bound new keys are rejected and no claim is evicted
+ * @param maxAnswerBytes the maximum size of a stored answer
+ * @param maxTotalAnswerBytes the maximum total size of all stored answers
+ * @param clockMarginMillis the maximum difference between the clocks of hosts and callers
+ * @param openTimeoutMillis how long a request waits for its grant before it is rejected
+ * @param unresponsiveMillis how long a member may leave a claim unacknowledged before its removal is proposed
+ * @param resendMillis the time after which an unacknowledged message is sent again
+ * @param disconnectGraceMillis how long a member may be disconnected before its removal is proposed
+ * @param pauseThresholdMillis the gap between two events above which a process considers itself to have been paused
+ * @param storeRetryMillis the delay after a failed call to the store
+ * @param hostListLagMillis the maximum lag of the host list of the platform
+ * @param leaveTimeoutMillis how long a leaving host waits for the other members
  */
 public record ClaimLimits(
         long retentionMillis,
@@ -36,12 +37,13 @@
 
     public ClaimLimits {
         if (retentionMillis <= 0 || maxClaims <= 0 || resendMillis <= 0 || storeRetryMillis <= 0) {
-            throw new IllegalArgumentException("limits of claims must be positive");
+            throw new IllegalArgumentException(
+                    "retention, maximum number of claims, resend interval and store retry delay must be positive");
         }
     }
 
     /**
-     * The limits that suit most deployments.
+     * Returns the default limits.
      *
      * @return the limits
      */
@@ -50,44 +52,49 @@
     }
 
     /**
-     * Bounds the time for which claims are kept.
+     * Returns limits with a different retention and clock margin.
      *
-     * @param retention how long a claim is kept
-     * @param clockMargin by how much the clocks of hosts and callers may differ
+     * @param newRetentionMillis how long a claim is kept
+     * @param newClockMarginMillis the maximum difference between the clocks of hosts and callers
      * @return the changed limits
      */
-    public ClaimLimits withTimes(long retention, long clockMargin) {
-        return with(retention, maxClaims, maxAnswerBytes, maxTotalAnswerBytes, clockMargin);
+    public ClaimLimits withTimes(long newRetentionMillis, long newClockMarginMillis) {
+        return with(newRetentionMillis, maxClaims, maxAnswerBytes, maxTotalAnswerBytes, newClockMarginMillis);
     }
 
     /**
-     * Bounds the number of claims.
+     * Returns limits with a different maximum number of claims.
      *
-     * @param claims the most claims that are held
+     * @param newMaxClaims the maximum number of claims
      * @return the changed limits
      */
-    public ClaimLimits withMaxClaims(int claims) {
-        return with(retentionMillis, claims, maxAnswerBytes, maxTotalAnswerBytes, clockMarginMillis);
+    public ClaimLimits withMaxClaims(int newMaxClaims) {
+        return with(retentionMillis, newMaxClaims, maxAnswerBytes, maxTotalAnswerBytes, clockMarginMillis);
     }
 
     /**
-     * Bounds the memory of kept answers.
+     * Returns limits with different bounds on stored answers.
      *
-     * @param answerBytes the largest answer that is kept
-     * @param totalAnswerBytes the most bytes of all kept answers
+     * @param newMaxAnswerBytes the maximum size of a stored answer
+     * @param newMaxTotalAnswerBytes the maximum total size of all stored answers
      * @return the changed limits
      */
-    public ClaimLimits withAnswerBytes(int answerBytes, long totalAnswerBytes) {
-        return with(retentionMillis, maxClaims, answerBytes, totalAnswerBytes, clockMarginMillis);
+    public ClaimLimits withAnswerBytes(int newMaxAnswerBytes, long newMaxTotalAnswerBytes) {
+        return with(retentionMillis, maxClaims, newMaxAnswerBytes, newMaxTotalAnswerBytes, clockMarginMillis);
     }
 
-    private ClaimLimits with(long retention, int claims, int answerBytes, long totalAnswerBytes, long clockMargin) {
+    private ClaimLimits with(
+            long newRetentionMillis,
+            int newMaxClaims,
+            int newMaxAnswerBytes,
+            long newMaxTotalAnswerBytes,
+            long newClockMarginMillis) {
         return new ClaimLimits(
-                retention,
-                claims,
-                answerBytes,
-                totalAnswerBytes,
-                clockMargin,
+                newRetentionMillis,
+                newMaxClaims,
+                newMaxAnswerBytes,
+                newMaxTotalAnswerBytes,
+                newClockMarginMillis,
                 openTimeoutMillis,
                 unresponsiveMillis,
                 resendMillis,
@@ -98,9 +105,12 @@
                 leaveTimeoutMillis);
     }
 
-    /** When a claim may be forgotten; by then every host refuses its key as too old, whatever its clock's error. */
+    /**
+     * Returns the time at which a claim can be removed; by then every host rejects its key as too old, whatever the
+     * error of its clock.
+     */
     long expiresAtMillis(ClaimKey key, long claimedAtMillis) {
-        long madeAtMillis = KeyTimestamp.of(key.key()).getOrElse(claimedAtMillis);
-        return Math.max(madeAtMillis, claimedAtMillis) + retentionMillis + 2 * clockMarginMillis;
+        long createdAtMillis = KeyTimestamp.of(key.key()).getOrElse(claimedAtMillis);
+        return Math.max(createdAtMillis, claimedAtMillis) + retentionMillis + 2 * clockMarginMillis;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimResult.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimResult.java
@@ -5,11 +5,11 @@
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.request.Failure;
 
-/** How a claimed call ended. Immutable and thread safe. */
+/** Result of a claimed call. Immutable and thread safe. */
 public sealed interface ClaimResult {
 
     /**
-     * It ran, and this is its answer.
+     * The call ran and was answered.
      *
      * @param answer the answer
      */
@@ -19,13 +19,13 @@
         }
     }
 
-    /** It surely did not run, so the key may be claimed again. */
+    /** The call definitely did not run, so the key may be claimed again. */
     record NotRun() implements ClaimResult {}
 
     /**
-     * It may have run.
+     * The call may have run.
      *
-     * @param failure what is known
+     * @param failure the reason
      */
     record Unknown(Failure failure) implements ClaimResult {
         public Unknown {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimState.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimState.java
@@ -2,17 +2,20 @@
 
 import java.util.Locale;
 
-/** How far a claim is; what surely is known wins over what is merely feared. */
+/**
+ * State of a claim, in ascending order of certainty: when two states of one request are merged, the later constant
+ * wins.
+ */
 enum ClaimState {
     /** A request holds the key and may run its call. */
     RUNNING(false),
-    /** The call may have run, and nobody who would know is left. */
+    /** The call may have run, and no process that knows its result is left. */
     UNKNOWN(false),
-    /** The call of the request that held the key surely did not run, so another may hold it. */
+    /** The call of the request that held the key definitely did not run, so another request may claim the key. */
     FREE(true),
-    /** The call ran, and its answer is kept. */
+    /** The call ran, and its answer is stored. */
     ANSWERED(true),
-    /** The call's own host said that it may have run, or its answer is not kept. */
+    /** The host that ran the call reported that it may have run, or its answer is not stored. */
     LOST(true);
 
     private final boolean settled;
@@ -21,17 +24,17 @@
         this.settled = settled;
     }
 
-    /** Whether the runner itself said so, which nothing later can change. */
+    /** Returns whether the runner itself reported this state, so that it never changes again. */
     boolean isSettled() {
         return settled;
     }
 
-    /** Whether a repeat of the key gets an outcome from this state alone. */
+    /** Returns whether a retry with the key can be answered from this state alone. */
     boolean isFinal() {
         return this == ANSWERED || this == LOST || this == UNKNOWN;
     }
 
-    /** Whether the key may be given to another request. */
+    /** Returns whether another request may claim the key. */
     boolean isFree() {
         return this == FREE;
     }
@@ -46,7 +49,7 @@
                 return state;
             }
         }
-        // A state of a later version: the only safe reading is that the call may have run.
+        // A state of a later version: the only safe interpretation is that the call may have run.
         return UNKNOWN;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimStep.java
@@ -5,13 +5,13 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.schema.message.ClaimMessage;
 
-/** Something that the claims of a host want done. Immutable and thread safe. */
+/** Action that {@link Claims} requests from the host. Immutable and thread safe. */
 public sealed interface ClaimStep {
 
     /**
-     * Send a message to another entry host of the data centre.
+     * Sends a message to another entry host of the data centre.
      *
-     * @param host the other host
+     * @param host the receiver
      * @param message the message
      */
     record Send(String host, ClaimMessage message) implements ClaimStep {
@@ -21,10 +21,10 @@
     }
 
     /**
-     * Call the platform's store.
+     * Calls the store.
      *
      * @param callId the call, which its reply carries
-     * @param command what to do
+     * @param command the command
      */
     record CallStore(long callId, StoreCommand command) implements ClaimStep {
         public CallStore {
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Tell a request what it may do.
+     * Reports the decision on a request.
      *
      * @param requestId the request
-     * @param key its key
-     * @param decision what it may do
+     * @param key its idempotency key
+     * @param decision the decision
      */
     record Decide(String requestId, ClaimKey key, ClaimDecision decision) implements ClaimStep {
         public Decide {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
@@ -8,10 +8,10 @@
 import io.vavr.control.Option;
 
 /**
- * The claims that a host holds, by key.
+ * Stores the claims of a host by key.
  *
- * <p>Invariants: a claim is forgotten only when its retention has passed; what a runner said about its own call is
- * never replaced by anything else about that call. Not thread safe; guarded by the lock of {@link Claims}.
+ * <p>Invariants: a claim is removed only when its retention has passed; the result that a runner reported for its own
+ * call is never replaced by any other state of that call. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class ClaimTable {
     private final ClaimLimits limits;
@@ -43,15 +43,18 @@
         return claims.size() >= limits.maxClaims() || answerBytes >= limits.maxTotalAnswerBytes();
     }
 
-    /** Whether an answer is small enough to be kept now; checked where the call ran, so that all hosts agree. */
+    /**
+     * Returns whether an answer is small enough to be stored now; checked only where the call ran, so that all hosts
+     * agree.
+     */
     boolean canStoreAnswer(int bytes) {
         return bytes <= limits.maxAnswerBytes() && answerBytes + bytes <= limits.maxTotalAnswerBytes();
     }
 
     /**
-     * Takes a claim in, unless what is held is newer.
+     * Merges a claim unless the held claim is newer.
      *
-     * @return whether anything changed
+     * @return whether the table changed
      */
     boolean merge(Claim claim) {
         Claim held = claims.get(claim.key());
@@ -97,15 +100,15 @@
     }
 
     private boolean put(Claim claim) {
-        Claim old = claims.put(claim.key(), claim);
-        answerBytes += claim.answerBytes() - (old == null ? 0 : old.answerBytes());
-        if (old == null || old.claimedAtMillis() != claim.claimedAtMillis()) {
+        Claim previous = claims.put(claim.key(), claim);
+        answerBytes += claim.answerBytes() - (previous == null ? 0 : previous.answerBytes());
+        if (previous == null || previous.claimedAtMillis() != claim.claimedAtMillis()) {
             expiries.add(new Expiry(limits.expiresAtMillis(claim.key(), claim.claimedAtMillis()), claim.key()));
         }
         return true;
     }
 
-    /** When to look whether a claim can be forgotten. Immutable and thread safe. */
+    /** Time at which to check whether a claim can be removed. Immutable and thread safe. */
     private record Expiry(long atMillis, ClaimKey key) implements Comparable<Expiry> {
         @Override
         public int compareTo(Expiry other) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
@@ -6,20 +6,21 @@
 import io.vavr.control.Option;
 
 /**
- * The processes that hold the claims of one data centre between two changes. Immutable and thread safe.
+ * The set of processes that replicate the claims of one data centre between two changes. Immutable and thread safe.
  *
- * <p>Invariant: members are sorted, one process a host; two views that were formed have different numbers.
+ * <p>Invariants: members are sorted, with one process per host; two views that were formed have different numbers.
  *
  * @param dataCentre the data centre
- * @param number the view's number, higher for each change
- * @param completeFromMillis since when no claim has been forgotten; zero if none ever was
+ * @param number the number of the view, higher for each change
+ * @param completeFromMillis the time since which no claim has been lost; zero if none ever was
  * @param changeId the change that formed the view
  * @param members the members
  */
 record ClaimView(String dataCentre, long number, long completeFromMillis, String changeId, List<ViewMemberId> members) {
     /**
-     * The step of the number when a view is formed with no member of the old one. Changes that members agreed to
-     * without the store may have used the next few numbers; two views with one number would take each other's copies.
+     * Increment of the number when a view is formed without any member of the previous view. Changes made newMember consent,
+     * without the store, may have used the next few numbers; two views with one number would accept copies from each
+     * other.
      */
     static final long TAKEOVER_STRIDE = 1_000_000;
 
@@ -58,7 +59,7 @@
         return new ClaimView(dataCentre, newNumber, completeFromMillis, changeId, members);
     }
 
-    ClaimView takeover(String newChangeId, ViewMemberId by, long nowMillis) {
-        return new ClaimView(dataCentre, number + TAKEOVER_STRIDE, nowMillis, newChangeId, List.of(by));
+    ClaimView takeover(String newChangeId, ViewMemberId newMember, long nowMillis) {
+        return new ClaimView(dataCentre, number + TAKEOVER_STRIDE, nowMillis, newChangeId, List.of(newMember));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
@@ -28,11 +28,11 @@
 import org.rattanplank.schema.message.ViewWithdraw;
 
 /**
- * Keeps calls that may not be repeated from running twice.
+ * Executes calls with an idempotency key at most once.
  *
- * <p>Invariant: of all requests with one key, at most one is told to run unless its call surely did not run. A host
- * acts only in a view that it shares with all other members; see docs/AT-MOST-ONCE.md. Thread safe; one lock guards all
- * state, and no other lock is taken while it is held.
+ * <p>Invariant: of all requests with one key, at most one may run unless its call definitely did not run. A host is
+ * active only in a view that it shares with all other members; see docs/AT-MOST-ONCE.md. Thread safe; one lock guards
+ * all state, and no other lock is taken while it is held.
  */
 public final class Claims {
     private final ReentrantLock lock = new ReentrantLock();
@@ -43,18 +43,23 @@
     private final ClaimCoordinator coordinator;
     private boolean leaveTimedOut;
 
-    private Claims(RequestIdQualifier opener, ClaimLimits limits, ClaimTable table, ViewManager keeper, ClaimCoordinator desk) {
-        this.requestIdQualifier = opener;
+    private Claims(
+            RequestIdQualifier requestIdQualifier,
+            ClaimLimits limits,
+            ClaimTable table,
+            ViewManager viewManager,
+            ClaimCoordinator coordinator) {
+        this.requestIdQualifier = requestIdQualifier;
         this.limits = limits;
         this.table = table;
-        this.viewManager = keeper;
-        this.coordinator = desk;
+        this.viewManager = viewManager;
+        this.coordinator = coordinator;
     }
 
     /**
-     * Makes the claims of a host that holds none.
+     * Creates an empty claim registry with default limits.
      *
-     * @param self the host
+     * @param self the identity of this process
      * @return the claims
      */
     public static Claims of(NodeIdentity self) {
@@ -62,9 +67,9 @@
     }
 
     /**
-     * Makes the claims of a host that holds none.
+     * Creates an empty claim registry.
      *
-     * @param self the host
+     * @param self the identity of this process
      * @param limits the bounds on time and memory
      * @return the claims
      */
@@ -72,19 +77,24 @@
         return of(self, limits, TakeoverRule.SURVIVOR_REQUIRED);
     }
 
-    static Claims of(NodeIdentity self, ClaimLimits limits, TakeoverRule rule) {
+    static Claims of(NodeIdentity self, ClaimLimits limits, TakeoverRule takeoverRule) {
         ClaimTable table = new ClaimTable(limits);
-        ViewManager keeper = new ViewManager(self, limits, rule, table);
-        return new Claims(RequestIdQualifier.of(self), limits, table, keeper, new ClaimCoordinator(keeper, table, limits));
+        ViewManager viewManager = new ViewManager(self, limits, takeoverRule, table);
+        return new Claims(
+                RequestIdQualifier.of(self),
+                limits,
+                table,
+                viewManager,
+                new ClaimCoordinator(viewManager, table, limits));
     }
 
     Claims copy() {
         lock.lock();
         try {
             ClaimTable copiedTable = table.copy();
-            ViewManager copiedKeeper = viewManager.copy(copiedTable);
-            ClaimCoordinator copiedDesk = coordinator.copy(copiedKeeper, copiedTable);
-            Claims copy = new Claims(requestIdQualifier, limits, copiedTable, copiedKeeper, copiedDesk);
+            ViewManager copiedViewManager = viewManager.copy(copiedTable);
+            ClaimCoordinator copiedCoordinator = coordinator.copy(copiedViewManager, copiedTable);
+            Claims copy = new Claims(requestIdQualifier, limits, copiedTable, copiedViewManager, copiedCoordinator);
             copy.leaveTimedOut = leaveTimedOut;
             return copy;
         } finally {
@@ -92,7 +102,7 @@
         }
     }
 
-    /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
+    /** Returns all state that determines future behaviour, except times; equal keys imply equal behaviour. */
     String stateKey() {
         lock.lock();
         try {
@@ -103,37 +113,39 @@
     }
 
     /**
-     * Asks what a request with a key may do; the decision comes in these steps or in later ones.
+     * Opens a request with an idempotency key; the decision is among the returned actions or among later ones.
      *
-     * @param key the key
+     * @param key the idempotency key
      * @param requestId the request
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> open(ClaimKey key, String requestId, long nowMillis) {
         return apply(nowMillis, out -> coordinator.open(key, requestIdQualifier.qualify(requestId), nowMillis, out));
     }
 
     /**
-     * Records how the call of a request that was told to run has ended.
+     * Records the result of the call of a request that was allowed to run.
      *
-     * @param key the key
-     * @param requestId the request that ran it
-     * @param result how it ended
-     * @param nowMillis the time
-     * @return what to do
+     * @param key the idempotency key
+     * @param requestId the request that ran the call
+     * @param result the result of the call
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> settle(ClaimKey key, String requestId, ClaimResult result, long nowMillis) {
-        return apply(nowMillis, out -> coordinator.settle(key, requestIdQualifier.qualify(requestId), result, nowMillis, out));
+        return apply(
+                nowMillis,
+                out -> coordinator.settle(key, requestIdQualifier.qualify(requestId), result, nowMillis, out));
     }
 
     /**
-     * Gives up waiting for the decision on a request, because its deadline has passed.
+     * Abandons a request that waits for a decision, because its deadline has passed.
      *
-     * @param key the key
-     * @param requestId the request that waits
-     * @param nowMillis the time
-     * @return not run if this request's key has surely not run, unknown otherwise; never run
+     * @param key the idempotency key
+     * @param requestId the waiting request
+     * @param nowMillis the current time
+     * @return not run if the call of the key definitely has not run for this request, unknown otherwise; never run
      */
     public ClaimDecision abandon(ClaimKey key, String requestId, long nowMillis) {
         lock.lock();
@@ -145,13 +157,13 @@
     }
 
     /**
-     * Takes a message of another host of the data centre.
+     * Handles a message from another host of the data centre.
      *
-     * @param host the other host
-     * @param incarnation the other process's start time
+     * @param host the sender
+     * @param incarnation the start time of the sending process
      * @param message the message
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> receive(String host, long incarnation, ClaimMessage message, long nowMillis) {
         return apply(nowMillis, out -> {
@@ -161,78 +173,78 @@
     }
 
     /**
-     * Takes the end of a call to the store.
+     * Handles the reply to a call to the store.
      *
      * @param callId the call
-     * @param reply its end
-     * @param nowMillis the time
-     * @return what to do
+     * @param reply the reply
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return apply(nowMillis, out -> viewManager.storeReplied(callId, reply, nowMillis, out));
     }
 
     /**
-     * Takes changes of the view's record in the store.
+     * Handles changes of the view record in the store.
      *
      * @param entries the entries that were written
-     * @param revision the store's revision after them
-     * @param nowMillis the time
-     * @return what to do
+     * @param revision the revision of the store after the changes
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
         return apply(nowMillis, out -> viewManager.storeChanged(entries, nowMillis));
     }
 
     /**
-     * Takes note that a link to a host of the data centre is up.
+     * Records that a connection to a host of the data centre is up.
      *
      * @param host the other host
-     * @param incarnation the other process's start time
-     * @param nowMillis the time
-     * @return what to do
+     * @param incarnation the start time of the other process
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> connected(String host, long incarnation, long nowMillis) {
         return apply(nowMillis, out -> viewManager.connected(host, incarnation));
     }
 
     /**
-     * Takes note that a link to a host of the data centre broke.
+     * Records that the connection to a host of the data centre is lost.
      *
      * @param host the other host
-     * @param refused whether the host's address refused the connection, so that no process listens there
-     * @param nowMillis the time
-     * @return what to do
+     * @param refused whether the address of the host refused the connection, so that no process listens there
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> lost(String host, boolean refused, long nowMillis) {
         return apply(nowMillis, out -> viewManager.disconnected(host, refused, nowMillis));
     }
 
     /**
-     * Takes the platform's list of hosts.
+     * Handles a new list of hosts from the platform.
      *
      * @param list the list
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> listed(HostList list, long nowMillis) {
         return apply(nowMillis, out -> viewManager.hostListUpdated(list, nowMillis));
     }
 
     /**
-     * Begins to leave the view; {@link #hasLeft()} tells when that is done.
+     * Starts to leave the view; {@link #hasLeft()} returns true once that is complete.
      *
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> leave(long nowMillis) {
         return apply(nowMillis, out -> viewManager.leave(nowMillis));
     }
 
     /**
-     * Tells whether this host no longer holds claims that others need.
+     * Returns whether this host no longer holds claims that other hosts need, or the time limit for leaving has passed.
      *
-     * @return whether it may stop
+     * @return whether this process may stop
      */
     public boolean hasLeft() {
         lock.lock();
@@ -244,9 +256,9 @@
     }
 
     /**
-     * Tells whether this host can claim now.
+     * Returns the number of the view in which this host can claim now.
      *
-     * @return the number of the view that it is in, or zero
+     * @return the view number, or zero if this host is active in no view
      */
     public long viewNumber() {
         lock.lock();
@@ -258,10 +270,10 @@
     }
 
     /**
-     * Lets time pass.
+     * Advances time.
      *
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> tick(long nowMillis) {
         return apply(nowMillis, out -> {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyTimestamp.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/KeyTimestamp.java
@@ -5,7 +5,7 @@
 import io.vavr.control.Option;
 import io.vavr.control.Try;
 
-/** Reads when an idempotency key was made. Stateless and thread safe. */
+/** Extracts the creation time of an idempotency key. Stateless and thread safe. */
 final class KeyTimestamp {
     private static final int UUID_VERSION_WITH_TIMESTAMP = 7;
     private static final int TIMESTAMP_SHIFT_BITS = 16;
@@ -13,7 +13,7 @@
 
     private KeyTimestamp() {}
 
-    /** The time in milliseconds that a version 7 UUID carries; none for any other key. */
+    /** Returns the timestamp of a version 7 UUID in milliseconds, or none for any other key. */
     static Option<Long> of(String key) {
         if (key.length() != UUID_CHARACTERS) {
             return Option.none();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/PeerReachability.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/PeerReachability.java
@@ -9,26 +9,26 @@
 import io.vavr.control.Option;
 
 /**
- * Which hosts of the data centre can be reached now, and since when others cannot. What it suspects steers proposals
- * only; nothing that must be safe rests on it. Not thread safe; guarded by the lock of {@link Claims}.
+ * Tracks which hosts of the data centre are reachable and since when others are not. Suspicions only trigger proposals;
+ * safety does not depend on them. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class PeerReachability {
     private final Map<String, Long> connected = new TreeMap<>();
     private final Map<String, Long> disconnectedSinceMillis = new TreeMap<>();
-    private final Set<String> markUnresponsive = new TreeSet<>();
+    private final Set<String> unresponsive = new TreeSet<>();
 
     PeerReachability copy() {
         PeerReachability copy = new PeerReachability();
         copy.connected.putAll(connected);
         copy.disconnectedSinceMillis.putAll(disconnectedSinceMillis);
-        copy.markUnresponsive.addAll(markUnresponsive);
+        copy.unresponsive.addAll(unresponsive);
         return copy;
     }
 
     void connected(String host, long incarnation) {
         connected.put(host, incarnation);
         disconnectedSinceMillis.remove(host);
-        markUnresponsive.remove(host);
+        unresponsive.remove(host);
     }
 
     void disconnected(String host, long nowMillis) {
@@ -36,21 +36,21 @@
         disconnectedSinceMillis.putIfAbsent(host, nowMillis);
     }
 
-    /** Takes note of a host that is connected but does not answer. */
+    /** Marks a host that is connected but does not respond. */
     void markUnresponsive(String host) {
-        markUnresponsive.add(host);
+        unresponsive.add(host);
     }
 
     void messageReceived(String host) {
-        markUnresponsive.remove(host);
+        unresponsive.remove(host);
     }
 
-    /** Forgets who did not answer, since that was about another view. */
+    /** Clears unresponsive hosts, since they were recorded for another view. */
     void viewChanged() {
-        markUnresponsive.clear();
+        unresponsive.clear();
     }
 
-    /** All hosts of the data centre that can be reached. */
+    /** Returns all reachable hosts of the data centre. */
     List<String> reachableHosts() {
         return List.copyOf(connected.keySet());
     }
@@ -63,9 +63,12 @@
         return Option.of(connected.get(host));
     }
 
-    /** Whether a member was unreachable for some time, or another process answers at its host. */
+    /**
+     * Returns whether a member is unresponsive, was unreachable for the grace period, or was replaced by a later
+     * process.
+     */
     boolean isLost(ViewMemberId member, long graceMillis, long nowMillis) {
-        if (markUnresponsive.contains(member.host())) {
+        if (unresponsive.contains(member.host())) {
             return true;
         }
         Option<Long> incarnation = incarnation(member.host());
@@ -76,6 +79,6 @@
     }
 
     String stateKey() {
-        return connected + " down " + disconnectedSinceMillis.keySet() + " silent " + markUnresponsive;
+        return connected + " disconnected " + disconnectedSinceMillis.keySet() + " unresponsive " + unresponsive;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingAcknowledgements.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingAcknowledgements.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * A claim that was sent to other hosts, and those that have not acknowledged it. Immutable and thread safe.
+ * A claim that was sent to other hosts, with the hosts that have not acknowledged it. Immutable and thread safe.
  *
  * @param claim the claim
  * @param awaitedHosts the hosts whose acknowledgement is missing
- * @param firstSentAtMillis when it was first sent
- * @param lastSentAtMillis when it was last sent
+ * @param firstSentAtMillis the time at which it was first sent
+ * @param lastSentAtMillis the time at which it was last sent
  */
 record PendingAcknowledgements(Claim claim, List<String> awaitedHosts, long firstSentAtMillis, long lastSentAtMillis) {
     PendingAcknowledgements {
@@ -27,8 +27,9 @@
     }
 
     PendingAcknowledgements withAcknowledgement(String host) {
-        List<String> rest = awaitedHosts.stream().filter(other -> !other.equals(host)).toList();
-        return new PendingAcknowledgements(claim, rest, firstSentAtMillis, lastSentAtMillis);
+        List<String> remaining =
+                awaitedHosts.stream().filter(other -> !other.equals(host)).toList();
+        return new PendingAcknowledgements(claim, remaining, firstSentAtMillis, lastSentAtMillis);
     }
 
     PendingAcknowledgements withSent(long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingOpen.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/PendingOpen.java
@@ -3,15 +3,17 @@
 import java.util.Objects;
 
 /**
- * A request of this host that waits for the right to run. Immutable and thread safe.
+ * A request of this host that waits for its grant. Immutable and thread safe.
  *
- * @param key its key
+ * @param key the idempotency key
  * @param requestId the request
- * @param waitingSinceMillis since when it waits for its own right, rather than for another request's end
- * @param lastSentAtMillis when the primary was last asked
- * @param sentToPrimary whether the primary was ever asked, so that copies of the claim may be about
+ * @param waitingSinceMillis the time since which it waits for its own grant, rather than for the result of another
+ *     request
+ * @param lastSentAtMillis the time at which its latest message was sent
+ * @param sentToPrimary whether the claim was ever sent to the primary, so that copies of it may exist
  */
-record PendingOpen(ClaimKey key, String requestId, long waitingSinceMillis, long lastSentAtMillis, boolean sentToPrimary) {
+record PendingOpen(
+        ClaimKey key, String requestId, long waitingSinceMillis, long lastSentAtMillis, boolean sentToPrimary) {
     PendingOpen {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(requestId, "requestId");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Rendezvous.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Rendezvous.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Chooses one member for a key, such that a change of members moves only the keys of those that changed. Stateless and
- * thread safe.
+ * Assigns keys to members by rendezvous hashing, so that a change of members moves only the keys of the members that
+ * changed. Stateless and thread safe.
  *
- * <p>Each member's weight is a 64-bit FNV-1a hash over the characters of account, key and member, finished with the
- * mixer of SplitMix64, since FNV-1a alone leaves the high bits of short inputs poorly mixed.
+ * <p>The weight of each member is a 64-bit FNV-1a hash over the characters of account, key and member, finished with
+ * the mixer of SplitMix64, since FNV-1a alone leaves the high bits of short inputs poorly mixed.
  */
 final class Rendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -40,7 +40,7 @@
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        // The end of each text counts as one more character, so that "ab", "c" and "a", "bc" differ.
+        // A terminator counts as one more character, so that "ab", "c" and "a", "bc" hash differently.
         return (hash ^ Character.MAX_VALUE) * FNV_PRIME;
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/RequestIdQualifier.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/RequestIdQualifier.java
@@ -6,13 +6,13 @@
 import org.rattanplank.core.NodeIdentity;
 
 /**
- * Names requests so that no two hosts open a claim under one name. Immutable and thread safe.
+ * Qualifies request identifiers so that no two hosts open a claim under one identifier. Immutable and thread safe.
  *
- * <p>A request that one host of the data centre refused may come to another host of it. Under the same name, the second
- * opening would be taken for the first, which is settled: its primary would answer with the old end, and the host would
- * ask again, without end. One would notice two hosts that send each other claims as fast as they can.
+ * <p>A request that one host of the data centre rejected may arrive at another host of it. Under the same identifier,
+ * the second open would be taken for the first, which is settled: its primary would return the previous result, and the
+ * host would send its request again, without end. Symptom: two hosts that send each other claims as fast as they can.
  *
- * @param suffix what this process adds to the identifier of a request
+ * @param suffix the suffix that this process appends to the identifier of a request
  */
 record RequestIdQualifier(String suffix) {
     RequestIdQualifier {
@@ -27,16 +27,16 @@
         return requestId + suffix;
     }
 
-    List<ClaimStep> unqualifyAll(List<ClaimStep> steps) {
-        return steps.stream().map(this::unqualify).toList();
+    List<ClaimStep> unqualifyAll(List<ClaimStep> actions) {
+        return actions.stream().map(this::unqualify).toList();
     }
 
-    private ClaimStep unqualify(ClaimStep step) {
-        if (step instanceof ClaimStep.Decide decide && decide.requestId().endsWith(suffix)) {
+    private ClaimStep unqualify(ClaimStep action) {
+        if (action instanceof ClaimStep.Decide decide && decide.requestId().endsWith(suffix)) {
             String requestId =
                     decide.requestId().substring(0, decide.requestId().length() - suffix.length());
             return new ClaimStep.Decide(requestId, decide.key(), decide.decision());
         }
-        return step;
+        return action;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncReceiver.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncReceiver.java
@@ -7,10 +7,10 @@
 import org.rattanplank.schema.message.ViewSynced;
 
 /**
- * The joining host's side of the copying of claims.
+ * Receives copies of all claims while this host joins a view.
  *
- * <p>Invariant: this host is ready for a view only while it holds every claim of the session in which it agreed; a new
- * session makes it unready. Not thread safe; guarded by the lock of {@link Claims}.
+ * <p>Invariant: this host is ready for a view only while it holds every claim of the session in which it consented; a
+ * new session makes it not ready. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class SyncReceiver {
     private static final int MAX_UNANSWERED_JOINS = 4;
@@ -36,12 +36,12 @@
         return copy;
     }
 
-    /** Whether nobody has answered for some time, so that what this host knows may be out of date. */
+    /** Returns whether several join requests in a row were unanswered, so that the known view may be out of date. */
     boolean isUnanswered() {
         return unansweredJoins >= MAX_UNANSWERED_JOINS;
     }
 
-    /** Asks one member to be taken in, and another when that one does not answer. */
+    /** Sends a join request to one member, and to the next member when that one does not respond. */
     void requestJoin(List<ViewMemberId> members, ActionList out) {
         unansweredJoins++;
         if (unansweredJoins > MAX_UNANSWERED_JOINS) {
@@ -55,7 +55,8 @@
     void receive(String host, ViewSync message, ActionList out) {
         boolean starts = message.number() == 0 && !sessionId.equals(message.sessionId());
         if (starts) {
-            // What this host held may be older than what the members hold, and they hold every claim that counts.
+            // Claims held by this host may be older than those of the members, and the members hold every claim that
+            // counts.
             table.clear();
             sessionId = message.sessionId();
             lastChunkNumber = -1;
@@ -73,12 +74,12 @@
     }
 
     /**
-     * Agrees to a view if this host is in the session that the proposer means.
+     * Consents to a view if this host is in the session that the proposer refers to.
      *
      * @return whether this host is ready
      */
-    boolean consent(String proposersSessionId, String changeId) {
-        boolean ready = !sessionId.isEmpty() && sessionId.equals(proposersSessionId);
+    boolean consent(String proposerSessionId, String changeId) {
+        boolean ready = !sessionId.isEmpty() && sessionId.equals(proposerSessionId);
         readyForChangeId = ready ? changeId : readyForChangeId;
         return ready;
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSession.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSession.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 
 /**
- * The copying of all claims to one host that joins, while the view goes on.
+ * Copies all claims to one joining host while the view stays active.
  *
- * <p>Invariant: a key that changes is dirty until a chunk with it was acknowledged, so a clean session means that the
- * other host holds all that this one does. Not thread safe; guarded by the lock of {@link Claims}.
+ * <p>Invariant: a changed key is dirty until a chunk that contains it was acknowledged, so a clean session means that
+ * the other host holds every claim of this host. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class SyncSession {
     private static final int MAX_CLAIMS_PER_CHUNK = 256;
@@ -67,7 +67,7 @@
         return chunkNumber >= 0 && acknowledged && dirtyKeys.isEmpty();
     }
 
-    /** Whether a chunk is to be sent, anew or again. */
+    /** Returns whether a chunk is due, either a new one or a repetition. */
     boolean isDue(long resendMillis, long nowMillis) {
         return acknowledged ? chunkNumber < 0 || !dirtyKeys.isEmpty() : nowMillis - lastSentAtMillis >= resendMillis;
     }
@@ -88,8 +88,8 @@
         chunkKeys = List.copyOf(next);
     }
 
-    void acknowledge(String sessionId, long chunkNumber) {
-        if (id.equals(sessionId) && chunkNumber == chunkNumber) {
+    void acknowledge(String sessionId, long acknowledgedChunkNumber) {
+        if (id.equals(sessionId) && chunkNumber == acknowledgedChunkNumber) {
             acknowledged = true;
             chunkKeys = List.of();
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSessions.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/SyncSessions.java
@@ -10,8 +10,8 @@
 import org.rattanplank.schema.message.ViewSynced;
 
 /**
- * The copying of claims to all hosts that join through this one; at most one session a host. Not thread safe; guarded by
- * the lock of {@link Claims}.
+ * Copies claims to all hosts that join through this host, with at most one session per host. Not thread safe; guarded
+ * by the lock of {@link Claims}.
  */
 final class SyncSessions {
     private final ClaimTable table;
@@ -35,7 +35,7 @@
         return Option.of(sessions.get(host));
     }
 
-    /** The reachable hosts that hold all that this host does. */
+    /** Returns the reachable joining hosts that hold every claim of this host. */
     List<ViewMemberId> cleanJoiners() {
         return sessions.values().stream()
                 .filter(SyncSession::isClean)
@@ -48,13 +48,13 @@
         sessions.values().forEach(session -> session.markDirty(key));
     }
 
-    /** Begins to copy, unless a session with the same process goes on and that process keeps track of it. */
-    void startIfNeeded(String newId, ViewMemberId joiner, String joinersSessionId) {
+    /** Starts a session, unless one with the same process is running and that process follows it. */
+    void startIfNeeded(String newId, ViewMemberId joiner, String joinerSessionId) {
         Option<SyncSession> running =
                 find(joiner.host()).filter(session -> session.joiner().equals(joiner));
-        boolean lostTrack =
-                running.exists(session -> session.hasStarted() && !session.id().equals(joinersSessionId));
-        if (running.isEmpty() || lostTrack) {
+        boolean outOfSync =
+                running.exists(session -> session.hasStarted() && !session.id().equals(joinerSessionId));
+        if (running.isEmpty() || outOfSync) {
             sessions.put(joiner.host(), new SyncSession(newId, joiner, table.all()));
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/TakeoverRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/TakeoverRule.java
@@ -1,21 +1,21 @@
 package org.rattanplank.core.claim;
 
-/** When a view may be formed without a member of the old one. */
+/** Decides when a view may be formed without a member of the previous one. */
 enum TakeoverRule {
-    /** Only when every old member has surely ended. */
+    /** Only when every previous member has definitely terminated. */
     SURVIVOR_REQUIRED {
         @Override
-        boolean canTakeOver(boolean allEnded, boolean allSilent) {
-            return allEnded;
+        boolean canTakeOver(boolean allTerminated, boolean allUnreachable) {
+            return allTerminated;
         }
     },
-    /** Also when no old member was heard of; wrong, and there only for a test to show why. */
+    /** Also when every previous member is unreachable; unsafe, present only for a test that shows the violation. */
     ON_SILENCE {
         @Override
-        boolean canTakeOver(boolean allEnded, boolean allSilent) {
-            return allEnded || allSilent;
+        boolean canTakeOver(boolean allTerminated, boolean allUnreachable) {
+            return allTerminated || allUnreachable;
         }
     };
 
-    abstract boolean canTakeOver(boolean allEnded, boolean allSilent);
+    abstract boolean canTakeOver(boolean allTerminated, boolean allUnreachable);
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
@@ -10,17 +10,17 @@
 import org.rattanplank.core.host.Place;
 
 /**
- * What shows that a process has ended, as opposed to being silent.
+ * Records evidence that a process has terminated, as opposed to being unresponsive.
  *
- * <p>Invariant: a refused connection or an absence from the list counts only if it came after the view that names the
- * process was learned. An older one may speak of the process before it: the host would be restarted and in the view,
- * and yet be taken for ended. Not thread safe; guarded by the lock of {@link Claims}.
+ * <p>Invariant: a refused connection or an absence from the host list counts only if it was observed after the view
+ * that contains the process. Older evidence may concern the previous process of the host: the host would have restarted
+ * and joined the view, and yet be considered terminated. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class TerminationEvidence {
     private final Place location;
     private final long hostListLagMillis;
     private final Map<String, Long> incarnations = new TreeMap<>();
-    private final Set<String> connectionRefused = new TreeSet<>();
+    private final Set<String> refusedHosts = new TreeSet<>();
     private final Set<String> everListedHosts = new TreeSet<>();
     private final Set<String> unlistedHosts = new TreeSet<>();
     private long viewUpdatedAtMillis;
@@ -33,27 +33,27 @@
     TerminationEvidence copy() {
         TerminationEvidence copy = new TerminationEvidence(location, hostListLagMillis);
         copy.incarnations.putAll(incarnations);
-        copy.connectionRefused.addAll(connectionRefused);
+        copy.refusedHosts.addAll(refusedHosts);
         copy.everListedHosts.addAll(everListedHosts);
         copy.unlistedHosts.addAll(unlistedHosts);
         copy.viewUpdatedAtMillis = viewUpdatedAtMillis;
         return copy;
     }
 
-    /** Takes note that another view was learned, so that older evidence may speak of older processes. */
+    /** Records that another view was observed, so that older evidence may concern older processes. */
     void viewUpdated(long nowMillis) {
-        connectionRefused.clear();
+        refusedHosts.clear();
         unlistedHosts.clear();
         viewUpdatedAtMillis = nowMillis;
     }
 
     void connected(String host, long incarnation) {
         incarnations.merge(host, incarnation, Math::max);
-        connectionRefused.remove(host);
+        refusedHosts.remove(host);
     }
 
     void connectionRefused(String host) {
-        connectionRefused.add(host);
+        refusedHosts.add(host);
     }
 
     void hostListUpdated(HostList list, long nowMillis) {
@@ -71,12 +71,12 @@
     }
 
     boolean hasTerminated(ViewMemberId member) {
-        return connectionRefused.contains(member.host())
+        return refusedHosts.contains(member.host())
                 || unlistedHosts.contains(member.host())
                 || incarnations.getOrDefault(member.host(), 0L) > member.incarnation();
     }
 
     String stateKey() {
-        return incarnations + " refused " + connectionRefused + " unlisted " + unlistedHosts;
+        return incarnations + " refused " + refusedHosts + " unlisted " + unlistedHosts;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/UnacknowledgedResults.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/UnacknowledgedResults.java
@@ -8,9 +8,9 @@
 import org.rattanplank.schema.message.ClaimSettle;
 
 /**
- * How calls of this host ended, as far as some member may not know yet.
+ * Results of calls of this host that some members have not acknowledged.
  *
- * <p>Invariant: a result is sent again until every member of the newest view has acknowledged it. Not thread safe;
+ * <p>Invariant: a result is sent again until every member of the latest view has acknowledged it. Not thread safe;
  * guarded by the lock of {@link Claims}.
  */
 final class UnacknowledgedResults {
@@ -32,19 +32,21 @@
     }
 
     Option<Claim> find(ClaimKey key, String requestId) {
-        return Option.of(pendingByKey.get(key)).map(PendingAcknowledgements::claim).filter(claim -> claim.isClaimedBy(requestId));
+        return Option.of(pendingByKey.get(key))
+                .map(PendingAcknowledgements::claim)
+                .filter(claim -> claim.isClaimedBy(requestId));
     }
 
     void add(Claim claim, List<ViewMemberId> members, long nowMillis, ActionList out) {
         if (members.isEmpty()) {
             return;
         }
-        PendingAcknowledgements awaited = PendingAcknowledgements.of(claim, members, nowMillis);
-        pendingByKey.put(claim.key(), awaited);
-        send(awaited, out);
+        PendingAcknowledgements pending = PendingAcknowledgements.of(claim, members, nowMillis);
+        pendingByKey.put(claim.key(), pending);
+        send(pending, out);
     }
 
-    /** Keeps a result to be sent with the next tick. */
+    /** Adds a result that is first sent at the next tick. */
     void addDeferred(Claim claim, List<ViewMemberId> members) {
         if (!members.isEmpty()) {
             pendingByKey.put(claim.key(), PendingAcknowledgements.of(claim, members, Long.MIN_VALUE / 2));
@@ -52,15 +54,17 @@
     }
 
     void acknowledged(String host, ClaimKey key, String requestId) {
-        pendingByKey.computeIfPresent(key, (same, awaited) -> {
-            PendingAcknowledgements rest = awaited.claim().isClaimedBy(requestId) ? awaited.withAcknowledgement(host) : awaited;
-            return rest.isComplete() ? null : rest;
+        pendingByKey.computeIfPresent(key, (same, pending) -> {
+            PendingAcknowledgements remaining =
+                    pending.claim().isClaimedBy(requestId) ? pending.withAcknowledgement(host) : pending;
+            return remaining.isComplete() ? null : remaining;
         });
     }
 
-    /** Starts again with the members of another view, which may not all have been told. */
+    /** Restarts with the members of another view, which may not all have received the results. */
     void resetRecipients(List<ViewMemberId> members) {
-        pendingByKey.replaceAll((key, awaited) -> PendingAcknowledgements.of(awaited.claim(), members, Long.MIN_VALUE / 2));
+        pendingByKey.replaceAll(
+                (key, pending) -> PendingAcknowledgements.of(pending.claim(), members, Long.MIN_VALUE / 2));
         pendingByKey.values().removeIf(PendingAcknowledgements::isComplete);
     }
 
@@ -73,14 +77,14 @@
         }
     }
 
-    private static void send(PendingAcknowledgements awaited, ActionList out) {
-        ClaimSettle message = new ClaimSettle(ClaimEntryCodec.toEntry(awaited.claim()));
-        awaited.awaitedHosts().forEach(host -> out.send(host, message));
+    private static void send(PendingAcknowledgements pending, ActionList out) {
+        ClaimSettle message = new ClaimSettle(ClaimEntryCodec.toEntry(pending.claim()));
+        pending.awaitedHosts().forEach(host -> out.send(host, message));
     }
 
     String stateKey() {
         StringBuilder text = new StringBuilder();
-        pendingByKey.forEach((key, awaited) -> text.append(awaited.claim()).append(awaited.awaitedHosts()));
+        pendingByKey.forEach((key, pending) -> text.append(pending.claim()).append(pending.awaitedHosts()));
         return text.toString();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
@@ -5,17 +5,17 @@
 import io.vavr.collection.List;
 
 /**
- * A change of the view that this host has proposed and that is not formed yet. Immutable and thread safe.
+ * A change of the view that this host has proposed and that has not taken effect. Immutable and thread safe.
  *
- * <p>Invariant: a change that the store was asked for can only be settled by the store.
+ * <p>Invariant: a change that was requested from the store can be settled only by the store.
  *
  * @param proposed the next view
- * @param byStore whether the store decides; otherwise all members of the old view do
+ * @param byStore whether the store decides; otherwise all members of the previous view do
  * @param awaitedHosts the hosts whose consent is missing
  * @param maybeApplied whether a call to the store may have taken effect, or still may
  * @param callInFlight whether a call to the store is in flight
- * @param proposedAtMillis when it was proposed
- * @param lastSentAtMillis when it was last sent
+ * @param proposedAtMillis the time at which it was proposed
+ * @param lastSentAtMillis the time at which it was last sent
  */
 record ViewChange(
         ClaimView proposed,
@@ -43,7 +43,14 @@
     }
 
     ViewChange withConsent(String host) {
-        return new ViewChange(proposed, byStore, awaitedHosts.remove(host), maybeApplied, callInFlight, proposedAtMillis, lastSentAtMillis);
+        return new ViewChange(
+                proposed,
+                byStore,
+                awaitedHosts.remove(host),
+                maybeApplied,
+                callInFlight,
+                proposedAtMillis,
+                lastSentAtMillis);
     }
 
     ViewChange withSent(long nowMillis) {
@@ -54,7 +61,8 @@
         return new ViewChange(proposed, byStore, awaitedHosts, maybeApplied, true, proposedAtMillis, nowMillis);
     }
 
-    ViewChange withStoreReply(boolean maybeDone) {
-        return new ViewChange(proposed, byStore, awaitedHosts, maybeApplied || maybeDone, false, proposedAtMillis, lastSentAtMillis);
+    ViewChange withStoreReply(boolean uncertain) {
+        return new ViewChange(
+                proposed, byStore, awaitedHosts, maybeApplied || uncertain, false, proposedAtMillis, lastSentAtMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -23,14 +23,15 @@
 import org.rattanplank.schema.message.ViewWithdraw;
 
 /**
- * Which view a host is in, and how views follow one another.
+ * Tracks the view that this host is in and runs changes of the view.
  *
- * <p>Invariants: a view is formed either by compare-and-swap in the store, proposed by a member of the old view that
- * has stopped it, or by consent of every member of the old view, or, with no member of the old one, when each of them
- * has surely ended. A host acts in one view at a time and never goes back to an older one. While the store may still
- * apply a change that this host asked for, this host acts in no view and consents to none. Every view has a member of
- * the view that the store holds, so that whoever finds all of the latter ended knows that the former cannot claim. Not
- * thread safe; guarded by the lock of {@link Claims}.
+ * <p>Invariants: a view is formed either by compare-and-swap in the store, proposed by a member of the previous view
+ * that has stopped that view, or by consent of every member of the previous view, or, without any member of the
+ * previous view, once each of them has definitely terminated. A host is active in one view at a time and never returns
+ * to an older one. While the store may still apply a change that this host requested, this host is active in no view
+ * and consents to none. Every view has at least one member of the view recorded in the store, so if all recorded
+ * members have terminated, no later unrecorded view can claim either. Not thread safe; guarded by the lock of {@link
+ * Claims}.
  */
 final class ViewManager {
     private final ViewMemberId self;
@@ -58,16 +59,16 @@
     private long lastEventMillis = -1;
     private long nextAttemptMillis;
 
-    ViewManager(NodeIdentity self, ClaimLimits limits, TakeoverRule rule, ClaimTable table) {
+    ViewManager(NodeIdentity identity, ClaimLimits limits, TakeoverRule takeoverRule, ClaimTable table) {
         this.table = table;
-        this.self = new ViewMemberId(self.host(), self.incarnation());
-        this.dataCentre = self.place().dataCentre();
+        this.self = new ViewMemberId(identity.host(), identity.incarnation());
+        this.dataCentre = identity.place().dataCentre();
         this.limits = limits;
-        this.takeoverRule = rule;
+        this.takeoverRule = takeoverRule;
         reachability = new PeerReachability();
         syncSessions = new SyncSessions(table, reachability, limits.resendMillis());
         syncReceiver = new SyncReceiver(table);
-        evidence = new TerminationEvidence(self.place(), limits.hostListLagMillis());
+        evidence = new TerminationEvidence(identity.place(), limits.hostListLagMillis());
         store = new ViewStore(dataCentre);
     }
 
@@ -106,17 +107,17 @@
         return self;
     }
 
-    /** The view in which this host may order and copy claims now. */
+    /** Returns the view in which this host may order and replicate claims now. */
     Option<ClaimView> activeView() {
         return phase.canClaim() ? view : Option.none();
     }
 
-    /** The newest view that this host knows, whether it is in it or not. */
+    /** Returns the newest view known to this host, whether or not this host is a member. */
     Option<ClaimView> latestView() {
         return view;
     }
 
-    /** Grows with each change of what this host may do. */
+    /** Returns a counter that grows with each change of phase. */
     long epoch() {
         return epoch;
     }
@@ -126,8 +127,8 @@
     }
 
     /**
-     * Whether waiting for the right to claim has no prospect: there is nobody to be asked, or a member is lost and only
-     * the store could take it out, which does not answer.
+     * Returns whether no claim can be granted until the store recovers: the store is unavailable, and either no member
+     * is reachable, or a member is lost and only the store could remove it.
      */
     boolean isClaimingBlocked(long nowMillis) {
         if (!store.isUnavailable()) {
@@ -142,9 +143,11 @@
         return change.exists(ViewChange::byStore) || !lostMembers(nowMillis).isEmpty();
     }
 
-    /** Whether a member is lost and nothing but the store, which does not answer, could take it out of the view. */
+    /** Returns whether a member is lost and cannot be removed from the view because the store is unavailable. */
     boolean isRemovalBlocked(ViewMemberId member, long nowMillis) {
-        return store.isUnavailable() && view.isDefined() && lostMembers(nowMillis).contains(member);
+        return store.isUnavailable()
+                && view.isDefined()
+                && lostMembers(nowMillis).contains(member);
     }
 
     boolean hasLeft() {
@@ -156,15 +159,15 @@
     }
 
     /**
-     * Looks whether this host was paused. A host that was paused may have been taken for ended, and a new view be
-     * formed without it; alone in its old view it would then run a key that also runs in the new one.
+     * Detects whether this process was paused. Other hosts may have considered a paused process terminated and formed a
+     * view without it; alone in its old view it would then run a key that also runs in the new view.
      */
     void detectPause(long nowMillis, ActionList out) {
         boolean paused = lastEventMillis >= 0 && nowMillis - lastEventMillis > limits.pauseThresholdMillis();
         lastEventMillis = Math.max(lastEventMillis, nowMillis);
         if (paused && phase == ViewPhase.ACTIVE) {
             enterPhase(ViewPhase.STALE);
-            // The answer to a read from before the pause would show the view as it was then.
+            // The reply to a read issued before the pause may show an outdated view.
             store.discardReads();
             view.get().others(self).forEach(member -> unconfirmedHosts.add(member.host()));
             requestConfirmation(out);
@@ -228,28 +231,28 @@
             case READ -> recordRead(reply, nowMillis, out);
             case CHANGE -> changeReplied(call.get().view().get(), reply, nowMillis, out);
             case RECORD -> adoptRecordedView(nowMillis);
-            default -> throw new IllegalStateException("no such purpose");
+            default -> throw new IllegalStateException("unknown purpose of a store call");
         }
     }
 
     /**
-     * Lets time pass.
+     * Advances time: resends messages, drives pending view changes and sends due chunks of claims.
      *
-     * @param resultsKnown whether every member knows how the calls that this host ran have ended
+     * @param resultsAcknowledged whether every member has acknowledged the results of the calls that this host ran
      */
-    void tick(boolean resultsKnown, long nowMillis, ActionList out) {
+    void tick(boolean resultsAcknowledged, long nowMillis, ActionList out) {
         sendInstalls(out);
         switch (phase) {
             case OUTSIDE -> joinOrForm(nowMillis, out);
             case STALE -> requestConfirmation(out);
             case STOPPED -> advanceChange(nowMillis, out);
-            case ACTIVE -> maintain(resultsKnown, nowMillis, out);
-            default -> throw new IllegalStateException("no such phase");
+            case ACTIVE -> maintain(resultsAcknowledged, nowMillis, out);
+            default -> throw new IllegalStateException("unknown view phase");
         }
         syncSessions.sendDueChunks(nowMillis, out);
     }
 
-    // Outside: find a view to join, or form one.
+    // Outside: join an existing view or form the first one.
 
     private void joinOrForm(long nowMillis, ActionList out) {
         if (leaving) {
@@ -280,7 +283,9 @@
     }
 
     private List<ViewMemberId> reachableMembers() {
-        return view.map(known -> known.members().stream().filter(reachability::isReachable).toList())
+        return view.map(known -> known.members().stream()
+                        .filter(reachability::isReachable)
+                        .toList())
                 .getOrElse(List.of());
     }
 
@@ -294,9 +299,9 @@
                         .flatMap(recorded -> Stream.concat(known.members().stream(), recorded.members().stream())))
                 .distinct()
                 .toList();
-        boolean allEnded = members.stream().allMatch(this::hasTerminated);
-        boolean allSilent = members.stream().allMatch(member -> isUnreachable(member, nowMillis));
-        return store.recorded().isDefined() && takeoverRule.canTakeOver(allEnded, allSilent);
+        boolean allTerminated = members.stream().allMatch(this::hasTerminated);
+        boolean allUnreachable = members.stream().allMatch(member -> isUnreachable(member, nowMillis));
+        return store.recorded().isDefined() && takeoverRule.canTakeOver(allTerminated, allUnreachable);
     }
 
     private boolean isUnreachable(ViewMemberId member, long nowMillis) {
@@ -304,7 +309,7 @@
     }
 
     private boolean hasTerminated(ViewMemberId member) {
-        // This process itself acts in no view while it is outside, so neither does an older one of its host.
+        // This process is active in no view while it is outside, and an earlier process of its host has terminated.
         boolean ownProcess = member.host().equals(self.host()) && member.incarnation() <= self.incarnation();
         return ownProcess || evidence.hasTerminated(member);
     }
@@ -327,9 +332,9 @@
         }
     }
 
-    // Inside: keep the view fit.
+    // Active: remove lost members, admit joining hosts and release leaving ones.
 
-    private void maintain(boolean resultsKnown, long nowMillis, ActionList out) {
+    private void maintain(boolean resultsAcknowledged, long nowMillis, ActionList out) {
         List<ViewMemberId> lost = lostMembers(nowMillis);
         if (nowMillis < nextAttemptMillis) {
             return;
@@ -340,7 +345,7 @@
             }
             return;
         }
-        if (leaving && resultsKnown) {
+        if (leaving && resultsAcknowledged) {
             leavingHosts.add(self.host());
         }
         if (!view.get().members().get(0).equals(self)) {
@@ -358,23 +363,25 @@
     }
 
     private boolean isRemovalDue(List<ViewMemberId> lost, long nowMillis) {
-        List<ViewMemberId> rest = view.get().members().stream()
+        List<ViewMemberId> remaining = view.get().members().stream()
                 .filter(member -> !lost.contains(member))
                 .toList();
-        long wait = limits.disconnectGraceMillis() + rest.indexOf(self) * limits.resendMillis();
-        return lost.stream().allMatch(member -> reachability.isLost(member, wait, nowMillis));
+        long graceMillis = limits.disconnectGraceMillis() + remaining.indexOf(self) * limits.resendMillis();
+        return lost.stream().allMatch(member -> reachability.isLost(member, graceMillis, nowMillis));
     }
 
-    /** Takes lost members out: this host, a member of the old view, stops it first and lets the store decide. */
+    /**
+     * Removes lost members: this host, a member of the previous view, stops that view first and lets the store decide.
+     */
     private void removeLost(List<ViewMemberId> lost, long nowMillis, ActionList out) {
-        List<ViewMemberId> wanted = view.get().members().stream()
+        List<ViewMemberId> newMembers = view.get().members().stream()
                 .filter(member -> !lost.contains(member))
-                // A host that is leaving still has to take out the lost ones, or it could neither claim nor leave.
+                // A leaving host still has to remove lost members; otherwise it could neither claim nor leave.
                 .filter(member -> member.equals(self) || !leavingHosts.contains(member.host()))
                 .filter(member -> consentedView.forAll(next -> next.contains(member)))
                 .toList();
-        if (wanted.contains(self)) {
-            ClaimView next = consentedView.getOrElse(view.get()).next(newId(), wanted);
+        if (newMembers.contains(self)) {
+            ClaimView next = consentedView.getOrElse(view.get()).next(newId(), newMembers);
             changeByStore(withCompleteFrom(next), nowMillis, out);
         }
     }
@@ -392,7 +399,7 @@
         }
     }
 
-    /** Writes down a view that its members have formed without the store. */
+    /** Writes a view that was formed by consent, without the store, to the store. */
     private void writeRecord(ActionList out) {
         if (store.recorded().equals(view) || store.isCalling(ViewStore.Purpose.RECORD)) {
             return;
@@ -409,22 +416,22 @@
         List<ViewMemberId> staying = view.get().members().stream()
                 .filter(member -> !leavingHosts.contains(member.host()))
                 .toList();
-        boolean someLeave = staying.size() < view.get().members().size();
-        if (joiners.isEmpty() && !someLeave) {
+        boolean hasLeaving = staying.size() < view.get().members().size();
+        if (joiners.isEmpty() && !hasLeaving) {
             return;
         }
         if (staying.isEmpty() && joiners.isEmpty()) {
             changeByStore(view.get().next(newId(), List.of()), nowMillis, out);
             return;
         }
-        // Without this, members could replace one another unrecorded until none that the store names is left; a new
-        // host would find all of those ended and form a second view beside the living one.
-        boolean anchored = store.recorded().exists(recorded -> recorded.containsAny(staying));
-        List<ViewMemberId> wanted =
-                new ArrayList<>(anchored ? staying : view.get().members());
-        wanted.addAll(joiners);
-        if (wanted.size() > view.get().members().size() || anchored) {
-            changeByConsent(view.get().next(newId(), wanted), nowMillis, out);
+        // Without this check, unrecorded changes could replace every member that the store records; a new host would
+        // find all recorded members terminated and form a second view beside the active one.
+        boolean hasRecordedMember = store.recorded().exists(recorded -> recorded.containsAny(staying));
+        List<ViewMemberId> newMembers =
+                new ArrayList<>(hasRecordedMember ? staying : view.get().members());
+        newMembers.addAll(joiners);
+        if (newMembers.size() > view.get().members().size() || hasRecordedMember) {
+            changeByConsent(view.get().next(newId(), newMembers), nowMillis, out);
         }
     }
 
@@ -449,7 +456,7 @@
         writeChange(nowMillis, out);
     }
 
-    // Stopped: see the change through.
+    // Stopped: complete or withdraw the pending change.
 
     private void advanceChange(long nowMillis, ActionList out) {
         if (change.isEmpty()) {
@@ -496,7 +503,7 @@
         for (String host : pending.awaitedHosts()) {
             Option<SyncSession> sync = syncSessions.find(host);
             boolean member = view.get().memberOn(host).isDefined();
-            // A joining host must hold every claim of the old view before it agrees to be in the next one.
+            // A joining host must hold every claim of the current view before it consents to the next one.
             if (member || sync.exists(SyncSession::isClean)) {
                 out.send(
                         host,
@@ -549,8 +556,8 @@
         } else if (reply instanceof StoreReply.Unavailable && change.get().canWithdraw()) {
             abandonChange(nowMillis, out);
         }
-        // An unsure write is asked for again, word for word, when it is due: the record shows whether it was applied,
-        // and a record that is still the old one would not show that it never will be.
+        // A write with an unknown outcome is repeated unchanged when due: the record shows whether it was applied,
+        // whereas an unchanged record does not prove that it never will be.
     }
 
     private void changeConflicted(ClaimView proposed, long nowMillis, ActionList out) {
@@ -579,10 +586,10 @@
         }
     }
 
-    /** Takes a view that this host has just formed. */
+    /** Installs a view that this host has just formed and sends it to the members of both views. */
     private void installFormed(ClaimView formed, long nowMillis, ActionList out) {
         Set<String> others = new TreeSet<>();
-        view.forEach(old -> old.others(self).forEach(member -> others.add(member.host())));
+        view.forEach(previous -> previous.others(self).forEach(member -> others.add(member.host())));
         formed.others(self).forEach(member -> others.add(member.host()));
         install(formed, nowMillis);
         uninstalledHosts.clear();
@@ -594,7 +601,7 @@
         view = Option.some(next);
         change = Option.none();
         consentedView = Option.none();
-        // A host that only learns of a view may still be ready for the one after it.
+        // A host that only observes a view may still be ready for the view after it.
         if (next.contains(self)) {
             syncReceiver.clearReady();
         }
@@ -615,7 +622,7 @@
         }
     }
 
-    // Learn of views that others formed.
+    // Adopt views that other hosts formed.
 
     private void adoptRecordedView(long nowMillis) {
         store.recorded().forEach(recorded -> adoptIfNewer(recorded, nowMillis));
@@ -632,7 +639,7 @@
             install(next, nowMillis);
             return;
         }
-        // The view names this host, but it does not hold the claims: it must be taken out and copy them first.
+        // The view lists this host, but this process does not hold the claims: it must be removed and copy them first.
         view = Option.some(next);
         evidence.viewUpdated(nowMillis);
     }
@@ -641,22 +648,22 @@
         ViewRecordCodec.fromRecord(message.recorded())
                 .forEach(recorded -> store.update(Option.some(recorded), message.recordRevision()));
         adoptRecordedView(nowMillis);
-        Option<ClaimView> told = ViewRecordCodec.fromRecord(message.view());
-        // While the store may still form the change of this host, only the store can tell what came of it: acting in
-        // another view meanwhile would grant claims that the members of that change do not hold.
-        boolean mine = change.exists(ViewChange::byStore);
-        if (!mine) {
-            told.forEach(next -> adoptIfNewer(next, nowMillis));
-        }
-        viewConfirmed(host, told);
-        boolean taken = phase.isMember() || view.exists(current -> !current.contains(self));
-        if (taken && view.equals(told)) {
+        Option<ClaimView> received = ViewRecordCodec.fromRecord(message.view());
+        // While the store may still apply the change of this host, only the store can reveal its outcome: being active
+        // in another view meanwhile would grant claims that the members of that change do not hold.
+        boolean awaitsStore = change.exists(ViewChange::byStore);
+        if (!awaitsStore) {
+            received.forEach(next -> adoptIfNewer(next, nowMillis));
+        }
+        viewConfirmed(host, received);
+        boolean adopted = phase.isMember() || view.exists(current -> !current.contains(self));
+        if (adopted && view.equals(received)) {
             out.send(host, new ViewInstalled(view.get().number()));
         }
     }
 
-    private void viewConfirmed(String host, Option<ClaimView> told) {
-        if (phase != ViewPhase.STALE || !view.equals(told) || !unconfirmedHosts.remove(host)) {
+    private void viewConfirmed(String host, Option<ClaimView> received) {
+        if (phase != ViewPhase.STALE || !view.equals(received) || !unconfirmedHosts.remove(host)) {
             return;
         }
         if (unconfirmedHosts.isEmpty()) {
@@ -691,25 +698,25 @@
     }
 
     void receiveAsk(String host, ViewAsk message, ActionList out) {
-        boolean mine = message.changeId().startsWith(changeIdPrefix());
+        boolean own = message.changeId().startsWith(changeIdPrefix());
         boolean formed = view.exists(current -> current.changeId().equals(message.changeId()));
         boolean pending =
                 change.exists(proposal -> proposal.proposed().changeId().equals(message.changeId()));
-        if (mine && !formed && !pending && view.exists(current -> current.number() <= message.viewNumber())) {
+        if (own && !formed && !pending && view.exists(current -> current.number() <= message.viewNumber())) {
             out.send(host, new ViewWithdraw(message.changeId()));
             return;
         }
         sendView(host, out);
     }
 
-    // Consent to what others propose.
+    // Answer proposals of other members.
 
     void receivePropose(String host, long incarnation, ViewPropose message, ActionList out) {
-        Option<ClaimView> told = ViewRecordCodec.fromRecord(message.view());
-        if (told.isEmpty()) {
+        Option<ClaimView> received = ViewRecordCodec.fromRecord(message.view());
+        if (received.isEmpty()) {
             return;
         }
-        ClaimView proposed = told.get();
+        ClaimView proposed = received.get();
         if (phase == ViewPhase.OUTSIDE) {
             boolean ready = proposed.contains(self) && syncReceiver.consent(message.sessionId(), proposed.changeId());
             out.send(host, new ViewConsent(proposed.changeId(), ready));
@@ -717,15 +724,16 @@
         }
         boolean sameView =
                 view.get().number() == message.fromNumber() && view.get().contains(new ViewMemberId(host, incarnation));
-        boolean again = consentedView.exists(agreed -> agreed.changeId().equals(proposed.changeId()));
-        boolean agrees = sameView && change.isEmpty() && (again || phase == ViewPhase.ACTIVE);
-        if (agrees && !again) {
-            consentedView = told;
+        boolean repeated =
+                consentedView.exists(consented -> consented.changeId().equals(proposed.changeId()));
+        boolean consents = sameView && change.isEmpty() && (repeated || phase == ViewPhase.ACTIVE);
+        if (consents && !repeated) {
+            consentedView = received;
             consentedProposer = host;
             enterPhase(ViewPhase.STOPPED);
         }
         if (sameView && phase != ViewPhase.STALE) {
-            out.send(host, new ViewConsent(proposed.changeId(), agrees));
+            out.send(host, new ViewConsent(proposed.changeId(), consents));
         }
     }
 
@@ -759,8 +767,8 @@
         if (syncReceiver.isReadyFor(changeId)) {
             syncReceiver.clearReady();
         }
-        boolean agreed = consentedView.exists(next -> next.changeId().equals(changeId));
-        if (agreed && change.isEmpty()) {
+        boolean consented = consentedView.exists(next -> next.changeId().equals(changeId));
+        if (consented && change.isEmpty()) {
             consentedView = Option.none();
             enterPhase(ViewPhase.ACTIVE);
         }
@@ -772,7 +780,7 @@
         }
     }
 
-    // Copy the claims to hosts that join.
+    // Copy claims to joining hosts.
 
     void receiveJoin(String host, long incarnation, ViewJoin message, ActionList out) {
         ViewMemberId joiner = new ViewMemberId(host, incarnation);
@@ -781,7 +789,7 @@
             return;
         }
         if (view.get().memberOn(host).isDefined()) {
-            // It is named by the view and yet is outside: it has lost what it held, or is a later process.
+            // The view lists this host although it is outside: it has lost its claims, or it is a later process.
             sendView(host, out);
             reachability.markUnresponsive(host);
             return;
@@ -813,11 +821,12 @@
         return changeIdPrefix() + nextId++;
     }
 
-    /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
+    /** Returns all state that determines future behaviour, except times; equal keys imply equal behaviour. */
     String stateKey() {
         return String.join(
                 "; ",
-                phase + " " + view + " " + change.map(ViewManager::withoutTimes) + " " + consentedView + consentedProposer,
+                phase + " " + view + " " + change.map(ViewManager::withoutTimes) + " " + consentedView
+                        + consentedProposer,
                 syncReceiver.stateKey() + " " + uninstalledHosts + unconfirmedHosts + leavingHosts + leaving,
                 reachability.stateKey(),
                 evidence.stateKey(),
@@ -827,6 +836,12 @@
 
     private static ViewChange withoutTimes(ViewChange pending) {
         return new ViewChange(
-                pending.proposed(), pending.byStore(), pending.awaitedHosts(), pending.maybeApplied(), pending.callInFlight(), 0, 0);
+                pending.proposed(),
+                pending.byStore(),
+                pending.awaitedHosts(),
+                pending.maybeApplied(),
+                pending.callInFlight(),
+                0,
+                0);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewMemberId.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewMemberId.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One process that holds claims. Immutable and thread safe.
+ * Identifies one process that replicates claims. Immutable and thread safe.
  *
- * @param host the host's name
- * @param incarnation the process's start time; a later process of the same host has a higher one
+ * @param host the name of the host
+ * @param incarnation the start time of the process; a later process of the same host has a higher one
  */
 record ViewMemberId(String host, long incarnation) implements Comparable<ViewMemberId> {
     ViewMemberId {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewPhase.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewPhase.java
@@ -1,14 +1,14 @@
 package org.rattanplank.core.claim;
 
-/** What a host may do in the view that it knows. */
+/** Phase of a host with regard to the latest view that it knows. */
 enum ViewPhase {
-    /** Not a member; the known view, if any, is one that others form. */
+    /** Not a member; the known view, if any, belongs to other hosts. */
     OUTSIDE(false),
-    /** A member that orders and copies claims. */
+    /** A member that orders and replicates claims. */
     ACTIVE(true),
-    /** A member that has stopped the view for the sake of the next one. */
+    /** A member that has stopped the view in preparation for the next one. */
     STOPPED(false),
-    /** A member that was paused, and does not know whether the view went on without it. */
+    /** A member that was paused and does not know whether it was removed meanwhile. */
     STALE(false);
 
     private final boolean canClaim;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewRecordCodec.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewRecordCodec.java
@@ -8,7 +8,7 @@
 import org.rattanplank.schema.message.ViewMember;
 import org.rattanplank.schema.message.ViewRecord;
 
-/** Turns views into what messages and the store carry, and back. Stateless and thread safe. */
+/** Converts views to and from their form in messages and in the store. Stateless and thread safe. */
 final class ViewRecordCodec {
     private static final ObjectMapper JSON =
             new ObjectMapper().configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
@@ -31,8 +31,8 @@
                         .toList());
     }
 
-    static Option<ClaimView> fromRecord(ViewRecord sent) {
-        return Option.of(sent)
+    static Option<ClaimView> fromRecord(ViewRecord record) {
+        return Option.of(record)
                 .map(view -> new ClaimView(
                         view.dataCentre(),
                         view.number(),
@@ -47,12 +47,12 @@
         try {
             return JSON.writeValueAsString(toRecord(view));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a view always has a JSON form", e);
+            throw new IllegalStateException("cannot serialize a view to JSON", e);
         }
     }
 
     static Try<ClaimView> fromJson(String json) {
         return Try.of(() -> JSON.readValue(json, ViewRecord.class))
-                .flatMap(sent -> fromRecord(sent).toTry());
+                .flatMap(record -> fromRecord(record).toTry());
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewStore.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewStore.java
@@ -9,26 +9,26 @@
 import org.rattanplank.core.store.StoreReply;
 
 /**
- * What a host knows of the view's record in the platform's store, and its calls in flight.
+ * Holds the latest known view record of the store, and the calls to the store in flight.
  *
  * <p>Invariant: the known record only moves to higher revisions. Not thread safe; guarded by the lock of {@link
  * Claims}.
  */
 final class ViewStore {
-    /** What a call to the store is for. */
+    /** Purpose of a call to the store. */
     enum Purpose {
-        /** To learn the record. */
+        /** Reads the view record. */
         READ,
-        /** To form a view. */
+        /** Forms a view. */
         CHANGE,
-        /** To write down a view that its members have formed. */
+        /** Writes a view that was formed by consent. */
         RECORD
     }
 
     /**
      * A call in flight. Immutable and thread safe.
      *
-     * @param purpose what it is for
+     * @param purpose the purpose
      * @param view the view that it writes, none for a read
      */
     record Call(Purpose purpose, Option<ClaimView> view) {}
@@ -71,7 +71,7 @@
         return revision != UNKNOWN_REVISION;
     }
 
-    /** Whether the last call had no answer or could not be made. */
+    /** Returns whether the last call had no reply or could not be made. */
     boolean isUnavailable() {
         return unavailable;
     }
@@ -87,7 +87,7 @@
         call(new Call(Purpose.READ, Option.none()), new StoreCommand.Get(key), out);
     }
 
-    /** Pays no heed to the answers of reads in flight. */
+    /** Discards the replies of reads in flight. */
     void discardReads() {
         callsInFlight.values().removeIf(call -> call.purpose() == Purpose.READ);
     }
@@ -119,7 +119,9 @@
             revision = 0;
             return;
         }
-        update(ViewRecordCodec.fromJson(entry.get().value()).toOption(), entry.get().modRevision());
+        update(
+                ViewRecordCodec.fromJson(entry.get().value()).toOption(),
+                entry.get().modRevision());
     }
 
     void update(Option<ClaimView> view, long atRevision) {
@@ -136,6 +138,6 @@
     }
 
     String stateKey() {
-        return recorded + " at " + revision + " calls " + callsInFlight + " down " + unavailable;
+        return recorded + " at " + revision + " calls " + callsInFlight + " unavailable " + unavailable;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/ControlStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/ControlStep.java
@@ -4,14 +4,14 @@
 
 import org.rattanplank.core.store.StoreCommand;
 
-/** Something that the controller of a region wants done. Immutable and thread safe. */
+/** Action that the controller of a region requests from the host. Immutable and thread safe. */
 public sealed interface ControlStep {
 
     /**
-     * Call the platform's store.
+     * Calls the store.
      *
      * @param callId the call, which its reply carries
-     * @param command what to do
+     * @param command the command
      */
     record CallStore(long callId, StoreCommand command) implements ControlStep {
         public CallStore {
@@ -20,12 +20,12 @@
     }
 
     /**
-     * Give a target an order.
+     * Sends an order to a target.
      *
      * @param orderId the order, which its answer carries
      * @param target the target
-     * @param fencingNumber the lease's fencing number
-     * @param verb what to do
+     * @param fencingNumber the fencing number of the lease
+     * @param verb the operation
      * @param subject the model with its version, the adapter or the role
      */
     record Order(long orderId, String target, long fencingNumber, String verb, String subject) implements ControlStep {}
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
@@ -19,16 +19,16 @@
 import org.rattanplank.core.store.StoreReply;
 
 /**
- * Brings the targets of a region to the state that the configuration wants, while this host holds the region's lease.
+ * Reconciles the targets of a region with the configuration while this host holds the lease of the region.
  *
- * <p>Invariant: no order leaves after the lease could have lapsed by this host's own clock. Thread safe; one lock
+ * <p>Invariant: no order is sent after the lease allowed have expired by the clock of this host. Thread safe; one lock
  * guards all state, and no other lock is taken while it is held.
  */
 public final class Controller {
-    /** What an order asks of a target: to load a model in a version. */
+    /** Verb of an order that loads a version of a model. */
     public static final String LOAD = "load";
 
-    /** How many targets of the region load at once, for the weight store's sake. */
+    /** Maximum number of targets of the region that load at once, which bounds the load on the weight store. */
     private static final int MAX_CONCURRENT_LOADS = 4;
 
     private static final long MAX_ORDERS_PER_LEASE = 1_000_000;
@@ -37,9 +37,9 @@
     private final ControllerLease lease;
     private final Map<String, Rollout> rollouts = new TreeMap<>();
     private final Map<String, TargetLoad> reports = new TreeMap<>();
-    private List<ListedHost> targets = List.of();
+    private List<ListedHost> regionTargets = List.of();
     private Configuration configuration = Configuration.empty();
-    private boolean candidate = true;
+    private boolean leaseCandidate = true;
     private long ordersFencingNumber;
     private long orderCount;
     private long nextCallId = 1;
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Makes a controller that holds no lease.
+     * Creates a controller that holds no lease.
      *
-     * @param self the host
+     * @param self the identity of this process
      * @return the controller
      */
     public static Controller of(NodeIdentity self) {
@@ -59,58 +59,58 @@
     }
 
     /**
-     * Tells whether this host holds the lease of its region.
+     * Returns whether this host holds the lease of its region.
      *
-     * @param nowMillis the time
-     * @return whether the lease surely has not lapsed
+     * @param nowMillis the current time
+     * @return whether the lease definitely has not expired
      */
     public boolean isHolder(long nowMillis) {
         return locked(() -> lease.isHeld(nowMillis));
     }
 
     /**
-     * Takes note of whether this host should try to hold the lease.
+     * Updates whether this host competes for the lease.
      *
-     * @param isCandidate whether it is among the best hosts of its region
+     * @param isCandidate whether this host is among the preferred hosts of its region
      */
     public void candidate(boolean isCandidate) {
-        locked(() -> candidate = isCandidate);
+        locked(() -> leaseCandidate = isCandidate);
     }
 
     /**
-     * Takes a new configuration.
+     * Applies a new configuration.
      *
-     * @param newer the configuration in force
-     * @param nowMillis the time
+     * @param newConfiguration the configuration in force
+     * @param nowMillis the current time
      */
-    public void configured(Configuration newer, long nowMillis) {
+    public void configured(Configuration newConfiguration, long nowMillis) {
         locked(() -> {
-            configuration = newer;
+            configuration = newConfiguration;
             updateRollouts();
-            return newer;
+            return newConfiguration;
         });
     }
 
     /**
-     * Takes the targets of the region.
+     * Updates the targets of the region.
      *
-     * @param newer the targets that take work
-     * @param nowMillis the time
+     * @param newTargets the targets that accept requests
+     * @param nowMillis the current time
      */
-    public void targets(List<ListedHost> newer, long nowMillis) {
+    public void targets(List<ListedHost> newTargets, long nowMillis) {
         locked(() -> {
-            if (!newer.equals(targets)) {
-                targets = List.copyOf(newer);
+            if (!newTargets.equals(regionTargets)) {
+                regionTargets = List.copyOf(newTargets);
                 updateRollouts();
             }
-            return newer;
+            return newTargets;
         });
     }
 
-    /** Gives each service that wants a version its targets. */
+    /** Assigns targets to the rollout of each service that has a wanted version. */
     private void updateRollouts() {
         Map<String, List<ListedHost>> byService = new TreeMap<>();
-        for (ListedHost target : targets) {
+        for (ListedHost target : regionTargets) {
             byService
                     .computeIfAbsent(target.service(), name -> new ArrayList<>())
                     .add(target);
@@ -123,7 +123,7 @@
                 hosts.forEach(host -> Option.of(reports.get(host.name())).forEach(rollout::targetReported));
             }
         });
-        reports.keySet().retainAll(targets.stream().map(ListedHost::name).toList());
+        reports.keySet().retainAll(regionTargets.stream().map(ListedHost::name).toList());
     }
 
     private boolean hasWantedVersion(String service) {
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Takes a target's report, which says what it has loaded.
+     * Handles a state report of a target, which lists the models that it has loaded.
      *
      * @param load the report
-     * @param nowMillis the time
+     * @param nowMillis the current time
      */
     public void reported(TargetLoad load, long nowMillis) {
         locked(() -> {
@@ -146,7 +146,7 @@
     }
 
     /**
-     * The newest reports of the region's targets.
+     * Returns the latest reports of the targets of the region.
      *
      * @return the reports, sorted by target
      */
@@ -155,12 +155,12 @@
     }
 
     /**
-     * Takes the end of a call to the store.
+     * Handles the reply to a call to the store.
      *
      * @param callId the call
-     * @param reply its end
-     * @param nowMillis the time
-     * @return what to do
+     * @param reply the reply
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ControlStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return locked(() -> {
@@ -170,12 +170,12 @@
     }
 
     /**
-     * Takes a target's answer to an order.
+     * Handles the answer of a target to an order.
      *
      * @param orderId the order
-     * @param result how it ended
-     * @param nowMillis the time
-     * @return what to do
+     * @param result the result of the order
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ControlStep> answered(long orderId, OrderResult result, long nowMillis) {
         return locked(() -> {
@@ -190,26 +190,26 @@
     }
 
     /**
-     * Lets time pass.
+     * Advances time.
      *
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ControlStep> tick(long nowMillis) {
         return locked(() -> nextActions(nowMillis));
     }
 
     private List<ControlStep> nextActions(long nowMillis) {
-        List<ControlStep> steps = new ArrayList<>();
-        lease.tick(candidate, nextCallId, nowMillis)
-                .forEach(command -> steps.add(new ControlStep.CallStore(nextCallId++, command)));
+        List<ControlStep> actions = new ArrayList<>();
+        lease.tick(leaseCandidate, nextCallId, nowMillis)
+                .forEach(command -> actions.add(new ControlStep.CallStore(nextCallId++, command)));
         if (lease.canSendOrder(nowMillis)) {
-            addDueOrders(steps, nowMillis);
+            addDueOrders(actions, nowMillis);
         }
-        return steps;
+        return actions;
     }
 
-    private void addDueOrders(List<ControlStep> steps, long nowMillis) {
+    private void addDueOrders(List<ControlStep> actions, long nowMillis) {
         if (ordersFencingNumber != lease.fencingNumber()) {
             ordersFencingNumber = lease.fencingNumber();
             orderCount = 0;
@@ -222,19 +222,20 @@
         }
         for (Map.Entry<String, Rollout> entry : rollouts.entrySet()) {
             Service service = configuration.service(entry.getKey()).get();
-            // A target that takes orders of anybody may still get one that the last holder sent. Ordered before that
-            // one has arrived, the target would end in the older state, and nobody would know why.
-            boolean may = service.checksFencing() || lease.canSendUnfencedOrder(nowMillis);
-            if (!may) {
+            // A target that does not check fencing numbers may still receive an order from the previous holder. If a
+            // new order were sent first, the late order would return the target to the older version without any
+            // visible cause.
+            boolean allowed = service.checksFencing() || lease.canSendUnfencedOrder(nowMillis);
+            if (!allowed) {
                 continue;
             }
-            int before = entry.getValue().removeCompleted(service);
+            int previouslyLoading = entry.getValue().removeCompleted(service);
             for (String target : entry.getValue().selectDue(service, MAX_CONCURRENT_LOADS - loading, nowMillis)) {
                 long orderId = ordersFencingNumber * MAX_ORDERS_PER_LEASE + orderCount++;
                 entry.getValue().orderSent(target, orderId, nowMillis);
-                steps.add(new ControlStep.Order(orderId, target, ordersFencingNumber, LOAD, service.wantedVersion()));
+                actions.add(new ControlStep.Order(orderId, target, ordersFencingNumber, LOAD, service.wantedVersion()));
             }
-            loading += entry.getValue().removeCompleted(service) - before;
+            loading += entry.getValue().removeCompleted(service) - previouslyLoading;
         }
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
@@ -10,19 +10,25 @@
 import org.rattanplank.core.store.StoreReply;
 
 /**
- * The lease that lets one host of a region give orders to targets; its fencing number is the revision at which the key
- * was written with the lease.
+ * Lease that allows one host of a region to send orders to targets; its fencing number is the store revision at which
+ * the key was written with the lease.
  *
- * <p>Invariant: the lease counts from when the call that granted or kept it was made, so that this host stops before the
- * store lets the lease lapse. One call at a time. Not thread safe.
+ * <p>Invariant: validity counts from when the call that granted or renewed the lease was sent, so that this host stops
+ * before the lease expires in the store. At most one call is in flight. Not thread safe.
  */
 final class ControllerLease {
     static final long TTL_MILLIS = 10_000;
 
-    /** Before the lease could lapse, no order leaves for so long: time for the last one to be handed to its socket. */
+    /**
+     * Time before the expiry of the lease during which no order is sent, so that the last one reaches its socket in
+     * time.
+     */
     static final long STOP_MARGIN_MILLIS = 2_000;
 
-    /** The longest that an order may be in flight; a successor gives none before its predecessor's have ended. */
+    /**
+     * Maximum time for which an order may be in flight; a successor sends none until the orders of its predecessor are
+     * complete.
+     */
     static final long MAX_ORDER_IN_FLIGHT_MILLIS = 5_000;
 
     private static final long RENEW_INTERVAL_MILLIS = 3_000;
@@ -62,12 +68,12 @@
         return fencingNumber > 0 && nowMillis < validUntilMillis;
     }
 
-    /** Tells whether an order may leave to a target that refuses old fencing numbers. */
+    /** Returns whether an order may be sent to a target that rejects outdated fencing numbers. */
     boolean canSendOrder(long nowMillis) {
         return isHeld(nowMillis) && nowMillis < validUntilMillis - STOP_MARGIN_MILLIS;
     }
 
-    /** Tells whether an order may leave to a target that takes orders of anybody. */
+    /** Returns whether an order may be sent to a target that does not check fencing numbers. */
     boolean canSendUnfencedOrder(long nowMillis) {
         return canSendOrder(nowMillis) && nowMillis >= heldSinceMillis + MAX_ORDER_IN_FLIGHT_MILLIS;
     }
@@ -76,7 +82,7 @@
         return fencingNumber;
     }
 
-    /** Gives the lease up, because somebody else was seen to hold a newer one. */
+    /** Releases the lease locally, because it may have expired or another host holds a newer one. */
     void release(long nowMillis) {
         fencingNumber = 0;
         leaseId = 0;
@@ -115,8 +121,8 @@
         };
     }
 
-    void callReplied(long repliedCall, StoreReply reply, long nowMillis) {
-        if (callInFlight.isEmpty() || repliedCall != callInFlightId) {
+    void callReplied(long repliedCallId, StoreReply reply, long nowMillis) {
+        if (callInFlight.isEmpty() || repliedCallId != callInFlightId) {
             return;
         }
         Call call = callInFlight.get();
@@ -174,8 +180,8 @@
         if (call == Call.KEEP) {
             schedule(Call.KEEP, nowMillis + RENEW_RETRY_MILLIS);
         } else {
-            // A write whose answer was lost may have taken effect: the key then names this lease. Without reading it
-            // back, the region would have no controller until the lease lapses.
+            // A write whose reply was lost may have taken effect: the key then contains this lease. Without reading it
+            // back, the region would have no controller until the lease expires.
             schedule(Call.READ, nowMillis + backoff.delayMillis(random) / 2);
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
@@ -12,11 +12,11 @@
 import org.rattanplank.core.route.TargetLoad;
 
 /**
- * Brings the targets of one service to the version that is wanted, a few at a time.
+ * Moves the targets of one service to the wanted version, a few at a time.
  *
- * <p>Invariants: an order states the wanted end, so that it may be given again; the next target gets its order only when
- * one before it reports the version; while others of the service are silent, fewer are taken on, so that at least half
- * go on serving. Not thread safe.
+ * <p>Invariants: an order states the wanted result, so that it may be repeated; another target receives its order only
+ * when a pending one reports the version; while outdated targets of the service are unresponsive, fewer are started, so
+ * that at least half continue to serve. Not thread safe.
  */
 final class Rollout {
     private static final long MAX_REPORT_AGE_MILLIS = 10_000;
@@ -39,23 +39,25 @@
     private final Map<String, PendingOrder> pendingOrders = new TreeMap<>();
     private List<String> targets = List.of();
 
-    void targets(List<ListedHost> newer) {
-        targets = newer.stream().map(ListedHost::name).sorted().toList();
+    void targets(List<ListedHost> newTargets) {
+        targets = newTargets.stream().map(ListedHost::name).sorted().toList();
         reports.keySet().retainAll(targets);
         pendingOrders.keySet().retainAll(targets);
     }
 
     void targetReported(TargetLoad load) {
         reports.merge(
-                load.target(), load, (old, newer) -> newer.reportedAtMillis() >= old.reportedAtMillis() ? newer : old);
+                load.target(),
+                load,
+                (previous, latest) -> latest.reportedAtMillis() >= previous.reportedAtMillis() ? latest : previous);
     }
 
-    /** Forgets what was ordered, because another host may have given orders since. */
+    /** Clears all pending orders, because another host may have sent orders since. */
     void clearPendingOrders() {
         pendingOrders.clear();
     }
 
-    /** Takes the end of an order; tells whether it was one of this service. */
+    /** Handles the answer to an order; returns whether the order belongs to this service. */
     boolean orderAnswered(long orderId, OrderResult result, long nowMillis) {
         for (PendingOrder order : pendingOrders.values()) {
             if (order.orderId == orderId) {
@@ -74,16 +76,19 @@
         };
     }
 
-    /** Drops orders that are done or no longer wanted; gives the number of those that are not. */
+    /** Removes orders that are complete or no longer wanted; returns the number of orders that remain. */
     int removeCompleted(Service service) {
         pendingOrders.entrySet().removeIf(entry -> {
-            boolean other = !entry.getValue().version.equals(service.wantedVersion());
-            return other || hasLoaded(entry.getKey(), service.wantedVersion());
+            boolean outdated = !entry.getValue().version.equals(service.wantedVersion());
+            return outdated || hasLoaded(entry.getKey(), service.wantedVersion());
         });
         return pendingOrders.size();
     }
 
-    /** Finds the targets to order now, with at most so many new ones, and takes note of them. */
+    /**
+     * Selects the targets that are due for an order, at most {@code maxNew} of them new, and adds the new ones to the
+     * pending orders.
+     */
     List<String> selectDue(Service service, int maxNew, long nowMillis) {
         List<String> due = new ArrayList<>();
         pendingOrders.forEach((target, order) -> {
@@ -91,15 +96,17 @@
                 due.add(target);
             }
         });
-        int places = Math.min(maxNew, maxConcurrentLoads() - pendingOrders.size());
+        int available = Math.min(maxNew, maxConcurrentLoads() - pendingOrders.size());
         for (String target : targets) {
-            if (places <= 0 || !keepsHalfServing(nowMillis)) {
+            if (available <= 0 || !keepsHalfServing(nowMillis)) {
                 break;
             }
-            if (!pendingOrders.containsKey(target) && hasRecentReport(target, nowMillis) && !hasLoaded(target, service.wantedVersion())) {
+            if (!pendingOrders.containsKey(target)
+                    && hasRecentReport(target, nowMillis)
+                    && !hasLoaded(target, service.wantedVersion())) {
                 pendingOrders.put(target, new PendingOrder(service.wantedVersion()));
                 due.add(target);
-                places--;
+                available--;
             }
         }
         return due;
@@ -124,7 +131,8 @@
     }
 
     private boolean hasRecentReport(String target, long nowMillis) {
-        return reports.containsKey(target) && nowMillis - reports.get(target).reportedAtMillis() <= MAX_REPORT_AGE_MILLIS;
+        return reports.containsKey(target)
+                && nowMillis - reports.get(target).reportedAtMillis() <= MAX_REPORT_AGE_MILLIS;
     }
 
     private boolean hasLoaded(String target, String version) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -17,7 +17,10 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreReply;
 
-/** The claims of several hosts of one data centre over fake links and a fake store. Not thread safe. */
+/**
+ * Runs the claims of several hosts of one data centre over simulated connections and a simulated store. Not thread
+ * safe.
+ */
 final class ClaimCluster {
     static final long START_MILLIS = 1_000_000;
     static final Answer ANSWER = Answer.of(200, "text/plain", new byte[] {1});
@@ -85,7 +88,7 @@
         return processes.keySet();
     }
 
-    /** Starts a process, or one of a higher incarnation where another has ended. */
+    /** Starts a process, with a higher incarnation if an earlier one has terminated. */
     void start(String host) {
         long incarnation = incarnations.merge(host, 1L, Long::sum);
         processes.put(
@@ -98,7 +101,7 @@
         }
     }
 
-    /** Ends a process; what it sent is still on its way. */
+    /** Terminates a process; messages that it sent are still delivered. */
     void crash(String host) {
         processes.remove(host);
         paused.remove(host);
@@ -136,10 +139,10 @@
     }
 
     void healPartitions() {
-        Set<String> healed = new TreeSet<>(partitions);
+        Set<String> previousPartitions = new TreeSet<>(partitions);
         partitions.clear();
         for (FakeLink link : links.values()) {
-            if (healed.contains(pair(link.from, link.to)) && processes.containsKey(link.from)) {
+            if (previousPartitions.contains(pair(link.from, link.to)) && processes.containsKey(link.from)) {
                 link.items.add(new FakeLink.Item.Up(incarnations.get(link.from)));
             }
         }
@@ -150,11 +153,11 @@
         healPartitions();
     }
 
-    /** Ends the processes that were asked to leave and may stop. */
+    /** Terminates the leaving processes that may stop. */
     void stopLeftHosts() {
-        List<String> left =
+        List<String> finished =
                 leaving.stream().filter(host -> claims(host).hasLeft()).toList();
-        left.forEach(this::crash);
+        finished.forEach(this::crash);
     }
 
     void updateHostList(HostList list) {
@@ -186,7 +189,7 @@
         return host != null && processes.containsKey(host) && !paused.contains(host);
     }
 
-    /** Lets time pass, several ticks a second, and everything that is on its way arrive. */
+    /** Advances time by several ticks per second and delivers everything in flight after each. */
     void run(long millis) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
@@ -205,7 +208,7 @@
         }
     }
 
-    /** A host goes on dialling the others of its list, and is refused where no process listens. */
+    /** Simulates that a host keeps connecting to the hosts of its list and is refused where no process listens. */
     private void dialTerminatedHosts(String host) {
         for (String other : incarnations.keySet()) {
             if (!processes.containsKey(other) && !isPartitioned(host, other)) {
@@ -220,10 +223,10 @@
                 return;
             }
         }
-        throw new IllegalStateException("messages never end");
+        throw new IllegalStateException("messages are still in flight after 10,000 deliveries");
     }
 
-    /** Delivers the oldest thing on the first link that has one, else serves the oldest call to the store. */
+    /** Delivers the oldest item on the first link that has one, otherwise serves the oldest call to the store. */
     boolean deliverNext() {
         Option<FakeLink> next = nextLink();
         if (next.isDefined()) {
@@ -262,22 +265,22 @@
         return storeCalls.stream().anyMatch(call -> !paused.contains(call.host()));
     }
 
-    /** Serves the oldest call; its answer is lost if asked for. */
-    boolean serveStoreCall(boolean losingAnswer) {
+    /** Serves the oldest call to the store, optionally losing its reply. */
+    boolean serveStoreCall(boolean losesReply) {
         for (StoreCall call : storeCalls) {
             if (!paused.contains(call.host())) {
                 storeCalls.remove(call);
                 StoreReply reply = isPartitioned(call.host(), "store")
-                        ? new StoreReply.Unavailable("cut off")
+                        ? new StoreReply.Unavailable("the store is unreachable")
                         : store.apply(call.command());
-                replyToStoreCall(call, losingAnswer ? new StoreReply.Unsure("no answer came") : reply);
+                replyToStoreCall(call, losesReply ? new StoreReply.Unsure("no reply was received") : reply);
                 return true;
             }
         }
         return false;
     }
 
-    /** Loses the answer of the oldest call, whose effect comes only with {@link #applyDelayedWrites()}. */
+    /** Loses the reply to the oldest call, which takes effect only with {@link #applyDelayedWrites()}. */
     void delayStoreWrite() {
         StoreCall call = storeCalls.stream()
                 .filter(waiting -> !paused.contains(waiting.host()))
@@ -285,7 +288,7 @@
                 .orElseThrow();
         storeCalls.remove(call);
         delayedWrites.add(call.command());
-        replyToStoreCall(call, new StoreReply.Unsure("no answer came"));
+        replyToStoreCall(call, new StoreReply.Unsure("no reply was received"));
     }
 
     boolean hasDelayedWrites() {
@@ -306,8 +309,8 @@
     private void perform(String host, List<ClaimStep> steps) {
         for (ClaimStep step : steps) {
             if (step instanceof ClaimStep.Send send) {
-                boolean reaches = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
-                if (reaches) {
+                boolean delivered = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
+                if (delivered) {
                     link(host, send.host())
                             .items
                             .add(new FakeLink.Item.Message(incarnations.get(host), send.message()));
@@ -329,11 +332,11 @@
     }
 
     ClaimDecision decision(String requestId) {
-        List<ClaimDecision> made = decisions.getOrDefault(requestId, List.of());
-        if (made.size() != 1) {
-            throw new AssertionError(requestId + " has the decisions " + made);
+        List<ClaimDecision> recorded = decisions.getOrDefault(requestId, List.of());
+        if (recorded.size() != 1) {
+            throw new AssertionError(requestId + " must have exactly one decision but has " + recorded);
         }
-        return made.get(0);
+        return recorded.get(0);
     }
 
     private FakeLink link(String from, String to) {
@@ -348,7 +351,7 @@
         return !partitions.isEmpty();
     }
 
-    /** This cluster's own link between the ends of another cluster's. */
+    /** Returns the link of this cluster that corresponds to a link of another cluster. */
     FakeLink linkLike(FakeLink other) {
         return link(other.from, other.to);
     }
@@ -361,7 +364,7 @@
         return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
     }
 
-    /** All that decides what happens next. */
+    /** Returns all state that determines future behaviour; equal keys imply equal behaviour. */
     String stateKey() {
         StringBuilder text = new StringBuilder();
         processes.forEach(
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearch.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearch.java
@@ -9,16 +9,16 @@
 import io.vavr.control.Option;
 
 /**
- * A depth-first search over what may happen to the claims of a few hosts, on the core's own code.
+ * Searches depth-first over the possible events for the claims of a few hosts, running the production code.
  *
- * <p>Each step either lets the next thing arrive (a message, an answer of the store, or, when all is quiet, a tick of
- * one second), or is one choice of the search. Choices that are faults draw on a budget. Not thread safe.
+ * <p>Each step either delivers the next event (a message, a reply of the store, or, when nothing is in flight, a tick
+ * of one second), or is one choice of the search. Choices that are faults draw on a budget. Not thread safe.
  */
 final class ClaimSearch {
     private static final long TICK_MILLIS = 1_000;
     private static final int MAX_OPENS = 2;
 
-    /** Second run found; the steps that led to it. */
+    /** Steps that led to a second run of the key, if one was found. */
     private Option<List<String>> violation = Option.none();
 
     private final ClaimKey key;
@@ -46,17 +46,17 @@
     }
 
     /**
-     * Follows one way: each pick takes a choice, and the highest picks let the next thing arrive.
+     * Follows a single path: each pick selects a choice, and picks beyond the number of choices deliver the next event.
      *
      * @return the steps that were taken
      */
     List<String> followPicks(ClaimCluster cluster, List<Integer> picks, int faults) {
-        int left = faults;
+        int remainingFaults = faults;
         for (int pick : picks) {
             List<Choice> choices = choices(cluster);
             Choice choice = choices.get(pick < choices.size() ? pick : 0);
-            if (choice.cost() <= left) {
-                left -= choice.cost();
+            if (choice.cost() <= remainingFaults) {
+                remainingFaults -= choice.cost();
                 path.add(choice.name());
                 choice.effect().accept(cluster);
             }
@@ -77,7 +77,7 @@
         }
         visitedStates++;
         List<Choice> choices = choices(cluster);
-        // Faults come last in the list and are tried first, since a search that looks for harm finds it sooner so.
+        // Faults come last in the list and are tried first, since that finds violations sooner.
         for (int i = choices.size() - 1; i >= 0; i--) {
             Choice choice = choices.get(i);
             if (choice.cost() <= faults) {
@@ -130,7 +130,9 @@
         for (String id : List.copyOf(cluster.executedRequestIds)) {
             if (cluster.isRunning(id)) {
                 choices.add(new Choice(
-                        "answer " + id, 0, next -> next.settle(id, key, new ClaimResult.Answered(ClaimCluster.ANSWER))));
+                        "answer " + id,
+                        0,
+                        next -> next.settle(id, key, new ClaimResult.Answered(ClaimCluster.ANSWER))));
                 choices.add(new Choice("not run " + id, 0, next -> {
                     next.executedRequestIds.remove(id);
                     next.settle(id, key, new ClaimResult.NotRun());
@@ -142,7 +144,7 @@
             return;
         }
         for (String host : cluster.liveHosts()) {
-            // The first caller asks the first host: which name it has makes no difference.
+            // The first caller always uses the first host, since hosts are interchangeable at that point.
             if (!cluster.isPaused(host) && (opened > 0 || host.equals(hosts.get(0)))) {
                 choices.add(new Choice("open r" + opened + " at " + host, 0, next -> {
                     next.openCount++;
@@ -163,7 +165,7 @@
             }
         }
         if (cluster.hasDelayedWrites()) {
-            choices.add(new Choice("late write", 0, ClaimCluster::applyDelayedWrites));
+            choices.add(new Choice("apply delayed write", 0, ClaimCluster::applyDelayedWrites));
         }
         if (cluster.hasPartitions()) {
             choices.add(new Choice("heal", 0, ClaimCluster::healPartitions));
@@ -180,18 +182,18 @@
                 choices.add(new Choice("leave " + host, 1, next -> next.leave(host)));
             }
             if (!cluster.isPartitioned(host, "store")) {
-                choices.add(new Choice("cut store " + host, 1, next -> next.partitionFromStore(host)));
+                choices.add(new Choice("partition from store " + host, 1, next -> next.partitionFromStore(host)));
             }
         }
         for (String one : hosts) {
             for (String other : hosts) {
                 if (one.compareTo(other) < 0 && !cluster.isPartitioned(one, other)) {
-                    choices.add(new Choice("cut " + one + " " + other, 1, next -> next.partition(one, other)));
+                    choices.add(new Choice("partition " + one + " " + other, 1, next -> next.partition(one, other)));
                 }
             }
         }
         if (cluster.hasStoreCall()) {
-            choices.add(new Choice("lose store answer", 1, next -> next.serveStoreCall(true)));
+            choices.add(new Choice("lose store reply", 1, next -> next.serveStoreCall(true)));
             choices.add(new Choice("delay store write", 1, ClaimCluster::delayStoreWrite));
         }
         cluster.nextLink().filter(FakeLink::headIsMessage).forEach(link -> addMessageFaultChoices(link, choices));
@@ -201,6 +203,6 @@
         choices.add(new Choice(
                 "lose " + link.from + link.to, 1, next -> next.linkLike(link).dropHead()));
         choices.add(new Choice(
-                "postpone " + link.from + link.to, 1, next -> next.linkLike(link).delayHead()));
+                "delay " + link.from + link.to, 1, next -> next.linkLike(link).delayHead()));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimSearchTest.java
@@ -16,8 +16,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Looks for a second run of one key with two callers under crashes, pauses, splits of any pair of hosts or of a host and
- * the store, lost and late store answers, and lost and reordered messages.
+ * Searches for a second run of one key with two callers under crashes, pauses, partitions between any pair of hosts or
+ * between a host and the store, lost and delayed store replies, and lost and reordered messages.
  */
 class ClaimSearchTest {
     private static final List<String> HOSTS = List.of("a", "b", "c", "d");
@@ -33,18 +33,18 @@
         "4, 4, 0, 1, 11",
     })
     void shouldFindNoSecondRunWhenSurvivorIsRequired(
-            int members, int hosts, long keyMadeLaterMillis, int faults, int depth) {
+            int members, int hosts, long keyDelayMillis, int faults, int depth) {
         ClaimCluster cluster = cluster(TakeoverRule.SURVIVOR_REQUIRED, members);
-        ClaimSearch search = new ClaimSearch(HOSTS.subList(0, hosts), cluster.nowMillis + keyMadeLaterMillis);
+        ClaimSearch search = new ClaimSearch(HOSTS.subList(0, hosts), cluster.nowMillis + keyDelayMillis);
         assertEquals(Option.none(), search.run(cluster, faults, depth));
-        assertTrue(search.visitedStates > 1_000, "the search was cut short");
+        assertTrue(search.visitedStates > 1_000, "the search visited too few states");
     }
 
     @Test
     void shouldFindSecondRunWhenViewIsTakenOverFromUnreachableMembers() {
-        // Symptom: one booking is made at two hosts that cannot reach each other.
-        // Sequence: the search's own; the only member is cut off from a newcomer, which takes the view over.
-        // Cause: silence is taken for an end, and the old member still reaches callers and targets.
+        // Symptom: one booking is made by two hosts that cannot reach each other.
+        // Sequence: found by the search; the only member is partitioned from a new host, which takes the view over.
+        // Cause: an unreachable member is considered terminated, but still reaches callers and targets.
         ClaimCluster cluster = cluster(TakeoverRule.ON_SILENCE, 1);
         ClaimSearch search = new ClaimSearch(HOSTS.subList(0, 2), cluster.nowMillis + 3_000);
         Option<List<String>> found = search.run(cluster, 1, 20);
@@ -55,11 +55,11 @@
     void shouldRunOnceAndRecoverWhenMessagesAreLostDelayedOrReordered(
             @ForAll @IntRange(min = 1, max = 4) int members,
             @ForAll @IntRange(min = 2, max = 4) int hosts,
-            @ForAll @IntRange(max = 4) int keyMadeLaterSeconds,
+            @ForAll @IntRange(max = 4) int keyDelaySeconds,
             @ForAll @IntRange(max = 11) int faults,
             @ForAll @Size(min = 20, max = 300) List<@IntRange(max = 120) Integer> picks) {
         ClaimCluster cluster = cluster(TakeoverRule.SURVIVOR_REQUIRED, Math.min(members, hosts));
-        long keyMillis = cluster.nowMillis + 1_000L * keyMadeLaterSeconds;
+        long keyMillis = cluster.nowMillis + 1_000L * keyDelaySeconds;
         List<String> path = new ClaimSearch(HOSTS.subList(0, hosts), keyMillis).followPicks(cluster, picks, faults);
         cluster.repairAll();
         for (int i = 0; i < RECOVERY_SECONDS; i++) {
@@ -70,13 +70,13 @@
         }
         assertTrue(cluster.executedRequestIds.size() < 2, () -> "ran twice after " + path);
         assertTrue(
-                cluster.decisions.values().stream().allMatch(made -> made.size() == 1),
+                cluster.decisions.values().stream().allMatch(recorded -> recorded.size() == 1),
                 () -> "two outcomes after " + path);
         assertTrue(
                 cluster.liveHosts().stream()
                         .filter(host -> !cluster.isLeaving(host))
                         .allMatch(host -> cluster.claims(host).viewNumber() > 0),
-                () -> "a host is " + "still outside after " + path);
+                () -> "a host is still outside after " + path);
     }
 
     private static ClaimCluster cluster(TakeoverRule rule, int members) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
@@ -25,9 +25,9 @@
 
     @Test
     void shouldReplayStoredAnswerWhenHostIsKilledAfterAnswer() {
-        // Symptom: a fitter repeats a part booking at another host and the parts are ordered twice.
-        // Sequence: a books and answers, is killed, and the key comes again at b.
-        // Cause: only a knew the key and its answer.
+        // Symptom: a retried booking runs at another host and parts are ordered twice.
+        // Sequence: a runs the booking and answers, then is killed; b receives a retry with the same key.
+        // Cause: only a held the key and its answer.
         openAndExpectRun("a", "r1");
         cluster.settle("r1", key, ANSWERED);
         cluster.crash("a");
@@ -38,9 +38,9 @@
 
     @Test
     void shouldBeUnknownWhenHostIsKilledWhileItsCallRuns() {
-        // Symptom: a booking whose host died after the first byte to the target is made again at another host.
-        // Sequence: a is told to run and is killed; the key comes again at b and at c.
-        // Cause: the claim was held by the host that ran it alone.
+        // Symptom: a booking whose host died after the first byte to the target runs again at another host.
+        // Sequence: a is allowed to run and is killed; b and c receive retries.
+        // Cause: the claim was held only by the host that ran the call.
         openAndExpectRun("a", "r1");
         cluster.crash("a");
         assertInstanceOf(ClaimDecision.Unknown.class, retryAt("b"));
@@ -51,17 +51,17 @@
 
     @Test
     void shouldNeverRunAgainWhenWholeDataCentreIsLostWhileCallRuns() {
-        // Symptom: after a power cut of the data centre, repeated bookings are made a second time.
-        // Sequence: every host is lost while a booking runs; new processes start; the key comes again.
-        // Cause: the new hosts take their empty memory for a complete one.
+        // Symptom: after a power failure of the data centre, retried bookings run a second time.
+        // Sequence: every host terminates while a booking runs; new processes start; the key is retried.
+        // Cause: the new hosts consider their empty claim tables complete.
         openAndExpectRun("a", "r1");
         List.of("a", "b", "c").forEach(cluster::crash);
         List.of("a", "b", "c").forEach(cluster::start);
         cluster.run(RECOVERY_MILLIS);
         assertInstanceOf(ClaimDecision.Unknown.class, retryAt("b"));
         cluster.open("b", ClaimKey.of("floor", "no time in it"), "r3");
-        ClaimDecision.NotRun refused = assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r3"));
-        assertTrue(refused.retryAfterMillis() > ClaimLimits.defaults().retentionMillis() / 2);
+        ClaimDecision.NotRun rejected = assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r3"));
+        assertTrue(rejected.retryAfterMillis() > ClaimLimits.defaults().retentionMillis() / 2);
         cluster.run(3 * RECOVERY_MILLIS);
         cluster.open("c", key(cluster.nowMillis), "r4");
         cluster.deliverAll();
@@ -70,9 +70,10 @@
 
     @Test
     void shouldNotRunWhenPausedHostResumesInOldViewWithClaimInProgress() {
-        // Symptom: a host frozen for half a minute wakes and makes a booking that another host has made meanwhile.
-        // Sequence: the claim of r1 is on its way when a freezes; b and c go on without it and run r2; a wakes.
-        // Cause: a goes on in its old view, from which the others have removed it.
+        // Symptom: a host that was frozen for half a minute resumes and runs a booking that another host has run
+        // meanwhile.
+        // Sequence: the claim of r1 is in flight when a freezes; b and c continue without it and run r2; a resumes.
+        // Cause: a continues in its old view, from which the others have removed it.
         cluster.open("a", key, "r1");
         cluster.pause("a");
         cluster.open("b", key, "r2");
@@ -88,9 +89,11 @@
 
     @Test
     void shouldClaimWithoutStoreWhenNoMemberIsLostAndRejectWhenOneIs() {
-        // Symptom: bookings stop with the store, or, worse, a lost member's bookings are made again without it.
-        // Sequence: the store goes out; bookings and a newcomer come; then a member is killed, and the store is back.
-        // Cause: only the store can tell apart two halves that each take the other for lost.
+        // Symptom: bookings stop when the store is unavailable, or a lost member's bookings run again without the
+        // store.
+        // Sequence: the store becomes unavailable; bookings and a joining host arrive; then a member is killed, and the
+        // store recovers.
+        // Cause: only the store can decide between two halves that each consider the other lost.
         cluster.store.unavailable = true;
         openAndExpectRun("a", "r1");
         cluster.start("d");
@@ -98,8 +101,8 @@
         assertTrue(cluster.claims("d").viewNumber() > 0);
         cluster.crash("a");
         cluster.run(1_000);
-        ClaimKey fresh = key(cluster.nowMillis);
-        cluster.open("d", fresh, "r2");
+        ClaimKey newKey = key(cluster.nowMillis);
+        cluster.open("d", newKey, "r2");
         cluster.run(1_000);
         assertTrue(assertInstanceOf(ClaimDecision.NotRun.class, cluster.decision("r2"))
                         .retryAfterMillis()
@@ -108,16 +111,16 @@
         cluster.run(RECOVERY_MILLIS);
         cluster.open("d", key, "r3");
         assertInstanceOf(ClaimDecision.Unknown.class, cluster.decision("r3"));
-        cluster.open("b", fresh, "r4");
+        cluster.open("b", newKey, "r4");
         cluster.deliverAll();
         assertEquals(List.of("r1", "r4"), cluster.executedRequestIds);
     }
 
     @Test
     void shouldFormViewOnceWhenWriteTookEffectButAnswerWasLost() {
-        // Symptom: after a store's time-out two hosts each hold a view of their own, or none ever does again.
-        // Sequence: a is killed; the write that removes it takes effect and its answer is lost.
-        // Cause: the writer takes silence for failure and goes on in the old view.
+        // Symptom: after a time-out of the store two hosts each hold their own view, or no view is ever formed again.
+        // Sequence: a is killed; the write that removes it takes effect, but its reply is lost.
+        // Cause: the writer treats a missing reply as a failure and continues in the old view.
         openAndExpectRun("a", "r1");
         cluster.crash("a");
         cluster.run(300);
@@ -135,10 +138,10 @@
 
     @Test
     void shouldRunOnceWhenPartitionedHostReachesCallersButNotStore() {
-        // Symptom: hosts cut off from one another both make the same booking.
-        // Sequence: a is cut from b, c and the store but still reaches callers and targets; the key comes at both
-        // sides.
-        // Cause: one side takes the view over because the other is silent.
+        // Symptom: hosts that are partitioned from each other both run the same booking.
+        // Sequence: a is partitioned from b, c and the store but still reaches callers and targets; both sides receive
+        // the key.
+        // Cause: one side takes the view over because the other is unreachable.
         List.of("b", "c", "store").forEach(other -> partitionFromA(other));
         cluster.open("a", key, "r1");
         cluster.open("b", key, "r2");
@@ -152,9 +155,9 @@
 
     @Test
     void shouldNotTakeOverViewWhenOldMembersAreUnreachableButNotTerminated() {
-        // Symptom: a newcomer that cannot reach the old hosts makes bookings that they make too.
-        // Sequence: d starts, cut off from all; the old hosts are silent to it; only later does the list drop them.
-        // Cause: silence is taken for an end.
+        // Symptom: a new host that cannot reach the existing hosts runs bookings that they run too.
+        // Sequence: d starts partitioned from all other hosts; only later does the host list drop them.
+        // Cause: an unreachable host is considered terminated.
         cluster.updateHostList(hosts("a", "b", "c", "d"));
         List.of("a", "b", "c").forEach(other -> cluster.partition("d", other));
         cluster.start("d");
@@ -169,26 +172,26 @@
 
     @Test
     void shouldReadStoreBeforeClaimingWhenOnlyMemberWasPaused() {
-        // Symptom: a lone host that was frozen makes bookings beside the host that has replaced it.
-        // Sequence: b has taken over on the list's word that a was gone; a wakes and gets a key.
-        // Cause: alone in its view, a needs nobody's copy and does not notice that it was replaced.
-        ClaimCluster lone = ClaimCluster.of("a");
-        lone.updateHostList(hosts("a", "b"));
-        lone.pause("a");
-        lone.partition("a", "b");
-        lone.start("b");
-        lone.updateHostList(hosts("a", "b"));
-        lone.run(RECOVERY_MILLIS);
-        lone.run(ClaimLimits.defaults().hostListLagMillis());
-        lone.claims("b").listed(hosts("b"), lone.nowMillis);
-        lone.run(3 * RECOVERY_MILLIS);
-        assertTrue(lone.claims("b").viewNumber() > 0);
-        lone.resume("a");
-        ClaimKey fresh = key(lone.nowMillis);
-        lone.open("a", fresh, "r1");
-        lone.open("b", fresh, "r2");
-        lone.run(RECOVERY_MILLIS);
-        assertEquals(List.of("r2"), lone.executedRequestIds);
+        // Symptom: a single host that was frozen runs bookings beside the host that has replaced it.
+        // Sequence: b has taken over because the host list no longer contains a; a resumes and receives a key.
+        // Cause: as the only member of its view, a needs no acknowledgement and does not notice that it was replaced.
+        ClaimCluster single = ClaimCluster.of("a");
+        single.updateHostList(hosts("a", "b"));
+        single.pause("a");
+        single.partition("a", "b");
+        single.start("b");
+        single.updateHostList(hosts("a", "b"));
+        single.run(RECOVERY_MILLIS);
+        single.run(ClaimLimits.defaults().hostListLagMillis());
+        single.claims("b").listed(hosts("b"), single.nowMillis);
+        single.run(3 * RECOVERY_MILLIS);
+        assertTrue(single.claims("b").viewNumber() > 0);
+        single.resume("a");
+        ClaimKey newKey = key(single.nowMillis);
+        single.open("a", newKey, "r1");
+        single.open("b", newKey, "r2");
+        single.run(RECOVERY_MILLIS);
+        assertEquals(List.of("r2"), single.executedRequestIds);
     }
 
     @Test
@@ -208,9 +211,9 @@
 
     @Test
     void shouldReleaseClaimWhenRequestWasAbandonedBeforeItsGrantArrived() {
-        // Symptom: every repeat of a key waits until its deadline, though nothing runs.
-        // Sequence: r1 is given up on while its claim is copied; its right to run comes afterwards.
-        // Cause: the late right is dropped, and the members go on holding the key for r1.
+        // Symptom: every retry of a key waits until its deadline although nothing runs.
+        // Sequence: r1 is abandoned while its claim is replicated; its grant arrives afterwards.
+        // Cause: the late grant is dropped, and the members keep holding the key for r1.
         cluster.open("a", key, "r1");
         assertInstanceOf(ClaimDecision.NotRun.class, cluster.claims("a").abandon(key, "r1", cluster.nowMillis));
         cluster.run(1_000);
@@ -223,9 +226,9 @@
 
     @Test
     void shouldRejectWhenAbandonedRequestIsOpenedAgain() {
-        // Symptom: two hosts send each other claims as fast as they can, and the caller hears nothing.
-        // Sequence: a request is given up on; the same request comes to the same host again.
-        // Cause: its primary answers with the old end, at which the host asks again.
+        // Symptom: two hosts send each other claims as fast as they can, and the caller gets no response.
+        // Sequence: a request is abandoned; the same request arrives at the same host again.
+        // Cause: its primary returns the previous result, and the host sends its request again.
         for (String host : List.of("a", "b", "c")) {
             cluster.open(host, key, "r " + host);
             cluster.claims(host).abandon(key, "r " + host, cluster.nowMillis);
@@ -276,9 +279,10 @@
 
     @Test
     void shouldKeepClaimsWhenHostsLeaveInTurnWhileStoreIsUnavailable() {
-        // Symptom: after a rolling replacement during an outage of the store, a booking is made again.
-        // Sequence: the store is out; d joins; a, b and c leave in turn; c, the last that the store names, may not.
-        // Cause: once none that the store names is left, a new host finds them ended and starts a view of its own.
+        // Symptom: after a rolling replacement during an outage of the store, a booking runs again.
+        // Sequence: the store is unavailable; d joins; a, b and c leave in turn; c, the last member recorded in the
+        // store, may not leave.
+        // Cause: once no recorded member is left, a new host finds all of them terminated and starts its own view.
         openAndExpectRun("a", "r1");
         cluster.settle("r1", key, ANSWERED);
         cluster.store.unavailable = true;
@@ -344,8 +348,8 @@
                         .toList());
     }
 
-    static ClaimKey key(long madeAtMillis) {
-        return ClaimKey.of("floor", timestampedKey(madeAtMillis));
+    static ClaimKey key(long createdAtMillis) {
+        return ClaimKey.of("floor", timestampedKey(createdAtMillis));
     }
 
     static String timestampedKey(long millis) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeLink.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeLink.java
@@ -6,17 +6,17 @@
 import io.vavr.control.Option;
 import org.rattanplank.schema.message.ClaimMessage;
 
-/** What is on its way from one host to another, oldest first. Not thread safe. */
+/** Items in flight from one host to another, oldest first. Not thread safe. */
 final class FakeLink {
-    /** Something that the far end will notice. Immutable and thread safe. */
+    /** Item that the receiving host observes. Immutable and thread safe. */
     sealed interface Item {
-        /** A message of a process. Immutable and thread safe. */
+        /** Message from a process. Immutable and thread safe. */
         record Message(long incarnation, ClaimMessage content) implements Item {}
 
-        /** The link is up. Immutable and thread safe. */
+        /** Connection established. Immutable and thread safe. */
         record Up(long incarnation) implements Item {}
 
-        /** The link is down. Immutable and thread safe. */
+        /** Connection lost. Immutable and thread safe. */
         record Down(boolean refused) implements Item {}
     }
 
@@ -35,17 +35,17 @@
         return copy;
     }
 
-    /** Loses the oldest message. */
+    /** Drops the oldest message. */
     void dropHead() {
         items.poll();
     }
 
-    /** Lets the oldest item arrive after all others. */
+    /** Moves the oldest item behind all others. */
     void delayHead() {
         Option.of(items.poll()).forEach(items::add);
     }
 
-    /** Lets the oldest item arrive now and once more after all others. */
+    /** Delivers the oldest item twice: now and again after all others. */
     void duplicateHead() {
         Option.of(items.peek()).forEach(items::add);
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
@@ -7,7 +7,7 @@
 import org.rattanplank.core.store.StoreEntry;
 import org.rattanplank.core.store.StoreReply;
 
-/** One key of a store with compare-and-swap. Not thread safe. */
+/** Simulates one key of a store with compare-and-swap. Not thread safe. */
 final class FakeStore {
     private Option<StoreEntry> entry = Option.none();
     private long revision;
@@ -25,7 +25,7 @@
 
     StoreReply apply(StoreCommand command) {
         if (unavailable) {
-            return new StoreReply.Unavailable("the store is out");
+            return new StoreReply.Unavailable("the store is unavailable");
         }
         if (command instanceof StoreCommand.Put put) {
             return put(put);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -41,7 +41,7 @@
     private long nowMillis = 1_000;
     private int maxConcurrentLoads;
 
-    /** A target that serves one version, and nothing while it loads another. */
+    /** Simulated target that serves one version, and nothing while it loads another. */
     private static final class FakeTarget {
         String version = "plank@1";
         String loading = "";
@@ -49,8 +49,8 @@
         long fencingNumber;
         int loads;
 
-        OrderResult order(ControlStep.Order order, boolean checks, long nowMillis) {
-            if (checks && order.fencingNumber() < fencingNumber) {
+        OrderResult order(ControlStep.Order order, boolean checkFencing, long nowMillis) {
+            if (checkFencing && order.fencingNumber() < fencingNumber) {
                 return OrderResult.FENCED;
             }
             fencingNumber = Math.max(fencingNumber, order.fencingNumber());
@@ -85,7 +85,7 @@
         run(20_000);
         targets.values().forEach(target -> assertEquals("plank@2", target.version));
         assertEquals(1, maxConcurrentLoads);
-        targets.values().forEach(target -> assertEquals(1, target.loads, "orders are not given without need"));
+        targets.values().forEach(target -> assertEquals(1, target.loads, "orders are not sent without need"));
     }
 
     @Test
@@ -99,7 +99,7 @@
         run(15_000);
         setWantedVersion("plank@2");
         run(15_000);
-        assertEquals(0, targets.get("plank-0").loads, "the last that serves is left alone");
+        assertEquals(0, targets.get("plank-0").loads, "the last serving target receives no order");
     }
 
     @Test
@@ -115,8 +115,9 @@
 
     @Test
     void shouldSendNoOrderWhenStoreIsUnavailableLongerThanLease() {
-        // Symptom: two controllers give a region's targets opposite orders. Sequence: the holder cannot reach the
-        // store, its lease lapses there, another takes it. Cause: a holder that believes in its lease until told.
+        // Symptom: two controllers send conflicting orders to the targets of a region.
+        // Sequence: the holder cannot reach the store, its lease expires there, and another host acquires it.
+        // Cause: the holder relies on its lease until it is notified.
         start(2, "suva-1");
         run(15_000);
         fault = FakeStore.Fault.DOWN;
@@ -132,9 +133,10 @@
 
     @Test
     void shouldRejectOldOrderWhenHolderWasFrozenAndTargetsCheckFencing() {
-        // Symptom: a target goes back to the version before. Sequence: the holder is frozen with an order half sent;
-        // its lease lapses; the successor rolls a newer version; the first wakes and its order arrives. Cause: an
-        // order that carries no fencing number.
+        // Symptom: a target returns to the previous version.
+        // Sequence: the holder is frozen with an order in flight; its lease expires; the successor rolls out a newer
+        // version; the first holder resumes and its order arrives.
+        // Cause: the order carries no fencing number.
         checksFencing = true;
         freezeHolderWithOrderInFlight();
         FakeTarget target = targets.get(delayedOrders.get(0).target());
@@ -145,8 +147,9 @@
 
     @Test
     void shouldCorrectTargetWhenHolderWasFrozenAndTargetsIgnoreFencing() {
-        // Symptom, sequence as above; the target cannot tell. Cause: a controller that orders once and never reads the
-        // target back.
+        // Symptom: a target that ignores fencing numbers returns to the previous version.
+        // Sequence: as for targets that check fencing.
+        // Cause: a controller orders once and never verifies the state of the target.
         freezeHolderWithOrderInFlight();
         FakeTarget target = targets.get(delayedOrders.get(0).target());
         target.order(delayedOrders.get(0), false, nowMillis);
@@ -171,8 +174,10 @@
         assertFalse(first.equals(holder()), "a successor holds the lease");
         targets.values().forEach(target -> assertEquals("plank@3", target.version));
         frozenHosts.clear();
-        List<ControlStep> woken = controllers.get(first).tick(nowMillis);
-        assertTrue(woken.stream().noneMatch(ControlStep.Order.class::isInstance), "the woken holder orders nothing");
+        List<ControlStep> resumedActions = controllers.get(first).tick(nowMillis);
+        assertTrue(
+                resumedActions.stream().noneMatch(ControlStep.Order.class::isInstance),
+                "the resumed holder sends no order");
     }
 
     private void start(int count, String... hosts) {
