--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimState.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimState.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * State of a claim, in ascending order of certainty: when two states of one request are merged, the later constant
- * wins.
+ * State of a claim. When two states of one request are merged, a settled state stays, and otherwise the later constant
+ * wins, so that a known result replaces an assumed one.
  */
 enum ClaimState {
     /** A request holds the key and may run its call. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimTable.java
@@ -86,9 +86,9 @@
     }
 
     private boolean mergeSameRequest(Claim held, Claim claim) {
-        Claim known = moreDefinite(held, claim);
+        Claim definite = moreDefinite(held, claim);
         Claim newest = held.isOrderedBefore(claim) ? claim : held;
-        Claim merged = known.withOrder(newest.viewNumber(), newest.sequence());
+        Claim merged = definite.withOrder(newest.viewNumber(), newest.sequence());
         return !merged.equals(held) && put(merged);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimView.java
@@ -18,7 +18,7 @@
  */
 record ClaimView(String dataCentre, long number, long completeFromMillis, String changeId, List<ViewMemberId> members) {
     /**
-     * Increment of the number when a view is formed without any member of the previous view. Changes made newMember consent,
+     * Increment of the number when a view is formed without any member of the previous view. Changes made by consent,
      * without the store, may have used the next few numbers; two views with one number would accept copies from each
      * other.
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
@@ -21,7 +21,7 @@
 /**
  * Reconciles the targets of a region with the configuration while this host holds the lease of the region.
  *
- * <p>Invariant: no order is sent after the lease allowed have expired by the clock of this host. Thread safe; one lock
+ * <p>Invariant: no order is sent after the lease may have expired by the clock of this host. Thread safe; one lock
  * guards all state, and no other lock is taken while it is held.
  */
 public final class Controller {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
@@ -15,7 +15,7 @@
  * Moves the targets of one service to the wanted version, a few at a time.
  *
  * <p>Invariants: an order states the wanted result, so that it may be repeated; another target receives its order only
- * when a pending one reports the version; while outdated targets of the service are unresponsive, fewer are started, so
+ * when a pending one reports the version; while other targets of the service are unresponsive, fewer are started, so
  * that at least half continue to serve. Not thread safe.
  */
 final class Rollout {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -117,7 +117,7 @@
     void shouldSendNoOrderWhenStoreIsUnavailableLongerThanLease() {
         // Symptom: two controllers send conflicting orders to the targets of a region.
         // Sequence: the holder cannot reach the store, its lease expires there, and another host acquires it.
-        // Cause: the holder relies on its lease until it is notified.
+        // Cause: the holder considers its lease valid until it observes the loss.
         start(2, "suva-1");
         run(15_000);
         fault = FakeStore.Fault.DOWN;
