--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
@@ -434,7 +434,7 @@
             return;
         }
         ClaimView view = viewManager.activeView().get();
-        Failure reason = failure("the host that ran the call was removed from the view");
+        Failure reason = failure("the host that ran the call was lost");
         table.all().stream()
                 .filter(claim -> claim.state() == ClaimState.RUNNING && !view.contains(claim.runner()))
                 .forEach(claim -> mergeClaim(claim.unknown(reason)));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Returns whether no claim can be granted until the store recovers: the store is unavailable, and either no member
-     * is reachable, or a member is lost and only the store could remove it.
+     * Returns whether no claim can be granted until the store recovers: the store is unavailable, and either no other
+     * member can be asked, or a member is lost and only the store could remove it.
      */
     boolean isClaimingBlocked(long nowMillis) {
         if (!store.isUnavailable()) {
@@ -586,7 +586,7 @@
         }
     }
 
-    /** Installs a view that this host has just formed and sends it to the members of both views. */
+    /** Installs a view that this host has just formed and sends it to the members of the previous and the new view. */
     private void installFormed(ClaimView formed, long nowMillis, ActionList out) {
         Set<String> others = new TreeSet<>();
         view.forEach(previous -> previous.others(self).forEach(member -> others.add(member.host())));
