--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
@@ -28,33 +28,38 @@
 import org.rattanplank.schema.message.ViewWithdraw;
 
 /**
- * Keeps calls that may not be repeated from running twice.
+ * Executes calls with an idempotency key at most once.
  *
- * <p>Invariant: of all requests with one key, at most one is told to run unless its call surely did not run. A host
- * acts only in a view that it shares with all other members; see docs/AT-MOST-ONCE.md. Thread safe; one lock guards all
- * state, and no other lock is taken while it is held.
+ * <p>Invariant: of all requests with one key, at most one may run unless its call definitely did not run. A host is
+ * active only in a view that it shares with all other members; see docs/AT-MOST-ONCE.md. Thread safe; one lock guards
+ * all state, and no other lock is taken while it is held.
  */
 public final class Claims {
     private final ReentrantLock lock = new ReentrantLock();
-    private final Opener opener;
+    private final RequestIdQualifier requestIdQualifier;
     private final ClaimLimits limits;
     private final ClaimTable table;
-    private final ViewKeeper keeper;
-    private final ClaimDesk desk;
-    private boolean leftInTime;
+    private final ViewManager viewManager;
+    private final ClaimCoordinator coordinator;
+    private boolean leaveTimedOut;
 
-    private Claims(Opener opener, ClaimLimits limits, ClaimTable table, ViewKeeper keeper, ClaimDesk desk) {
-        this.opener = opener;
+    private Claims(
+            RequestIdQualifier requestIdQualifier,
+            ClaimLimits limits,
+            ClaimTable table,
+            ViewManager viewManager,
+            ClaimCoordinator coordinator) {
+        this.requestIdQualifier = requestIdQualifier;
         this.limits = limits;
         this.table = table;
-        this.keeper = keeper;
-        this.desk = desk;
+        this.viewManager = viewManager;
+        this.coordinator = coordinator;
     }
 
     /**
-     * Makes the claims of a host that holds none.
+     * Creates an empty claim registry with default limits.
      *
-     * @param self the host
+     * @param self the identity of this process
      * @return the claims
      */
     public static Claims of(NodeIdentity self) {
@@ -62,9 +67,9 @@
     }
 
     /**
-     * Makes the claims of a host that holds none.
+     * Creates an empty claim registry.
      *
-     * @param self the host
+     * @param self the identity of this process
      * @param limits the bounds on time and memory
      * @return the claims
      */
@@ -72,260 +77,267 @@
         return of(self, limits, TakeoverRule.SURVIVOR_REQUIRED);
     }
 
-    static Claims of(NodeIdentity self, ClaimLimits limits, TakeoverRule rule) {
+    static Claims of(NodeIdentity self, ClaimLimits limits, TakeoverRule takeoverRule) {
         ClaimTable table = new ClaimTable(limits);
-        ViewKeeper keeper = new ViewKeeper(self, limits, rule, table);
-        return new Claims(Opener.of(self), limits, table, keeper, new ClaimDesk(keeper, table, limits));
+        ViewManager viewManager = new ViewManager(self, limits, takeoverRule, table);
+        return new Claims(
+                RequestIdQualifier.of(self),
+                limits,
+                table,
+                viewManager,
+                new ClaimCoordinator(viewManager, table, limits));
     }
 
     Claims copy() {
         lock.lock();
         try {
             ClaimTable copiedTable = table.copy();
-            ViewKeeper copiedKeeper = keeper.copy(copiedTable);
-            ClaimDesk copiedDesk = desk.copy(copiedKeeper, copiedTable);
-            Claims copy = new Claims(opener, limits, copiedTable, copiedKeeper, copiedDesk);
-            copy.leftInTime = leftInTime;
+            ViewManager copiedViewManager = viewManager.copy(copiedTable);
+            ClaimCoordinator copiedCoordinator = coordinator.copy(copiedViewManager, copiedTable);
+            Claims copy = new Claims(requestIdQualifier, limits, copiedTable, copiedViewManager, copiedCoordinator);
+            copy.leaveTimedOut = leaveTimedOut;
             return copy;
         } finally {
             lock.unlock();
         }
     }
 
-    /** All that decides what this host does next, but for the time; equal texts mean equal futures. */
-    String describe() {
+    /** Returns all state that determines future behaviour, except times; equal keys imply equal behaviour. */
+    String stateKey() {
         lock.lock();
         try {
-            return keeper.describe() + " | " + desk.describe();
+            return viewManager.stateKey() + " | " + coordinator.stateKey();
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Asks what a request with a key may do; the decision comes in these steps or in later ones.
+     * Opens a request with an idempotency key; the decision is among the returned actions or among later ones.
      *
-     * @param key the key
+     * @param key the idempotency key
      * @param requestId the request
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> open(ClaimKey key, String requestId, long nowMillis) {
-        return apply(nowMillis, out -> desk.open(key, opener.nameOf(requestId), nowMillis, out));
+        return apply(nowMillis, out -> coordinator.open(key, requestIdQualifier.qualify(requestId), nowMillis, out));
     }
 
     /**
-     * Records how the call of a request that was told to run has ended.
+     * Records the result of the call of a request that was allowed to run.
      *
-     * @param key the key
-     * @param requestId the request that ran it
-     * @param result how it ended
-     * @param nowMillis the time
-     * @return what to do
+     * @param key the idempotency key
+     * @param requestId the request that ran the call
+     * @param result the result of the call
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> settle(ClaimKey key, String requestId, ClaimResult result, long nowMillis) {
-        return apply(nowMillis, out -> desk.settle(key, opener.nameOf(requestId), result, nowMillis, out));
+        return apply(
+                nowMillis,
+                out -> coordinator.settle(key, requestIdQualifier.qualify(requestId), result, nowMillis, out));
     }
 
     /**
-     * Gives up waiting for the decision on a request, because its deadline has passed.
+     * Abandons a request that waits for a decision, because its deadline has passed.
      *
-     * @param key the key
-     * @param requestId the request that waits
-     * @param nowMillis the time
-     * @return not run if this request's key has surely not run, unknown otherwise; never run
+     * @param key the idempotency key
+     * @param requestId the waiting request
+     * @param nowMillis the current time
+     * @return not run if the call of the key definitely has not run for this request, unknown otherwise; never run
      */
     public ClaimDecision abandon(ClaimKey key, String requestId, long nowMillis) {
         lock.lock();
         try {
-            return desk.abandon(key, opener.nameOf(requestId), nowMillis);
+            return coordinator.abandon(key, requestIdQualifier.qualify(requestId), nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes a message of another host of the data centre.
+     * Handles a message from another host of the data centre.
      *
-     * @param host the other host
-     * @param incarnation the other process's start time
+     * @param host the sender
+     * @param incarnation the start time of the sending process
      * @param message the message
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> receive(String host, long incarnation, ClaimMessage message, long nowMillis) {
         return apply(nowMillis, out -> {
-            keeper.heard(host, incarnation);
+            viewManager.messageReceived(host, incarnation);
             dispatch(host, incarnation, message, nowMillis, out);
         });
     }
 
     /**
-     * Takes the end of a call to the store.
+     * Handles the reply to a call to the store.
      *
      * @param callId the call
-     * @param reply its end
-     * @param nowMillis the time
-     * @return what to do
+     * @param reply the reply
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
-        return apply(nowMillis, out -> keeper.storeReplied(callId, reply, nowMillis, out));
+        return apply(nowMillis, out -> viewManager.storeReplied(callId, reply, nowMillis, out));
     }
 
     /**
-     * Takes changes of the view's record in the store.
+     * Handles changes of the view record in the store.
      *
      * @param entries the entries that were written
-     * @param revision the store's revision after them
-     * @param nowMillis the time
-     * @return what to do
+     * @param revision the revision of the store after the changes
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
-        return apply(nowMillis, out -> keeper.storeChanged(entries, nowMillis));
+        return apply(nowMillis, out -> viewManager.storeChanged(entries, nowMillis));
     }
 
     /**
-     * Takes note that a link to a host of the data centre is up.
+     * Records that a connection to a host of the data centre is up.
      *
      * @param host the other host
-     * @param incarnation the other process's start time
-     * @param nowMillis the time
-     * @return what to do
+     * @param incarnation the start time of the other process
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> connected(String host, long incarnation, long nowMillis) {
-        return apply(nowMillis, out -> keeper.connected(host, incarnation));
+        return apply(nowMillis, out -> viewManager.connected(host, incarnation));
     }
 
     /**
-     * Takes note that a link to a host of the data centre broke.
+     * Records that the connection to a host of the data centre is lost.
      *
      * @param host the other host
-     * @param refused whether the host's address refused the connection, so that no process listens there
-     * @param nowMillis the time
-     * @return what to do
+     * @param refused whether the address of the host refused the connection, so that no process listens there
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> lost(String host, boolean refused, long nowMillis) {
-        return apply(nowMillis, out -> keeper.lost(host, refused, nowMillis));
+        return apply(nowMillis, out -> viewManager.disconnected(host, refused, nowMillis));
     }
 
     /**
-     * Takes the platform's list of hosts.
+     * Handles a new list of hosts from the platform.
      *
      * @param list the list
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> listed(HostList list, long nowMillis) {
-        return apply(nowMillis, out -> keeper.listed(list, nowMillis));
+        return apply(nowMillis, out -> viewManager.hostListUpdated(list, nowMillis));
     }
 
     /**
-     * Begins to leave the view; {@link #hasLeft()} tells when that is done.
+     * Starts to leave the view; {@link #hasLeft()} returns true once that is complete.
      *
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> leave(long nowMillis) {
-        return apply(nowMillis, out -> keeper.leave(nowMillis));
+        return apply(nowMillis, out -> viewManager.leave(nowMillis));
     }
 
     /**
-     * Tells whether this host no longer holds claims that others need.
+     * Returns whether this host no longer holds claims that other hosts need, or the time limit for leaving has passed.
      *
-     * @return whether it may stop
+     * @return whether this process may stop
      */
     public boolean hasLeft() {
         lock.lock();
         try {
-            return leftInTime || (keeper.hasLeft() && desk.areResultsKnown());
+            return leaveTimedOut || (viewManager.hasLeft() && coordinator.areResultsAcknowledged());
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Tells whether this host can claim now.
+     * Returns the number of the view in which this host can claim now.
      *
-     * @return the number of the view that it is in, or zero
+     * @return the view number, or zero if this host is active in no view
      */
     public long viewNumber() {
         lock.lock();
         try {
-            return keeper.active().map(ClaimView::number).getOrElse(0L);
+            return viewManager.activeView().map(ClaimView::number).getOrElse(0L);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Lets time pass.
+     * Advances time.
      *
-     * @param nowMillis the time
-     * @return what to do
+     * @param nowMillis the current time
+     * @return the actions to perform
      */
     public List<ClaimStep> tick(long nowMillis) {
         return apply(nowMillis, out -> {
-            keeper.tick(desk.areResultsKnown(), nowMillis, out);
-            desk.follow(nowMillis, out);
-            desk.tick(nowMillis, out);
-            leftInTime = leftInTime || keeper.isLeavingSince(limits.leaveTimeoutMillis(), nowMillis);
+            viewManager.tick(coordinator.areResultsAcknowledged(), nowMillis, out);
+            coordinator.followView(nowMillis, out);
+            coordinator.tick(nowMillis, out);
+            leaveTimedOut = leaveTimedOut || viewManager.hasBeenLeavingFor(limits.leaveTimeoutMillis(), nowMillis);
         });
     }
 
-    private List<ClaimStep> apply(long nowMillis, Consumer<StepList> change) {
+    private List<ClaimStep> apply(long nowMillis, Consumer<ActionList> change) {
         lock.lock();
         try {
-            StepList out = new StepList();
-            keeper.noticeTime(nowMillis, out);
+            ActionList out = new ActionList();
+            viewManager.detectPause(nowMillis, out);
             change.accept(out);
-            desk.follow(nowMillis, out);
-            return opener.withRequestIds(out.toList());
+            coordinator.followView(nowMillis, out);
+            return requestIdQualifier.unqualifyAll(out.toList());
         } finally {
             lock.unlock();
         }
     }
 
-    private void dispatch(String host, long incarnation, ClaimMessage message, long nowMillis, StepList out) {
+    private void dispatch(String host, long incarnation, ClaimMessage message, long nowMillis, ActionList out) {
         if (message instanceof ClaimOpen open) {
-            desk.receiveOpen(host, incarnation, open, nowMillis, out);
+            coordinator.receiveOpen(host, incarnation, open, nowMillis, out);
         } else if (message instanceof ClaimCopy copy) {
-            desk.receiveCopy(host, incarnation, copy, out);
+            coordinator.receiveCopy(host, incarnation, copy, out);
         } else if (message instanceof ClaimCopied copied) {
-            desk.receiveCopied(host, incarnation, copied, nowMillis, out);
+            coordinator.receiveCopied(host, incarnation, copied, nowMillis, out);
         } else if (message instanceof ClaimGrant grant) {
-            desk.receiveGrant(grant, nowMillis, out);
+            coordinator.receiveGrant(grant, nowMillis, out);
         } else if (message instanceof ClaimSettle settle) {
-            desk.receiveSettle(host, settle, nowMillis, out);
+            coordinator.receiveSettle(host, settle, nowMillis, out);
         } else if (message instanceof ClaimSettled settled) {
-            desk.receiveSettled(host, settled);
+            coordinator.receiveSettled(host, settled);
         } else if (message instanceof ClaimAsk ask) {
-            desk.receiveAsk(host, ask, nowMillis, out);
+            coordinator.receiveAsk(host, ask, nowMillis, out);
         } else {
             dispatchView(host, incarnation, message, nowMillis, out);
         }
     }
 
-    private void dispatchView(String host, long incarnation, ClaimMessage message, long nowMillis, StepList out) {
+    private void dispatchView(String host, long incarnation, ClaimMessage message, long nowMillis, ActionList out) {
         if (message instanceof ViewInstall install) {
-            keeper.receiveInstall(host, install, nowMillis, out);
+            viewManager.receiveInstall(host, install, nowMillis, out);
         } else if (message instanceof ViewInstalled installed) {
-            keeper.receiveInstalled(host, installed.viewNumber());
+            viewManager.receiveInstalled(host, installed.viewNumber());
         } else if (message instanceof ViewAsk ask) {
-            keeper.receiveAsk(host, ask, out);
+            viewManager.receiveAsk(host, ask, out);
         } else if (message instanceof ViewPropose propose) {
-            keeper.receivePropose(host, incarnation, propose, out);
+            viewManager.receivePropose(host, incarnation, propose, out);
         } else if (message instanceof ViewConsent consent) {
-            keeper.receiveConsent(host, consent, nowMillis, out);
+            viewManager.receiveConsent(host, consent, nowMillis, out);
         } else if (message instanceof ViewWithdraw withdraw) {
-            keeper.receiveWithdraw(withdraw.changeId());
+            viewManager.receiveWithdraw(withdraw.changeId());
         } else if (message instanceof ViewLeave) {
-            keeper.receiveLeave(host, incarnation);
+            viewManager.receiveLeave(host, incarnation);
         } else if (message instanceof ViewJoin join) {
-            keeper.receiveJoin(host, incarnation, join, out);
+            viewManager.receiveJoin(host, incarnation, join, out);
         } else if (message instanceof ViewSync sync) {
-            keeper.receiveSync(host, sync, out);
+            viewManager.receiveSync(host, sync, out);
         } else if (message instanceof ViewSynced synced) {
-            keeper.receiveSynced(host, synced, nowMillis, out);
+            viewManager.receiveSynced(host, synced, nowMillis, out);
         }
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -17,7 +17,10 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreReply;
 
-/** The claims of several hosts of one data centre over fake links and a fake store. Not thread safe. */
+/**
+ * Runs the claims of several hosts of one data centre over simulated connections and a simulated store. Not thread
+ * safe.
+ */
 final class ClaimCluster {
     static final long START_MILLIS = 1_000_000;
     static final Answer ANSWER = Answer.of(200, "text/plain", new byte[] {1});
@@ -30,16 +33,16 @@
     private final Map<String, Claims> processes = new TreeMap<>();
     private final Map<String, Long> incarnations = new TreeMap<>();
     private final Deque<StoreCall> storeCalls = new ArrayDeque<>();
-    private final List<StoreCommand> lateWrites = new ArrayList<>();
-    private final Set<String> paused = new TreeSet<>();
-    private final Set<String> cuts = new TreeSet<>();
-    private final Set<String> leaving = new TreeSet<>();
+    private final List<StoreCommand> delayedWrites = new ArrayList<>();
+    private final Set<String> pausedHosts = new TreeSet<>();
+    private final Set<String> partitions = new TreeSet<>();
+    private final Set<String> leavingHosts = new TreeSet<>();
     final FakeStore store;
-    final List<String> ledger = new ArrayList<>();
+    final List<String> executedRequestIds = new ArrayList<>();
     final Map<String, List<ClaimDecision>> decisions = new TreeMap<>();
     private final Map<String, String> runners = new TreeMap<>();
     long nowMillis = START_MILLIS;
-    int opened;
+    int openCount;
 
     ClaimCluster(TakeoverRule rule, ClaimLimits limits) {
         this.rule = rule;
@@ -55,15 +58,15 @@
         other.processes.forEach((name, claims) -> processes.put(name, claims.copy()));
         incarnations.putAll(other.incarnations);
         storeCalls.addAll(other.storeCalls);
-        lateWrites.addAll(other.lateWrites);
-        paused.addAll(other.paused);
-        cuts.addAll(other.cuts);
-        leaving.addAll(other.leaving);
-        ledger.addAll(other.ledger);
+        delayedWrites.addAll(other.delayedWrites);
+        pausedHosts.addAll(other.pausedHosts);
+        partitions.addAll(other.partitions);
+        leavingHosts.addAll(other.leavingHosts);
+        executedRequestIds.addAll(other.executedRequestIds);
         other.decisions.forEach((id, list) -> decisions.put(id, new ArrayList<>(list)));
         runners.putAll(other.runners);
         nowMillis = other.nowMillis;
-        opened = other.opened;
+        openCount = other.openCount;
     }
 
     static ClaimCluster of(String... hosts) {
@@ -81,48 +84,48 @@
         return processes.get(host);
     }
 
-    Set<String> live() {
+    Set<String> liveHosts() {
         return processes.keySet();
     }
 
-    /** Starts a process, or one of a higher incarnation where another has ended. */
+    /** Starts a process, with a higher incarnation if an earlier one has terminated. */
     void start(String host) {
         long incarnation = incarnations.merge(host, 1L, Long::sum);
         processes.put(
                 host, Claims.of(new NodeIdentity(host, incarnation, Place.of("suva", "suva-hall")), limits, rule));
         for (String other : processes.keySet()) {
-            if (!other.equals(host) && !isCut(host, other)) {
+            if (!other.equals(host) && !isPartitioned(host, other)) {
                 link(host, other).items.add(new FakeLink.Item.Up(incarnation));
                 link(other, host).items.add(new FakeLink.Item.Up(incarnations.get(other)));
             }
         }
     }
 
-    /** Ends a process; what it sent is still on its way. */
+    /** Terminates a process; messages that it sent are still delivered. */
     void crash(String host) {
         processes.remove(host);
-        paused.remove(host);
-        leaving.remove(host);
-        storeCalls.stream().filter(call -> call.host().equals(host)).forEach(call -> lateWrites.add(call.command()));
+        pausedHosts.remove(host);
+        leavingHosts.remove(host);
+        storeCalls.stream().filter(call -> call.host().equals(host)).forEach(call -> delayedWrites.add(call.command()));
         storeCalls.removeIf(call -> call.host().equals(host));
         for (String other : processes.keySet()) {
             link(other, host).items.clear();
-            if (!isCut(host, other)) {
+            if (!isPartitioned(host, other)) {
                 link(host, other).items.add(new FakeLink.Item.Down(true));
             }
         }
     }
 
     void pause(String host) {
-        paused.add(host);
+        pausedHosts.add(host);
     }
 
     void resume(String host) {
-        paused.remove(host);
+        pausedHosts.remove(host);
     }
 
-    void cut(String one, String other) {
-        if (!cuts.add(pair(one, other))) {
+    void partition(String one, String other) {
+        if (!partitions.add(pair(one, other))) {
             return;
         }
         for (FakeLink link : List.of(link(one, other), link(other, one))) {
@@ -131,106 +134,106 @@
         }
     }
 
-    void cutStore(String host) {
-        cuts.add(pair(host, "store"));
+    void partitionFromStore(String host) {
+        partitions.add(pair(host, "store"));
     }
 
-    void heal() {
-        Set<String> healed = new TreeSet<>(cuts);
-        cuts.clear();
+    void healPartitions() {
+        Set<String> previousPartitions = new TreeSet<>(partitions);
+        partitions.clear();
         for (FakeLink link : links.values()) {
-            if (healed.contains(pair(link.from, link.to)) && processes.containsKey(link.from)) {
+            if (previousPartitions.contains(pair(link.from, link.to)) && processes.containsKey(link.from)) {
                 link.items.add(new FakeLink.Item.Up(incarnations.get(link.from)));
             }
         }
     }
 
     void repairAll() {
-        paused.clear();
-        heal();
+        pausedHosts.clear();
+        healPartitions();
     }
 
-    /** Ends the processes that were asked to leave and may stop. */
-    void stopLeavers() {
-        List<String> left =
-                leaving.stream().filter(host -> claims(host).hasLeft()).toList();
-        left.forEach(this::crash);
+    /** Terminates the leaving processes that may stop. */
+    void stopLeftHosts() {
+        List<String> finished =
+                leavingHosts.stream().filter(host -> claims(host).hasLeft()).toList();
+        finished.forEach(this::crash);
     }
 
-    void list(HostList list) {
-        processes.forEach((host, claims) -> take(host, claims.listed(list, nowMillis)));
+    void updateHostList(HostList list) {
+        processes.forEach((host, claims) -> perform(host, claims.listed(list, nowMillis)));
     }
 
     boolean isLeaving(String host) {
-        return leaving.contains(host);
+        return leavingHosts.contains(host);
     }
 
     void leave(String host) {
-        leaving.add(host);
-        take(host, processes.get(host).leave(nowMillis));
+        leavingHosts.add(host);
+        perform(host, processes.get(host).leave(nowMillis));
     }
 
     void open(String host, ClaimKey key, String requestId) {
-        take(host, processes.get(host).open(key, requestId, nowMillis));
+        perform(host, processes.get(host).open(key, requestId, nowMillis));
     }
 
-    void end(String requestId, ClaimKey key, ClaimResult result) {
+    void settle(String requestId, ClaimKey key, ClaimResult result) {
         String host = runners.remove(requestId);
         if (host != null && processes.containsKey(host)) {
-            take(host, processes.get(host).settle(key, requestId, result, nowMillis));
+            perform(host, processes.get(host).settle(key, requestId, result, nowMillis));
         }
     }
 
     boolean isRunning(String requestId) {
         String host = runners.get(requestId);
-        return host != null && processes.containsKey(host) && !paused.contains(host);
+        return host != null && processes.containsKey(host) && !pausedHosts.contains(host);
     }
 
-    /** Lets time pass, several ticks a second, and everything that is on its way arrive. */
+    /** Advances time by several ticks per second and delivers everything in flight after each. */
     void run(long millis) {
         long untilMillis = nowMillis + millis;
         while (nowMillis < untilMillis) {
             nowMillis += 100;
             tick();
-            settleDown();
+            deliverAll();
         }
     }
 
     void tick() {
         for (String host : List.copyOf(processes.keySet())) {
-            if (!paused.contains(host)) {
-                dialDead(host);
-                take(host, processes.get(host).tick(nowMillis));
+            if (!pausedHosts.contains(host)) {
+                dialTerminatedHosts(host);
+                perform(host, processes.get(host).tick(nowMillis));
             }
         }
     }
 
-    /** A host goes on dialling the others of its list, and is refused where no process listens. */
-    private void dialDead(String host) {
+    /** Simulates that a host keeps connecting to the hosts of its list and is refused where no process listens. */
+    private void dialTerminatedHosts(String host) {
         for (String other : incarnations.keySet()) {
-            if (!processes.containsKey(other) && !isCut(host, other)) {
-                take(host, processes.get(host).lost(other, true, nowMillis));
+            if (!processes.containsKey(other) && !isPartitioned(host, other)) {
+                perform(host, processes.get(host).lost(other, true, nowMillis));
             }
         }
     }
 
-    void settleDown() {
+    void deliverAll() {
         for (int i = 0; i < 10_000; i++) {
             if (!deliverNext()) {
                 return;
             }
         }
-        throw new IllegalStateException("messages never end");
+        throw new IllegalStateException("messages are still in flight after 10,000 deliveries");
     }
 
-    /** Delivers the oldest thing on the first link that has one, else serves the oldest call to the store. */
+    /** Delivers the oldest item on the first link that has one, otherwise serves the oldest call to the store. */
     boolean deliverNext() {
         Option<FakeLink> next = nextLink();
         if (next.isDefined()) {
             deliver(next.get());
             return true;
         }
-        return serveStore(false);
+        return serveStoreCall(false);
     }
 
     Option<FakeLink> nextLink() {
@@ -238,76 +241,76 @@
                 links.values().stream().filter(this::canDeliver).findFirst());
     }
 
-    List<FakeLink> deliverable() {
+    List<FakeLink> deliverableLinks() {
         return links.values().stream().filter(this::canDeliver).toList();
     }
 
     private boolean canDeliver(FakeLink link) {
-        return !link.items.isEmpty() && processes.containsKey(link.to) && !paused.contains(link.to);
+        return !link.items.isEmpty() && processes.containsKey(link.to) && !pausedHosts.contains(link.to);
     }
 
     void deliver(FakeLink link) {
         FakeLink.Item item = link.items.poll();
         Claims claims = processes.get(link.to);
         if (item instanceof FakeLink.Item.Message message) {
-            take(link.to, claims.receive(link.from, message.incarnation(), message.content(), nowMillis));
+            perform(link.to, claims.receive(link.from, message.incarnation(), message.content(), nowMillis));
         } else if (item instanceof FakeLink.Item.Up up) {
-            take(link.to, claims.connected(link.from, up.incarnation(), nowMillis));
+            perform(link.to, claims.connected(link.from, up.incarnation(), nowMillis));
         } else if (item instanceof FakeLink.Item.Down down) {
-            take(link.to, claims.lost(link.from, down.refused(), nowMillis));
+            perform(link.to, claims.lost(link.from, down.refused(), nowMillis));
         }
     }
 
     boolean hasStoreCall() {
-        return storeCalls.stream().anyMatch(call -> !paused.contains(call.host()));
+        return storeCalls.stream().anyMatch(call -> !pausedHosts.contains(call.host()));
     }
 
-    /** Serves the oldest call; its answer is lost if asked for. */
-    boolean serveStore(boolean losingAnswer) {
+    /** Serves the oldest call to the store, optionally losing its reply. */
+    boolean serveStoreCall(boolean losesReply) {
         for (StoreCall call : storeCalls) {
-            if (!paused.contains(call.host())) {
+            if (!pausedHosts.contains(call.host())) {
                 storeCalls.remove(call);
-                StoreReply reply = isCut(call.host(), "store")
-                        ? new StoreReply.Unavailable("cut off")
+                StoreReply reply = isPartitioned(call.host(), "store")
+                        ? new StoreReply.Unavailable("the store is unreachable")
                         : store.apply(call.command());
-                answer(call, losingAnswer ? new StoreReply.Unsure("no answer came") : reply);
+                replyToStoreCall(call, losesReply ? new StoreReply.Unsure("no reply was received") : reply);
                 return true;
             }
         }
         return false;
     }
 
-    /** Loses the answer of the oldest call, whose effect comes only with {@link #applyLateWrites()}. */
-    void delayStore() {
+    /** Loses the reply to the oldest call, which takes effect only with {@link #applyDelayedWrites()}. */
+    void delayStoreWrite() {
         StoreCall call = storeCalls.stream()
-                .filter(waiting -> !paused.contains(waiting.host()))
+                .filter(waiting -> !pausedHosts.contains(waiting.host()))
                 .findFirst()
                 .orElseThrow();
         storeCalls.remove(call);
-        lateWrites.add(call.command());
-        answer(call, new StoreReply.Unsure("no answer came"));
+        delayedWrites.add(call.command());
+        replyToStoreCall(call, new StoreReply.Unsure("no reply was received"));
     }
 
-    boolean hasLateWrites() {
-        return !lateWrites.isEmpty();
+    boolean hasDelayedWrites() {
+        return !delayedWrites.isEmpty();
     }
 
-    void applyLateWrites() {
-        lateWrites.forEach(store::apply);
-        lateWrites.clear();
+    void applyDelayedWrites() {
+        delayedWrites.forEach(store::apply);
+        delayedWrites.clear();
     }
 
-    private void answer(StoreCall call, StoreReply reply) {
+    private void replyToStoreCall(StoreCall call, StoreReply reply) {
         if (processes.containsKey(call.host()) && incarnations.get(call.host()) == call.incarnation()) {
-            take(call.host(), processes.get(call.host()).storeReplied(call.callId(), reply, nowMillis));
+            perform(call.host(), processes.get(call.host()).storeReplied(call.callId(), reply, nowMillis));
         }
     }
 
-    private void take(String host, List<ClaimStep> steps) {
+    private void perform(String host, List<ClaimStep> steps) {
         for (ClaimStep step : steps) {
             if (step instanceof ClaimStep.Send send) {
-                boolean reaches = processes.containsKey(send.host()) && !isCut(host, send.host());
-                if (reaches) {
+                boolean delivered = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
+                if (delivered) {
                     link(host, send.host())
                             .items
                             .add(new FakeLink.Item.Message(incarnations.get(host), send.message()));
@@ -315,73 +318,73 @@
             } else if (step instanceof ClaimStep.CallStore call) {
                 storeCalls.add(new StoreCall(host, incarnations.get(host), call.callId(), call.command()));
             } else if (step instanceof ClaimStep.Decide decide) {
-                decided(host, decide);
+                recordDecision(host, decide);
             }
         }
     }
 
-    private void decided(String host, ClaimStep.Decide decide) {
+    private void recordDecision(String host, ClaimStep.Decide decide) {
         decisions.computeIfAbsent(decide.requestId(), id -> new ArrayList<>()).add(decide.decision());
         if (decide.decision() instanceof ClaimDecision.Run) {
-            ledger.add(decide.requestId());
+            executedRequestIds.add(decide.requestId());
             runners.put(decide.requestId(), host);
         }
     }
 
     ClaimDecision decision(String requestId) {
-        List<ClaimDecision> made = decisions.getOrDefault(requestId, List.of());
-        if (made.size() != 1) {
-            throw new AssertionError(requestId + " has the decisions " + made);
+        List<ClaimDecision> recorded = decisions.getOrDefault(requestId, List.of());
+        if (recorded.size() != 1) {
+            throw new AssertionError(requestId + " must have exactly one decision but has " + recorded);
         }
-        return made.get(0);
+        return recorded.get(0);
     }
 
     private FakeLink link(String from, String to) {
         return links.computeIfAbsent(from + ">" + to, name -> new FakeLink(from, to));
     }
 
-    boolean isCut(String one, String other) {
-        return cuts.contains(pair(one, other));
+    boolean isPartitioned(String one, String other) {
+        return partitions.contains(pair(one, other));
     }
 
-    boolean isAnyCut() {
-        return !cuts.isEmpty();
+    boolean hasPartitions() {
+        return !partitions.isEmpty();
     }
 
-    /** This cluster's own link between the ends of another cluster's. */
-    FakeLink same(FakeLink other) {
+    /** Returns the link of this cluster that corresponds to a link of another cluster. */
+    FakeLink linkLike(FakeLink other) {
         return link(other.from, other.to);
     }
 
     boolean isPaused(String host) {
-        return paused.contains(host);
+        return pausedHosts.contains(host);
     }
 
     private static String pair(String one, String other) {
         return one.compareTo(other) < 0 ? one + "|" + other : other + "|" + one;
     }
 
-    /** All that decides what happens next. */
-    String describe() {
+    /** Returns all state that determines future behaviour; equal keys imply equal behaviour. */
+    String stateKey() {
         StringBuilder text = new StringBuilder();
         processes.forEach(
-                (host, claims) -> text.append(host).append(claims.describe()).append('\n'));
+                (host, claims) -> text.append(host).append(claims.stateKey()).append('\n'));
         links.values().forEach(link -> text.append(link.from)
                 .append(link.to)
                 .append(link.items)
                 .append('\n'));
         return text.append(incarnations)
                 .append(storeCalls)
-                .append(lateWrites)
-                .append(paused)
-                .append(cuts)
-                .append(leaving)
+                .append(delayedWrites)
+                .append(pausedHosts)
+                .append(partitions)
+                .append(leavingHosts)
                 .append(store)
-                .append(ledger)
+                .append(executedRequestIds)
                 .append(decisions.keySet())
                 .append(runners)
                 .append(nowMillis)
-                .append(opened)
+                .append(openCount)
                 .toString();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/FakeStore.java
@@ -7,25 +7,25 @@
 import org.rattanplank.core.store.StoreEntry;
 import org.rattanplank.core.store.StoreReply;
 
-/** One key of a store with compare-and-swap. Not thread safe. */
+/** Simulates one key of a store with compare-and-swap. Not thread safe. */
 final class FakeStore {
     private Option<StoreEntry> entry = Option.none();
     private long revision;
-    boolean down;
-    int writes;
+    boolean unavailable;
+    int writeCount;
 
     FakeStore copy() {
         FakeStore copy = new FakeStore();
         copy.entry = entry;
         copy.revision = revision;
-        copy.down = down;
-        copy.writes = writes;
+        copy.unavailable = unavailable;
+        copy.writeCount = writeCount;
         return copy;
     }
 
     StoreReply apply(StoreCommand command) {
-        if (down) {
-            return new StoreReply.Unavailable("the store is out");
+        if (unavailable) {
+            return new StoreReply.Unavailable("the store is unavailable");
         }
         if (command instanceof StoreCommand.Put put) {
             return put(put);
@@ -38,13 +38,13 @@
             return new StoreReply.Conflicted(entry);
         }
         revision++;
-        writes++;
+        writeCount++;
         entry = Option.some(new StoreEntry(put.key(), put.value(), revision));
         return new StoreReply.Written(revision);
     }
 
     @Override
     public String toString() {
-        return entry + " " + down;
+        return entry + " " + unavailable;
     }
 }
