--- a/rattanplank-core/src/main/java/org/rattanplank/core/AcceptRules.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/AcceptRules.java
@@ -11,13 +11,13 @@
 import org.rattanplank.core.request.Request;
 import org.rattanplank.core.request.Step;
 
-/** What a request must be like to be taken at all, and where its data may go. Stateless and thread safe. */
+/** Validates incoming requests and determines the regions to which their data may go. Stateless and thread safe. */
 final class AcceptRules {
     private AcceptRules() {}
 
-    static Option<Failure> faultOf(Request request, Configuration configuration, String host) {
+    static Option<Failure> validate(Request request, Configuration configuration, String host) {
         if (request.passedHosts().contains(host)) {
-            return Option.some(Failure.of(Step.ACCEPT, host, "the request has been here before"));
+            return Option.some(Failure.of(Step.ACCEPT, host, "the request has already passed this host"));
         }
         if (configuration.service(request.service()).isEmpty()) {
             return Option.some(Failure.of(Step.ACCEPT, request.service(), "no such service"));
@@ -26,13 +26,13 @@
             return Option.some(Failure.of(Step.ACCEPT, request.account(), "no such account"));
         }
         if (!request.repeatable() && request.idempotencyKey().isEmpty()) {
-            String reason = "a call that may not be repeated needs a key";
+            String reason = "a call that is not safe to repeat needs an idempotency key";
             return Option.some(Failure.of(Step.ACCEPT, request.service(), reason));
         }
-        // A key without a time looks new once its claim is forgotten: its call would run again, which one would notice
-        // as a second booking days later. A key that carries its age is refused instead.
+        // A key without a timestamp looks new once its claim has been removed, and its call would run again; symptom: a
+        // second booking days later. A key with a timestamp is rejected when it is too old.
         if (!request.repeatable() && !request.claimed() && !hasTimedKey(request)) {
-            String reason = "the key must be a version 7 UUID; POST /v1/idempotency-keys gives one";
+            String reason = "the idempotency key must be a version 7 UUID; POST /v1/idempotency-keys returns one";
             return Option.some(Failure.of(Step.ACCEPT, request.service(), reason));
         }
         return Option.none();
@@ -49,8 +49,8 @@
         Option<String> narrowest = request.residency().orElse(ofAccount);
         Set<String> allowed = new HashSet<>(configuration.allowedRegions(request.homeRegion(), narrowest));
         if (ofAccount.isDefined()) {
-            // A caller's own label can only narrow its account's residency: taken alone, a wrong label would let data
-            // leave its region, which one would notice only in the ledger of another region's target.
+            // A label sent by the caller can only narrow the residency of its client account: used alone, a wrong label
+            // would let data leave its region; symptom: the request shows up in the ledger of another region's target.
             allowed.retainAll(configuration.allowedRegions(request.homeRegion(), ofAccount));
         }
         return allowed;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
@@ -9,18 +9,18 @@
 import org.rattanplank.core.store.StoreOwner;
 import org.rattanplank.schema.message.PeerMessage;
 
-/** Something that an entry host has to do. Immutable and thread safe. */
+/** An action that an entry host has to perform. Immutable and thread safe. */
 public sealed interface Action {
 
     /**
-     * Send a request to a target or forward it to another entry host.
+     * Sends a request to a target or forwards it to another entry host.
      *
      * @param requestId the request
      * @param attempt the attempt's number, from one
-     * @param route where to
-     * @param request the request as the other side is to see it
-     * @param resumeAtPart how many parts of a streamed answer the caller already has; zero starts anew
-     * @param timeoutMillis when to give the attempt up, on this host's clock
+     * @param route the destination
+     * @param request the request as the other side receives it
+     * @param resumeAtPart how many stream events of the answer the caller already has; zero starts from the beginning
+     * @param timeoutMillis when to abandon the attempt, on this host's clock
      */
     record StartAttempt(
             String requestId, int attempt, Route route, Request request, long resumeAtPart, long timeoutMillis)
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Stop an attempt, and tell the other side that nobody wants its answer.
+     * Cancels an attempt and notifies the other side that its answer is no longer needed.
      *
      * @param requestId the request
      * @param attempt the attempt
@@ -40,7 +40,7 @@
     record CancelAttempt(String requestId, int attempt) implements Action {}
 
     /**
-     * Give a request its only outcome, to the caller or to the host that forwarded it.
+     * Delivers the only outcome of a request to the caller or to the host that forwarded it.
      *
      * @param requestId the request
      * @param outcome the outcome
@@ -52,7 +52,7 @@
     }
 
     /**
-     * Send a message to another entry host; it may be lost.
+     * Sends a message to another entry host; it may be lost.
      *
      * @param host the other host
      * @param message the message
@@ -64,11 +64,11 @@
     }
 
     /**
-     * Call the platform's store; each call ends with one reply.
+     * Calls the platform's store; each call gets exactly one reply.
      *
-     * @param owner the part that calls
-     * @param callId the call, which its reply carries
-     * @param command what to do
+     * @param owner the component that calls
+     * @param callId the call's identifier, which the reply repeats
+     * @param command the command
      */
     record CallStore(StoreOwner owner, long callId, StoreCommand command) implements Action {
         public CallStore {
@@ -78,19 +78,19 @@
     }
 
     /**
-     * Give a target an order; each order ends with one answer.
+     * Sends an order to a target; each order gets exactly one answer.
      *
-     * @param orderId the order, which its answer carries
+     * @param orderId the order's identifier, which the answer repeats
      * @param target the target
-     * @param fencingNumber the number by which a target tells an old controller from the newest
-     * @param verb what to do, such as {@code load}, {@code unload} or {@code role}
+     * @param fencingNumber the number by which a target distinguishes a previous controller from the current one
+     * @param verb the operation, such as {@code load}, {@code unload} or {@code role}
      * @param subject the model with its version, the adapter or the role
      */
     record OrderTarget(long orderId, String target, long fencingNumber, String verb, String subject)
             implements Action {}
 
     /**
-     * Keep links to these entry hosts, and to no others unless they are in use.
+     * Keeps links to these entry hosts, and closes other links once they are unused.
      *
      * @param hosts the names of the hosts
      */
@@ -100,6 +100,6 @@
         }
     }
 
-    /** Stop the process; nothing is left to do. */
+    /** Stops the process; all work is finished. */
     record Stop() implements Action {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
@@ -9,9 +9,9 @@
 import org.rattanplank.core.store.StoreOwner;
 
 /**
- * Collects what one event leads to. Confined to one thread.
+ * Collects the actions that result from one event. Confined to one thread.
  *
- * <p>Decisions on claims wait here until no request's lock is held, since a decision may concern another request.
+ * <p>Claim decisions are deferred until no request's lock is held, because a decision may concern another request.
  */
 final class Effects {
     private final List<Action> actions = new ArrayList<>();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
@@ -13,13 +13,13 @@
 import org.rattanplank.core.store.StoreReply;
 import org.rattanplank.schema.message.PeerMessage;
 
-/** Something that happened to an entry host. Immutable and thread safe. */
+/** An event that an entry host handles. Immutable and thread safe. */
 public sealed interface Event {
 
     /**
-     * A caller asks.
+     * A caller sent a request.
      *
-     * @param request the request, which no host has passed
+     * @param request the request, which no host has forwarded yet
      */
     record CallerAsked(Request request) implements Event {
         public CallerAsked {
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Another entry host forwards a request to this one.
+     * Another entry host forwarded a request to this one.
      *
      * @param host the other host
-     * @param attempt the other host's attempt number, which its answer carries
-     * @param request the request with the hosts that it has passed
+     * @param attempt the other host's attempt number, which the answer repeats
+     * @param request the request with the hosts that have forwarded it
      */
     record PeerAsked(String host, long attempt, Request request) implements Event {
         public PeerAsked {
@@ -42,18 +42,18 @@
     }
 
     /**
-     * Whoever asked no longer waits.
+     * The requester disconnected or cancelled.
      *
      * @param requestId the request
      */
     record AskerLeft(String requestId) implements Event {}
 
     /**
-     * A part of a streamed answer has gone to whoever asked; from now on the request cannot start anew unseen.
+     * A stream event was delivered to the requester; from now on the request cannot be restarted without the requester noticing.
      *
      * @param requestId the request
-     * @param attempt the attempt that brought it
-     * @param parts how many parts have gone so far
+     * @param attempt the attempt that produced it
+     * @param parts how many stream events have been delivered so far
      */
     record StreamProgressed(String requestId, int attempt, long parts) implements Event {}
 
@@ -71,25 +71,25 @@
     }
 
     /**
-     * A link to another entry host is up, and its other end has said who it is.
+     * A link to another entry host was established, and the other host has identified itself.
      *
      * @param host the other host
      * @param incarnation the other process's start time
-     * @param region the region in which it stands
-     * @param dataCentre the data centre in which it stands
+     * @param region the other host's region
+     * @param dataCentre the other host's data centre
      */
     record PeerConnected(String host, long incarnation, String region, String dataCentre) implements Event {}
 
     /**
-     * A link to another entry host broke, or could not be made.
+     * A link to another entry host failed or could not be established.
      *
      * @param host the other host
-     * @param refused whether the other host's address refused the connection, so that no process listens there
+     * @param refused whether the connection was refused, so that no process is listening at the other host's address
      */
     record PeerLost(String host, boolean refused) implements Event {}
 
     /**
-     * A message came from another entry host.
+     * A message from another entry host arrived.
      *
      * @param host the other host
      * @param incarnation the other process's start time
@@ -109,7 +109,7 @@
     record LoadReported(TargetLoad load) implements Event {}
 
     /**
-     * A target did not answer when it was asked for its load.
+     * A target did not answer a load query.
      *
      * @param target the target
      */
@@ -127,7 +127,7 @@
     }
 
     /**
-     * The platform's list of hosts was read.
+     * The platform's host list was read.
      *
      * @param list the list
      */
@@ -136,16 +136,16 @@
     /**
      * A call to the platform's store ended.
      *
-     * @param owner the part that made it
+     * @param owner the component that made the call
      * @param callId the call
-     * @param reply its end
+     * @param reply the reply
      */
     record StoreReplied(StoreOwner owner, long callId, StoreReply reply) implements Event {}
 
     /**
      * A watched key changed.
      *
-     * @param owner the part that watches
+     * @param owner the component that watches
      * @param prefix the watched prefix
      * @param entries the entries that were written; a deleted one has modification revision zero
      * @param revision the store's revision after the changes
@@ -157,9 +157,9 @@
     }
 
     /**
-     * A watch broke; changes may have been missed.
+     * A watch failed; changes may have been missed.
      *
-     * @param owner the part that watched
+     * @param owner the component that watched
      * @param prefix the watched prefix
      */
     record WatchBroken(StoreOwner owner, String prefix) implements Event {}
@@ -172,9 +172,9 @@
      */
     record OrderAnswered(long orderId, OrderResult result) implements Event {}
 
-    /** An operator or a signal asks this host to take no new work, finish what it has and stop. */
+    /** An operator or a signal requested this host to accept no new requests, finish those in flight and stop. */
     record DrainAsked() implements Event {}
 
-    /** Time has passed; a host sends this several times a second. */
+    /** Time has passed; the host delivers this event several times per second. */
     record Ticked() implements Event {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -6,12 +6,12 @@
 import org.rattanplank.core.route.Routing;
 
 /**
- * Why a request went where it went. Immutable and thread safe.
+ * The routing decisions and the outcome of a request. Immutable and thread safe.
  *
  * @param requestId the request
- * @param service the service that was asked for
- * @param routings the decisions on its attempts, oldest first
- * @param outcome the outcome's label, empty while it runs
+ * @param service the requested service
+ * @param routings the routing decisions of its attempts, oldest first
+ * @param outcome the outcome's label, empty while the request is in flight
  */
 public record Explanation(String requestId, String service, List<Routing> routings, String outcome) {
     public Explanation {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
@@ -10,16 +10,16 @@
 import org.rattanplank.core.route.Routing;
 
 /**
- * Keeps why the newest requests went where they went.
+ * Stores the explanations of the most recent requests.
  *
- * <p>Invariant: it holds at most a fixed number of requests; the oldest go first. Thread safe; one lock guards all
- * state, and no other lock is taken while it is held.
+ * <p>Invariant: it holds at most {@link #CAPACITY} requests; the oldest are evicted first. Thread safe: one lock guards all
+ * state, and no other lock is acquired while it is held.
  */
 final class Explanations {
     private static final int CAPACITY = 500;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Map<String, Explanation> explanations = new LinkedHashMap<>() {
+    private final Map<String, Explanation> explanationsByRequest = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
@@ -31,32 +31,32 @@
     Option<Explanation> find(String requestId) {
         lock.lock();
         try {
-            return Option.of(explanations.get(requestId));
+            return Option.of(explanationsByRequest.get(requestId));
         } finally {
             lock.unlock();
         }
     }
 
-    void routed(Request request, Routing routing) {
+    void recordRouting(Request request, Routing routing) {
         lock.lock();
         try {
-            explanations.put(request.id(), current(request).withRouting(routing));
+            explanationsByRequest.put(request.id(), current(request).withRouting(routing));
         } finally {
             lock.unlock();
         }
     }
 
-    void ended(Request request, Outcome outcome) {
+    void recordOutcome(Request request, Outcome outcome) {
         lock.lock();
         try {
-            explanations.put(request.id(), current(request).withOutcome(outcome.label()));
+            explanationsByRequest.put(request.id(), current(request).withOutcome(outcome.label()));
         } finally {
             lock.unlock();
         }
     }
 
     private Explanation current(Request request) {
-        Explanation known = explanations.get(request.id());
-        return known != null ? known : new Explanation(request.id(), request.service(), java.util.List.of(), "");
+        Explanation existing = explanationsByRequest.get(request.id());
+        return existing != null ? existing : new Explanation(request.id(), request.service(), java.util.List.of(), "");
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/LiveRequest.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/InFlightRequest.java
@@ -9,30 +9,30 @@
 import org.rattanplank.core.route.Route;
 
 /**
- * One request that has no outcome yet, or whose claimed call still runs.
+ * The state of a request that has no outcome yet, or whose claimed call is still running.
  *
- * <p>Invariant: at most one attempt is current; its number only grows. Guarded by the request's lock in {@link
+ * <p>Invariant: at most one attempt is current; attempt numbers only increase. Guarded by the request's lock in {@link
  * RequestFlow}.
  */
-final class LiveRequest {
+final class InFlightRequest {
     final Request request;
     final Set<String> allowedRegions;
-    final Set<String> tried = new HashSet<>();
+    final Set<String> triedPeers = new HashSet<>();
     Option<ClaimKey> claim = Option.none();
     Option<Route> route = Option.none();
     int attempt;
     boolean resumed;
     boolean finished;
     boolean mayHaveRun;
-    long callerParts;
+    long deliveredStreamEvents;
     long attemptStartedMillis;
 
-    LiveRequest(Request request, Set<String> allowedRegions) {
+    InFlightRequest(Request request, Set<String> allowedRegions) {
         this.request = request;
         this.allowedRegions = Set.copyOf(allowedRegions);
     }
 
-    /** Whether a call that may not be repeated runs under this request's claim. */
+    /** Returns whether a call that is not safe to repeat is running under this request's claim. */
     boolean runsClaim() {
         return claim.isDefined() && route.isDefined();
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
@@ -27,11 +27,11 @@
 import org.rattanplank.schema.message.RegionSummary;
 
 /**
- * Every decision of one entry host: it takes events with the time and returns what to do.
+ * The decision logic of one entry host: handles events with their time and returns the actions to perform.
  *
  * <p>Invariant: the same events at the same times with the same seed give the same actions; a node has no socket, clock
- * or thread of its own. Thread safe: workers may hand in events at once. Lock order: one request's lock, then the lock
- * of one part; see {@link RequestFlow}.
+ * or thread of its own. Thread safe: several threads may deliver events concurrently. Lock order: one request's lock,
+ * then the lock of one component; see {@link RequestFlow}.
  */
 public final class Node {
     private final NodeIdentity self;
@@ -42,7 +42,7 @@
     private final Controller controller;
     private final Explanations explanations = new Explanations();
     private final RequestFlow requests;
-    private volatile boolean leaveAsked;
+    private volatile boolean leaveRequested;
     private volatile boolean stopped;
 
     private Node(NodeIdentity self, Policy policy, ClaimLimits claimLimits, long seed) {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * Makes a node that knows nothing yet.
+     * Creates a node with empty state.
      *
-     * @param self which entry host it is
-     * @param policy what the deployment weighs
+     * @param self the identity of this entry host
+     * @param policy the routing policy
      * @param seed the seed of random choices
      * @return the node
      */
@@ -68,11 +68,11 @@
     }
 
     /**
-     * Makes a node that knows nothing yet.
+     * Creates a node with empty state.
      *
-     * @param self which entry host it is
-     * @param policy what the deployment weighs
-     * @param claimLimits the bounds on remembered idempotency keys
+     * @param self the identity of this entry host
+     * @param policy the routing policy
+     * @param claimLimits the limits on stored idempotency keys
      * @param seed the seed of random choices
      * @return the node
      */
@@ -81,19 +81,19 @@
     }
 
     /**
-     * Finds out why a request went where it went.
+     * Explains the routing of a request.
      *
      * @param requestId the request
-     * @return the explanation, or none if the request is not among the newest
+     * @return the explanation, or none if the request is not among the most recent
      */
     public Option<Explanation> explain(String requestId) {
         return explanations.find(requestId);
     }
 
     /**
-     * Tells callers which entry hosts to use.
+     * Returns the entry hosts that a caller should use.
      *
-     * @param account the caller's account, or empty
+     * @param account the caller's client account, or empty
      * @param nowMillis the time
      * @return the hosts, best first
      */
@@ -107,25 +107,25 @@
     }
 
     /**
-     * The configuration in force.
+     * Returns the configuration in force.
      *
-     * @return the newest that was learned
+     * @return the most recent configuration received
      */
     public Configuration configuration() {
         return configurations.current();
     }
 
     /**
-     * Tells whether callers should be sent here.
+     * Returns whether callers should send requests to this host.
      *
-     * @return whether a configuration is in force and the node takes new work
+     * @return whether a configuration is in force and the node is not draining
      */
     public boolean isReady() {
         return configurations.current().generation() > 0 && !requests.isDraining();
     }
 
     /**
-     * Sums up what the node knows.
+     * Returns a summary of the node's state.
      *
      * @return the status
      */
@@ -145,34 +145,34 @@
     }
 
     /**
-     * Takes an event.
+     * Handles an event.
      *
-     * @param event what happened
-     * @param nowMillis the time, which never falls
-     * @return what to do, in this order
+     * @param event the event
+     * @param nowMillis the time, which never decreases
+     * @return the actions, in the order in which to perform them
      */
     public List<Action> handle(Event event, long nowMillis) {
         Effects effects = new Effects();
         apply(event, nowMillis, effects);
         while (!effects.decisions().isEmpty()) {
-            requests.decided(effects.decisions().poll(), nowMillis, effects);
+            requests.claimDecided(effects.decisions().poll(), nowMillis, effects);
         }
         return effects.actions();
     }
 
     private void apply(Event event, long nowMillis, Effects effects) {
         if (event instanceof Event.CallerAsked asked) {
-            requests.asked(asked.request(), nowMillis, effects);
+            requests.receive(asked.request(), nowMillis, effects);
         } else if (event instanceof Event.PeerAsked asked) {
-            requests.asked(asked.request(), nowMillis, effects);
+            requests.receive(asked.request(), nowMillis, effects);
         } else if (event instanceof Event.AskerLeft left) {
-            requests.askerLeft(left.requestId(), nowMillis, effects);
+            requests.requesterLeft(left.requestId(), nowMillis, effects);
         } else if (event instanceof Event.StreamProgressed progressed) {
-            requests.progressed(progressed);
+            requests.streamProgressed(progressed);
         } else if (event instanceof Event.AttemptEnded ended) {
             requests.attemptEnded(ended, nowMillis, effects);
         } else if (event instanceof Event.LoadReported reported) {
-            reported(reported, nowMillis);
+            recordLoadReport(reported, nowMillis);
         } else if (event instanceof Event.LoadMissed missed) {
             router.missed(missed.target(), nowMillis);
         } else if (event instanceof Event.CacheReported cached) {
@@ -184,13 +184,13 @@
         } else if (event instanceof Event.Ticked) {
             tick(nowMillis, effects);
         } else {
-            applyFromOutside(event, nowMillis, effects);
+            applyExternalEvent(event, nowMillis, effects);
         }
     }
 
-    private void applyFromOutside(Event event, long nowMillis, Effects effects) {
+    private void applyExternalEvent(Event event, long nowMillis, Effects effects) {
         if (event instanceof Event.PeerConnected connected) {
-            connected(connected, nowMillis, effects);
+            peerConnected(connected, nowMillis, effects);
         } else if (event instanceof Event.PeerLost lost) {
             addMemberSteps(members.lost(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
             effects.addClaimSteps(claims.lost(lost.host(), lost.refused(), nowMillis));
@@ -211,7 +211,7 @@
         }
     }
 
-    private void connected(Event.PeerConnected peer, long nowMillis, Effects effects) {
+    private void peerConnected(Event.PeerConnected peer, long nowMillis, Effects effects) {
         Place place = Place.of(peer.region(), peer.dataCentre());
         addMemberSteps(members.connected(peer.host(), peer.incarnation(), place, nowMillis), nowMillis, effects);
         if (place.dataCentre().equals(self.place().dataCentre())) {
@@ -233,7 +233,7 @@
         }
     }
 
-    private void reported(Event.LoadReported reported, long nowMillis) {
+    private void recordLoadReport(Event.LoadReported reported, long nowMillis) {
         if (reported.load().leaving()) {
             members.leaving(reported.load().target(), nowMillis);
             refreshTargets(nowMillis);
@@ -249,7 +249,7 @@
                     configurations.storeReplied(replied.callId(), replied.reply(), nowMillis), nowMillis, effects);
             case CONTROL -> addControlSteps(
                     controller.storeReplied(replied.callId(), replied.reply(), nowMillis), effects);
-            default -> throw new IllegalStateException("no part owns " + replied.owner());
+            default -> throw new IllegalStateException("no component owns store calls of " + replied.owner());
         }
     }
 
@@ -285,8 +285,8 @@
         if (!requests.isDraining() || requests.inFlight() > 0 || stopped) {
             return;
         }
-        if (!leaveAsked) {
-            leaveAsked = true;
+        if (!leaveRequested) {
+            leaveRequested = true;
             effects.addClaimSteps(claims.leave(nowMillis));
         }
         if (claims.hasLeft()) {
@@ -321,12 +321,12 @@
             } else if (step instanceof ConfigurationStep.Send send) {
                 effects.add(new Action.SendMessage(send.host(), send.message()));
             } else if (step instanceof ConfigurationStep.InForce inForce) {
-                inForce(inForce.configuration(), nowMillis);
+                applyConfiguration(inForce.configuration(), nowMillis);
             }
         }
     }
 
-    private void inForce(Configuration configuration, long nowMillis) {
+    private void applyConfiguration(Configuration configuration, long nowMillis) {
         members.retiring(configuration.retiring(), nowMillis);
         router.configured(configuration, nowMillis);
         controller.configured(configuration, nowMillis);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/NodeIdentity.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/NodeIdentity.java
@@ -5,11 +5,11 @@
 import org.rattanplank.core.host.Place;
 
 /**
- * Which entry host a node is. Immutable and thread safe.
+ * The identity of an entry host. Immutable and thread safe.
  *
  * @param host the host's name
  * @param incarnation the process's start time in milliseconds; a later start of the same host has a higher one
- * @param place where the host stands
+ * @param place the host's region and data centre
  */
 public record NodeIdentity(String host, long incarnation, Place place) {
     public NodeIdentity {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/NodeStatus.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/NodeStatus.java
@@ -8,17 +8,17 @@
 import org.rattanplank.core.route.TargetLoad;
 
 /**
- * What a node knows, for operators. Immutable and thread safe.
+ * A summary of a node's state for operators. Immutable and thread safe.
  *
- * @param identity which node it is
+ * @param identity the node's identity
  * @param generation the configuration generation in force
  * @param digest the digest of that generation
- * @param viewNumber the claim view that the node is in, or zero
- * @param inFlight requests without an outcome
- * @param draining whether the node takes no new work
- * @param targets the targets of its region that take work
- * @param loads what these targets said of themselves last
- * @param regions what it knows of the other regions
+ * @param viewNumber the number of the claim view that the node is a member of, or zero
+ * @param inFlight the number of requests in flight
+ * @param draining whether the node accepts no new requests
+ * @param targets the targets of the node's region that accept requests
+ * @param loads the last load reports of these targets
+ * @param regions the last known state of the other regions
  * @param leaving the hosts and targets that are leaving
  */
 public record NodeStatus(
--- a/rattanplank-core/src/main/java/org/rattanplank/core/OrderResult.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/OrderResult.java
@@ -1,13 +1,13 @@
 package org.rattanplank.core;
 
-/** How an order to a target ended. */
+/** The result of an order to a target. */
 public enum OrderResult {
-    /** The target has taken it. */
+    /** The target accepted the order. */
     TAKEN,
-    /** The target refused it, because it has seen a higher fencing number. */
+    /** The target rejected the order because it has seen a higher fencing number. */
     FENCED,
-    /** The target refused it for another reason. */
+    /** The target rejected the order for another reason. */
     REFUSED,
-    /** No answer came; it may have been taken. */
+    /** No answer arrived; the order may have been accepted. */
     UNSURE
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Attempt.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Attempt.java
@@ -3,22 +3,22 @@
 import io.vavr.control.Option;
 
 /**
- * One attempt that runs, with what was expected of it. Immutable and thread safe.
+ * A running attempt with the estimates made when it started. Immutable and thread safe.
  *
- * @param route where it went
- * @param target the target, if it went to one that was listed
- * @param waitMillis the wait that was expected
- * @param prefillMillis the time expected for reading what is not cached
- * @param runMillis the time expected for the whole run, zero if nothing was known to expect
+ * @param route the destination
+ * @param target the target, if the attempt was sent to a listed target
+ * @param queueWaitMillis the estimated queue wait
+ * @param prefillMillis the estimated time to prefill the prompt tokens that are not cached
+ * @param runMillis the estimated time of the whole run, zero while the service has no samples
  */
-record Attempt(Route route, Option<Target> target, double waitMillis, double prefillMillis, double runMillis) {
+record Attempt(Route route, Option<Target> target, double queueWaitMillis, double prefillMillis, double runMillis) {
 
     /**
-     * The whole time that was expected.
+     * Returns the estimated latency.
      *
-     * @return the wait and the run, or none if nothing was known to expect
+     * @return the estimated queue wait and run time, or none while the service has no samples
      */
     Option<Double> expectedMillis() {
-        return runMillis > 0 ? Option.some(waitMillis + runMillis) : Option.none();
+        return runMillis > 0 ? Option.some(queueWaitMillis + runMillis) : Option.none();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
@@ -10,9 +10,9 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * The baselines that the product's policies are compared with: every target counts alike, wherever it stands.
+ * The baseline policies that the scored policies are compared with: every target has the same weight, whatever its region.
  *
- * <p>Invariant: only eligible targets and regions are chosen. Confined to the router's lock.
+ * <p>Invariant: only eligible targets and regions are chosen. Guarded by the router's lock.
  */
 final class BaselineChooser implements Chooser {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -20,99 +20,102 @@
     private final String region;
     private final Policy policy;
     private final TargetTable targets;
-    private final RemoteTable remotes;
+    private final RemoteRegionTable remoteRegions;
     private final RandomGenerator random;
-    private int turn;
+    private int nextTurn;
 
-    BaselineChooser(String region, Policy policy, TargetTable targets, RemoteTable remotes, RandomGenerator random) {
+    BaselineChooser(
+            String region, Policy policy, TargetTable targets, RemoteRegionTable remotes, RandomGenerator random) {
         this.region = region;
         this.policy = policy;
         this.targets = targets;
-        this.remotes = remotes;
+        this.remoteRegions = remotes;
         this.random = random;
     }
 
     @Override
     public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
-        Considered considered = new Considered();
-        List<Choice> choices = choices(request, eligibility);
-        choices.forEach(choice -> considered.add(choice.route().peer(), "eligible", choice.depth()));
+        CandidateLog considered = new CandidateLog();
+        List<WeightedRoute> choices = choices(request, eligibility);
+        choices.forEach(choice -> considered.add(choice.route().peer(), "eligible", choice.loadPerSlot()));
         if (choices.isEmpty()) {
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, considered.list());
+            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, considered.candidates());
         }
         Route route =
                 switch (policy) {
-                    case RANDOM -> byPlace(choices, random.nextInt(places(choices)));
-                    case ROUND_ROBIN -> byPlace(choices, Math.floorMod(turn++, places(choices)));
+                    case RANDOM -> byTargetIndex(choices, random.nextInt(targetCount(choices)));
+                    case ROUND_ROBIN -> byTargetIndex(choices, Math.floorMod(nextTurn++, targetCount(choices)));
                     default -> leastLoaded(choices);
                 };
-        return new Routing.Go(route, considered.list());
+        return new Routing.Go(route, considered.candidates());
     }
 
-    private List<Choice> choices(Request request, Eligibility eligibility) {
-        List<Choice> choices = new ArrayList<>();
+    private List<WeightedRoute> choices(Request request, Eligibility eligibility) {
+        List<WeightedRoute> choices = new ArrayList<>();
         if (eligibility.allowedRegions().contains(region)) {
             targets.service(request.service()).forEach(service -> addTargets(service, eligibility, choices));
         }
-        if (eligibility.mayCross() && policy != Policy.HOME_ONLY) {
-            for (Remote remote : remotes.all()) {
+        if (eligibility.mayLeaveRegion() && policy != Policy.HOME_ONLY) {
+            for (RemoteRegionState remote : remoteRegions.all()) {
                 addRemote(remote, request.service(), eligibility, choices);
             }
         }
         return choices;
     }
 
-    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<Choice> choices) {
+    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<WeightedRoute> choices) {
         for (Target target : service.targets()) {
-            if (target.takesWork() && !eligibility.triedPeers().contains(target.name)) {
-                choices.add(new Choice(new Route.ToTarget(target.name), 1, target.reportedDepth()));
+            if (target.acceptsRequests() && !eligibility.triedPeers().contains(target.name)) {
+                choices.add(new WeightedRoute(new Route.ToTarget(target.name), 1, target.reportedLoadPerSlot()));
             }
         }
     }
 
-    private void addRemote(Remote remote, String service, Eligibility eligibility, List<Choice> choices) {
-        if (!eligibility.allowedRegions().contains(remote.name) || !remote.mayHave(service)) {
+    private void addRemote(
+            RemoteRegionState remote, String service, Eligibility eligibility, List<WeightedRoute> choices) {
+        if (!eligibility.allowedRegions().contains(remote.name) || !remote.mayServe(service)) {
             return;
         }
-        Option<String> host = remote.host(eligibility, random);
+        Option<String> host = remote.randomHost(eligibility, random);
         Option<RemoteRegion.ServiceLoad> load = remote.summary(service);
-        int places = load.map(RemoteRegion.ServiceLoad::targets).getOrElse(1);
-        double depth = load.map(known -> (known.running() + known.queued()) / (double) Math.max(1, known.slots()))
+        int targetsThere = load.map(RemoteRegion.ServiceLoad::targets).getOrElse(1);
+        double depth = load.map(
+                        summary -> (summary.running() + summary.queued()) / (double) Math.max(1, summary.slots()))
                 .getOrElse(0.0);
-        host.forEach(name -> choices.add(new Choice(new Route.ToHost(name, remote.name), places, depth)));
+        host.forEach(name -> choices.add(new WeightedRoute(new Route.ToHost(name, remote.name), targetsThere, depth)));
     }
 
-    private static int places(List<Choice> choices) {
-        int places = 0;
-        for (Choice choice : choices) {
-            places += choice.places();
+    private static int targetCount(List<WeightedRoute> choices) {
+        int count = 0;
+        for (WeightedRoute choice : choices) {
+            count += choice.targetCount();
         }
-        return places;
+        return count;
     }
 
-    private static Route byPlace(List<Choice> choices, int place) {
-        int left = place;
-        for (Choice choice : choices) {
-            left -= choice.places();
-            if (left < 0) {
+    private static Route byTargetIndex(List<WeightedRoute> choices, int index) {
+        int remaining = index;
+        for (WeightedRoute choice : choices) {
+            remaining -= choice.targetCount();
+            if (remaining < 0) {
                 return choice.route();
             }
         }
-        throw new IllegalArgumentException("no place " + place);
+        throw new IllegalArgumentException("no target at index " + index);
     }
 
-    private Route leastLoaded(List<Choice> choices) {
+    private Route leastLoaded(List<WeightedRoute> choices) {
         int offset = random.nextInt(choices.size());
-        Choice best = choices.get(offset);
+        WeightedRoute best = choices.get(offset);
         for (int i = 1; i < choices.size(); i++) {
-            Choice choice = choices.get((offset + i) % choices.size());
-            if (choice.depth() < best.depth()) {
+            WeightedRoute choice = choices.get((offset + i) % choices.size());
+            if (choice.loadPerSlot() < best.loadPerSlot()) {
                 best = choice;
             }
         }
         return best.route();
     }
 
-    private record Choice(Route route, int places, double depth) {}
+    private record WeightedRoute(Route route, int targetCount, double loadPerSlot) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/CacheEvent.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/CacheEvent.java
@@ -4,10 +4,10 @@
 import java.util.Objects;
 
 /**
- * A change of a target's prefix cache; such events come late and with gaps. Immutable and thread safe.
+ * A change of a target's prefix cache. Events arrive late, and some are missing. Immutable and thread safe.
  *
  * @param target the target's name
- * @param sequence the event's number at the target, without gaps at the source
+ * @param sequence the event's number, counted without gaps by the target
  * @param stored hashes of prefixes that are now cached
  * @param removed hashes of prefixes that are no longer cached
  */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Candidate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Candidate.java
@@ -1,10 +1,10 @@
 package org.rattanplank.core.route;
 
 /**
- * One target or host that was considered, for {@code explain}. Immutable and thread safe.
+ * A target or region that the router considered, as {@code explain} shows it. Immutable and thread safe.
  *
- * @param peer the target or host
- * @param verdict why it was filtered out, or {@code eligible}
- * @param score its score in milliseconds of expected cost, lower is better; zero if it was filtered out
+ * @param peer the name of the target or region
+ * @param verdict why it was excluded, or {@code eligible}
+ * @param score its estimated cost in milliseconds, lower is better; zero if it was excluded
  */
 public record Candidate(String peer, String verdict, double score) {}
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Considered.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/CandidateLog.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * Collects what was considered in one decision, for {@code explain}.
+ * Collects the candidates of one routing decision for {@code explain}.
  *
- * <p>Invariant: it holds at most {@link #MAX_CANDIDATES} candidates, however many targets there are. Confined to the
+ * <p>Invariant: it holds at most {@link #MAX_CANDIDATES} candidates, however many targets there are. Guarded by the
  * router's lock.
  */
-final class Considered {
+final class CandidateLog {
     static final int MAX_CANDIDATES = 8;
 
     private final List<Candidate> candidates = new ArrayList<>(MAX_CANDIDATES);
@@ -20,7 +20,7 @@
         }
     }
 
-    List<Candidate> list() {
+    List<Candidate> candidates() {
         return candidates;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Chooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Chooser.java
@@ -2,14 +2,14 @@
 
 import org.rattanplank.core.request.Request;
 
-/** A way to choose where an attempt goes; it sees only what is eligible. Confined to the router's lock. */
+/** Chooses the destination of an attempt among the eligible targets and regions. Guarded by the router's lock. */
 interface Chooser {
 
     /**
-     * Chooses where an attempt goes.
+     * Chooses the destination of an attempt.
      *
      * @param request the request
-     * @param eligibility where it may go at all
+     * @param eligibility the regions and peers that may serve the request
      * @param nowMillis the time
      * @return the decision
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
@@ -1,82 +1,84 @@
 package org.rattanplank.core.route;
 
 /**
- * Whether a target or region is left out for a while because it fails or is slow, and how it is let back.
+ * Outlier ejection of one target or region: excludes it for a while when it fails or is slow, and readmits it gradually.
  *
- * <p>Invariant: after each time out it gets one request at a time first, and one more for each that succeeds, until it
- * is fully back. The time out doubles with each one in a row, up to a bound. Confined to the router's lock.
+ * <p>Invariant: after an ejection the peer first gets one request at a time, and one more for each that succeeds, until
+ * it has fully recovered. The ejection time doubles with each consecutive ejection, up to a bound. Guarded by the
+ * router's lock.
  */
 final class Ejection {
-    /** Failures in a row after which a peer is left out. */
-    static final int FAILURES = 3;
+    /** Consecutive failures after which a peer is ejected. */
+    static final int MAX_CONSECUTIVE_FAILURES = 3;
 
-    private static final long FIRST_OUT_MILLIS = 1_000;
-    private static final long LONGEST_OUT_MILLIS = 8_000;
-    private static final int SUCCESSES_TO_RETURN = 4;
+    private static final long MIN_EJECTION_MILLIS = 1_000;
+    private static final long MAX_EJECTION_MILLIS = 8_000;
+    private static final int SUCCESSES_TO_RECOVER = 4;
     private static final double SLOW_RATIO = 3;
-    private static final int SLOW_SAMPLES = 6;
-    private static final double SMOOTHING = 0.2;
+    private static final int MIN_SLOW_SAMPLES = 6;
+    private static final double SMOOTHING_FACTOR = 0.2;
 
-    private int failures;
-    private int timesOut;
-    private int successes;
-    private long outUntilMillis;
-    private long busyUntilMillis;
-    private double slowness = 1;
+    private int consecutiveFailures;
+    private int consecutiveEjections;
+    private int successesSinceEjection;
+    private long ejectedUntilMillis;
+    private long pausedUntilMillis;
+    private double meanSlowness = 1;
     private int samples;
 
-    boolean isOut(long nowMillis) {
-        return nowMillis < outUntilMillis;
+    boolean isEjected(long nowMillis) {
+        return nowMillis < ejectedUntilMillis;
     }
 
-    int failures() {
-        return failures;
+    int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
-    /** Whether one more request may go there while this host has so many there. */
-    boolean allows(int own, long nowMillis) {
-        if (nowMillis < outUntilMillis || nowMillis < busyUntilMillis) {
+    /** Returns whether one more request may be sent while this host has the given number in flight there. */
+    boolean allowsRequest(int ownInFlight, long nowMillis) {
+        if (nowMillis < ejectedUntilMillis || nowMillis < pausedUntilMillis) {
             return false;
         }
-        return timesOut == 0 || own <= successes;
+        return consecutiveEjections == 0 || ownInFlight <= successesSinceEjection;
     }
 
-    /** Takes note that the peer asked for a pause without failing. */
-    void busy(long untilMillis) {
-        busyUntilMillis = untilMillis;
+    /** Sends nothing to the peer until the given time, because it asked for a pause without failing. */
+    void pauseUntil(long untilMillis) {
+        pausedUntilMillis = untilMillis;
     }
 
-    /** Takes note of a success; the ratio is the time taken over the time expected, relative to the peer's service. */
-    void succeeded(double ratio) {
-        failures = 0;
-        slowness += SMOOTHING * (ratio - slowness);
+    /** Records a success; the ratio is the measured over the expected time, relative to the mean of the service. */
+    void recordSuccess(double ratio) {
+        consecutiveFailures = 0;
+        meanSlowness += SMOOTHING_FACTOR * (ratio - meanSlowness);
         samples++;
-        if (timesOut > 0 && ++successes >= SUCCESSES_TO_RETURN) {
-            timesOut = 0;
+        if (consecutiveEjections > 0 && ++successesSinceEjection >= SUCCESSES_TO_RECOVER) {
+            consecutiveEjections = 0;
         }
     }
 
-    /** Takes note of a failure, and tells whether the peer should be left out now. */
-    boolean failed(long nowMillis) {
-        failures++;
-        return !isOut(nowMillis) && (failures >= FAILURES || timesOut > 0);
+    /** Records a failure, and returns whether the peer should be ejected now. */
+    boolean recordFailure(long nowMillis) {
+        consecutiveFailures++;
+        return !isEjected(nowMillis) && (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || consecutiveEjections > 0);
     }
 
     boolean isSlow() {
-        return samples >= SLOW_SAMPLES && slowness > SLOW_RATIO;
+        return samples >= MIN_SLOW_SAMPLES && meanSlowness > SLOW_RATIO;
     }
 
     void eject(long nowMillis) {
-        outUntilMillis = nowMillis + Math.min(LONGEST_OUT_MILLIS, FIRST_OUT_MILLIS << Math.min(timesOut, 10));
-        timesOut++;
-        successes = 0;
-        failures = 0;
-        slowness = 1;
+        ejectedUntilMillis =
+                nowMillis + Math.min(MAX_EJECTION_MILLIS, MIN_EJECTION_MILLIS << Math.min(consecutiveEjections, 10));
+        consecutiveEjections++;
+        successesSinceEjection = 0;
+        consecutiveFailures = 0;
+        meanSlowness = 1;
         samples = 0;
     }
 
-    /** Lets the peer back before its time, because too many others are out. */
+    /** Ends the ejection early, because too many other peers are ejected. */
     void readmit() {
-        outUntilMillis = 0;
+        ejectedUntilMillis = 0;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Eligibility.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Eligibility.java
@@ -3,13 +3,13 @@
 import java.util.Set;
 
 /**
- * Where a request may go at all; scores never see anything else. Immutable and thread safe.
+ * The constraints on a request's destination; only destinations that satisfy them are scored. Immutable and thread safe.
  *
- * @param allowedRegions the regions in which the request's data may be served
- * @param mayCross whether the request may still go to another region's entry host
- * @param triedPeers targets and hosts that have had the request already
+ * @param allowedRegions the regions to which the request's residency allows its data to go
+ * @param mayLeaveRegion whether the request may be forwarded to an entry host of another region
+ * @param triedPeers targets and hosts that the request has already been sent to
  */
-public record Eligibility(Set<String> allowedRegions, boolean mayCross, Set<String> triedPeers) {
+public record Eligibility(Set<String> allowedRegions, boolean mayLeaveRegion, Set<String> triedPeers) {
     public Eligibility {
         allowedRegions = Set.copyOf(allowedRegions);
         triedPeers = Set.copyOf(triedPeers);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/LoadEstimate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/LoadEstimate.java
@@ -1,20 +1,21 @@
 package org.rattanplank.core.route;
 
 /**
- * The load of one target or region: its last report, corrected by what this host sent and saw ended since.
+ * Estimates the load of one target or region: the last report, corrected by the requests that this host has started and
+ * ended since.
  *
- * <p>Invariant: never below what this host itself has there. The changes since the report are held in a ring of at most
- * {@link #MAX_CHANGES}; older ones are taken as reported. Confined to the router's lock.
+ * <p>Invariant: the estimate is never below this host's own requests in flight. Changes since the report are kept in a ring of at most
+ * {@link #MAX_CHANGES}; older ones are assumed to be covered by the report. Guarded by the router's lock.
  */
 final class LoadEstimate {
     static final int MAX_CHANGES = 256;
-    private static final int FIRST_CHANGES = 8;
+    private static final int INITIAL_CHANGES = 8;
 
     private long reportedAtMillis = Long.MIN_VALUE;
     private int load;
-    private int own;
-    private long[] changedAtMillis = new long[FIRST_CHANGES];
-    private byte[] changes = new byte[FIRST_CHANGES];
+    private int ownInFlight;
+    private long[] changedAtMillis = new long[INITIAL_CHANGES];
+    private byte[] changes = new byte[INITIAL_CHANGES];
     private int oldest;
     private int size;
 
@@ -22,44 +23,44 @@
         return load;
     }
 
-    int own() {
-        return own;
+    int ownInFlight() {
+        return ownInFlight;
     }
 
-    boolean isReported() {
+    boolean hasReport() {
         return reportedAtMillis != Long.MIN_VALUE;
     }
 
-    /** Takes a report; one that is older than the last is passed over. */
-    void reported(int newLoad, long atMillis) {
-        if (atMillis < reportedAtMillis) {
+    /** Applies a load report; a report older than the last one is ignored. */
+    void recordReport(int newLoad, long measuredAtMillis) {
+        if (measuredAtMillis < reportedAtMillis) {
             return;
         }
-        reportedAtMillis = atMillis;
-        while (size > 0 && changedAtMillis[oldest] <= atMillis) {
+        reportedAtMillis = measuredAtMillis;
+        while (size > 0 && changedAtMillis[oldest] <= measuredAtMillis) {
             dropOldest();
         }
         int sum = newLoad;
         for (int i = 0; i < size; i++) {
             sum += changes[(oldest + i) & (changes.length - 1)];
         }
-        load = Math.max(own, sum);
+        load = Math.max(ownInFlight, sum);
     }
 
-    /** Takes note of a send, counted so often until a report covers it. */
-    void started(int counted, long nowMillis) {
-        own++;
-        load += counted;
-        note(nowMillis, (byte) counted);
+    /** Records a request that was sent; it counts with the given weight until a report covers it. */
+    void recordStart(int weight, long nowMillis) {
+        ownInFlight++;
+        load += weight;
+        addChange(nowMillis, (byte) weight);
     }
 
-    void ended(long nowMillis) {
-        own--;
-        load = Math.max(own, load - 1);
-        note(nowMillis, (byte) -1);
+    void recordEnd(long nowMillis) {
+        ownInFlight--;
+        load = Math.max(ownInFlight, load - 1);
+        addChange(nowMillis, (byte) -1);
     }
 
-    private void note(long nowMillis, byte change) {
+    private void addChange(long nowMillis, byte change) {
         if (size == changes.length) {
             if (size == MAX_CHANGES) {
                 dropOldest();
@@ -67,9 +68,9 @@
                 grow();
             }
         }
-        int at = (oldest + size) & (changes.length - 1);
-        changedAtMillis[at] = nowMillis;
-        changes[at] = change;
+        int index = (oldest + size) & (changes.length - 1);
+        changedAtMillis[index] = nowMillis;
+        changes[index] = change;
         size++;
     }
 
@@ -79,15 +80,15 @@
     }
 
     private void grow() {
-        long[] times = new long[size * 2];
-        byte[] values = new byte[size * 2];
+        long[] newChangedAtMillis = new long[size * 2];
+        byte[] newChanges = new byte[size * 2];
         for (int i = 0; i < size; i++) {
-            int from = (oldest + i) & (changes.length - 1);
-            times[i] = changedAtMillis[from];
-            values[i] = changes[from];
+            int index = (oldest + i) & (changes.length - 1);
+            newChangedAtMillis[i] = changedAtMillis[index];
+            newChanges[i] = changes[index];
         }
-        changedAtMillis = times;
-        changes = values;
+        changedAtMillis = newChangedAtMillis;
+        changes = newChanges;
         oldest = 0;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Policy.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Policy.java
@@ -2,25 +2,25 @@
 
 import io.vavr.control.Option;
 
-/** What a deployment weighs when it chooses a target. */
+/** A routing policy: how the router weighs latency, cost and spillover when it chooses a target. */
 public enum Policy {
-    /** Weighs cost and the share of requests sent away from home. */
+    /** Favours low cost and few requests outside their home region. */
     COST(1, 1.5, 2, 1_500, 300),
-    /** Weighs the slowest answers. */
+    /** Favours low tail latency. */
     TAIL(4, 1, 1, 0, -500),
-    /** A baseline: any eligible target at random. */
+    /** A baseline: a random eligible target. */
     RANDOM,
     /** A baseline: the eligible targets in turn. */
     ROUND_ROBIN,
-    /** A baseline: the least load as last reported. */
+    /** A baseline: the target with the lowest load as last reported. */
     LEAST_REPORTED,
-    /** A baseline: least load as last reported, never outside the home region. */
+    /** A baseline: the target of the home region with the lowest load as last reported. */
     HOME_ONLY;
 
     private final boolean baseline;
-    private final double waitWeight;
-    private final double coldWeight;
-    private final double crossingWeight;
+    private final double queueWaitWeight;
+    private final double prefillWeight;
+    private final double crossRegionWeight;
     private final double openingGainMillis;
     private final double closingGainMillis;
 
@@ -45,18 +45,18 @@
             double openingGainMillis,
             double closingGainMillis) {
         this.baseline = baseline;
-        this.waitWeight = waitWeight;
-        this.coldWeight = coldWeight;
-        this.crossingWeight = crossingWeight;
+        this.queueWaitWeight = waitWeight;
+        this.prefillWeight = coldWeight;
+        this.crossRegionWeight = crossingWeight;
         this.openingGainMillis = openingGainMillis;
         this.closingGainMillis = closingGainMillis;
     }
 
     /**
-     * Finds a policy by its name in lower case with hyphens.
+     * Returns the policy with the given label.
      *
-     * @param name the name, such as {@code round-robin}
-     * @return the policy, or none if no policy has this name
+     * @param name the label, such as {@code round-robin}
+     * @return the policy, or none if no policy has this label
      */
     public static Option<Policy> of(String name) {
         for (Policy policy : values()) {
@@ -68,37 +68,39 @@
     }
 
     /**
-     * The name in lower case with hyphens, as settings write it.
+     * Returns the policy's name in lower case with hyphens, as it is written in settings.
      *
-     * @return the name
+     * @return the label
      */
     public String label() {
         return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
 
     /**
-     * Tells whether this is a baseline, which neither admits, ejects, spills by gain nor keeps a retry budget.
+     * Returns whether this is a baseline. A baseline has no admission control, ejection, spillover gate or retry budget.
      *
-     * @return whether it is only there to be compared with
+     * @return whether the policy serves only as a comparison
      */
     public boolean isBaseline() {
         return baseline;
     }
 
     /**
-     * Weighs the parts of a score.
+     * Returns the weighted score of a candidate.
      *
-     * @param waitMillis the expected wait
-     * @param coldMillis the expected time to read what is not cached
-     * @param crossingMillis the time of crossing between regions, zero in the own one
+     * @param queueWaitMillis the expected queue wait
+     * @param prefillMillis the expected time to prefill the prompt tokens that are not cached
+     * @param crossRegionMillis the additional latency of another region, zero in this region
      * @return the score in milliseconds, lower is better
      */
-    public double score(double waitMillis, double coldMillis, double crossingMillis) {
-        return waitWeight * waitMillis + coldWeight * coldMillis + crossingWeight * crossingMillis;
+    public double score(double queueWaitMillis, double prefillMillis, double crossRegionMillis) {
+        return queueWaitWeight * queueWaitMillis
+                + prefillWeight * prefillMillis
+                + crossRegionWeight * crossRegionMillis;
     }
 
     /**
-     * The smoothed gain above which requests begin to leave the region.
+     * Returns the smoothed gain above which requests begin to spill over to another region.
      *
      * @return the gain in milliseconds
      */
@@ -107,7 +109,7 @@
     }
 
     /**
-     * The smoothed gain below which requests no longer leave the region.
+     * Returns the smoothed gain at or below which requests stop spilling over to another region.
      *
      * @return the gain in milliseconds
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
@@ -9,10 +9,10 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * Where prompts with a common prefix go: to the target that had the prefix last, else by rendezvous hashing, so that
- * hosts agree without a word between them.
+ * Assigns prompts with a common prefix to a target: the one that the prefix was last sent to, else the one that
+ * rendezvous hashing assigns, so that hosts agree without communication.
  *
- * <p>Invariant: at most {@link #MAX_PREFIXES} prefixes are held; the least recently used go first. Confined to the
+ * <p>Invariant: at most {@link #MAX_PREFIXES} prefixes are held; the least recently used are evicted first. Guarded by the
  * router's lock.
  */
 final class PrefixAffinity {
@@ -27,18 +27,18 @@
         }
     };
 
-    int prefixes() {
+    int prefixCount() {
         return lastTargets.size();
     }
 
-    void sent(List<Long> prefixes, Target target) {
+    void recordPrompt(List<Long> prefixes, Target target) {
         for (Long prefix : prefixes) {
             lastTargets.put(prefix, target);
         }
     }
 
-    /** Finds the longest prefix that was seen before, or the shortest if none was. */
-    Option<Long> key(List<Long> prefixes) {
+    /** Returns the longest prefix that was sent before, or the shortest prefix if none was. */
+    Option<Long> affinityKey(List<Long> prefixes) {
         for (int i = prefixes.size() - 1; i > 0; i--) {
             if (lastTargets.containsKey(prefixes.get(i))) {
                 return Option.some(prefixes.get(i));
@@ -52,22 +52,22 @@
     }
 
     /**
-     * Finds the first two in rendezvous order among the targets that may be chosen, in one pass that touches few targets.
+     * Returns the first two selectable targets in rendezvous order, in one pass that tests only targets that rank high enough.
      *
      * @param targets the targets
      * @param seeds the seeds of the targets, in the same order
      * @param key the prefix
-     * @param mayBeChosen whether a target may be chosen
-     * @return at most two targets, the first in rendezvous order first
+     * @param isSelectable whether a target may be chosen
+     * @return at most two targets, in rendezvous order
      */
-    static List<Target> firstTwo(Target[] targets, long[] seeds, long key, Predicate<Target> mayBeChosen) {
+    static List<Target> firstTwo(Target[] targets, long[] seeds, long key, Predicate<Target> isSelectable) {
         int first = -1;
         int second = -1;
         long firstRank = Long.MIN_VALUE;
         long secondRank = Long.MIN_VALUE;
         for (int i = 0; i < seeds.length; i++) {
             long rank = Rendezvous.mix(key ^ seeds[i]);
-            if (rank <= secondRank || !mayBeChosen.test(targets[i])) {
+            if (rank <= secondRank || !isSelectable.test(targets[i])) {
                 continue;
             }
             if (rank > firstRank) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Ramp.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Ramp.java
@@ -1,20 +1,20 @@
 package org.rattanplank.core.route;
 
 /**
- * A share between zero and one that moves towards its aim at a bounded rate, so that a change takes hold gradually.
+ * A fraction between zero and one that approaches its goal at a bounded rate.
  *
- * <p>Invariant: in any second it moves by at most its rate. Confined to the router's lock.
+ * <p>Invariant: within any second the value changes by at maxChange the configured rate. Guarded by the router's lock.
  */
 final class Ramp {
     private final double perMillisecond;
     private double value;
-    private double aim;
+    private double goal;
     private long atMillis;
 
     private Ramp(double value, double perSecond, long atMillis) {
         this.perMillisecond = perSecond / 1_000;
         this.value = value;
-        this.aim = value;
+        this.goal = value;
         this.atMillis = atMillis;
     }
 
@@ -22,18 +22,18 @@
         return new Ramp(value, perSecond, nowMillis);
     }
 
-    Ramp towards(double newAim, long nowMillis) {
+    Ramp rampTo(double newGoal, long nowMillis) {
         value = value(nowMillis);
         atMillis = Math.max(atMillis, nowMillis);
-        aim = newAim;
+        goal = newGoal;
         return this;
     }
 
     double value(long nowMillis) {
-        if (value == aim) {
+        if (value == goal) {
             return value;
         }
-        double most = perMillisecond * Math.max(0, nowMillis - atMillis);
-        return value < aim ? Math.min(aim, value + most) : Math.max(aim, value - most);
+        double maxChange = perMillisecond * Math.max(0, nowMillis - atMillis);
+        return value < goal ? Math.min(goal, value + maxChange) : Math.max(goal, value - maxChange);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegion.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegion.java
@@ -5,11 +5,11 @@
 import java.util.Objects;
 
 /**
- * What this host knows of another region. Immutable and thread safe.
+ * The last known state of another region. Immutable and thread safe.
  *
  * @param region the region's name
- * @param hosts its entry hosts that can be reached
- * @param services the load of its services by name
+ * @param hosts its reachable entry hosts
+ * @param services the load of its services, by service name
  */
 public record RemoteRegion(String region, List<String> hosts, Map<String, ServiceLoad> services) {
     public RemoteRegion {
@@ -21,11 +21,11 @@
     /**
      * The load of one service in one region.
      *
-     * @param targets how many targets take work
-     * @param slots how many requests they run at once without slowing each other much
-     * @param running requests that run
-     * @param queued requests that wait
-     * @param reportedAtMillis when this was summed up, on this host's clock
+     * @param targets the number of targets that accept requests
+     * @param slots the number of requests that these targets run concurrently without slowing each other much
+     * @param running the number of running requests
+     * @param queued the number of queued requests
+     * @param reportedAtMillis when the summary was made, on this host's clock
      */
     public record ServiceLoad(int targets, int slots, int running, int queued, long reportedAtMillis) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Route.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Route.java
@@ -2,18 +2,18 @@
 
 import java.util.Objects;
 
-/** Where one attempt goes. Immutable and thread safe. */
+/** The destination of one attempt. Immutable and thread safe. */
 public sealed interface Route {
 
     /**
-     * The name of the other side.
+     * Returns the name of the destination.
      *
-     * @return the target's or the host's name
+     * @return the name of the target or host
      */
     String peer();
 
     /**
-     * To a target of this data centre or region.
+     * A target of this region.
      *
      * @param target the target's name
      */
@@ -29,10 +29,10 @@
     }
 
     /**
-     * To another entry host, which serves it in its own region or answers not run.
+     * Another entry host, which serves the request in its own region or answers that it was not run.
      *
      * @param host the entry host's name
-     * @param region the region that it stands in
+     * @param region the host's region
      */
     record ToHost(String host, String region) implements Route {
         public ToHost {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
@@ -23,28 +23,28 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * Chooses the target or the other region's host for each attempt, and decides what there is room for.
+ * Admits requests and chooses the target, or the entry host of another region, for each attempt.
  *
- * <p>Invariant: a target that is leaving, that was tried, or whose region the request's residency does not allow is
- * never chosen. Thread safe; one lock guards all state, and no other lock is taken while it is held.
+ * <p>Invariant: a target that is leaving, that was already tried, or whose region the request's residency does not allow
+ * is never chosen. Thread safe: one lock guards all state, and no other lock is acquired while it is held.
  */
 public final class Router {
-    /** How many attempts may run at once; more requests are refused, so that memory stays bounded. */
+    /** Maximum number of concurrent attempts; further requests are rejected, so that memory stays bounded. */
     static final int MAX_ATTEMPTS = 65_536;
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
-    private static final long LONGEST_BUSY_MILLIS = 2_000;
-    private static final long LONGEST_REGION_PAUSE_MILLIS = 100;
-    private static final int SERVER_ERROR = 500;
+    private static final long MAX_TARGET_PAUSE_MILLIS = 2_000;
+    private static final long MAX_REGION_PAUSE_MILLIS = 100;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final String region;
     private final Policy policy;
-    private final TargetTable targets;
-    private final RemoteTable remotes = new RemoteTable();
+    private final TargetTable targetTable;
+    private final RemoteRegionTable remoteRegions = new RemoteRegionTable();
     private final PrefixAffinity affinity = new PrefixAffinity();
     private final Admission admission;
-    private final RetryBudget budget = RetryBudget.full();
+    private final RetryBudget retryBudget = RetryBudget.full();
     private final Chooser chooser;
     private final Map<String, Attempt> attempts = new HashMap<>();
     private Configuration configuration = Configuration.empty();
@@ -52,18 +52,18 @@
     private Router(Place place, Policy policy, RandomGenerator random) {
         this.region = place.region();
         this.policy = policy;
-        this.targets = new TargetTable(policy);
+        this.targetTable = new TargetTable(policy);
         this.admission = Admission.of(random);
         this.chooser = policy.isBaseline()
-                ? new BaselineChooser(region, policy, targets, remotes, random)
-                : new ScoredChooser(region, policy, targets, remotes, affinity, admission, random);
+                ? new BaselineChooser(region, policy, targetTable, remoteRegions, random)
+                : new ScoredChooser(region, policy, targetTable, remoteRegions, affinity, admission, random);
     }
 
     /**
-     * Makes a router that knows no target.
+     * Creates a router without targets.
      *
-     * @param place where this host stands
-     * @param policy what the deployment weighs
+     * @param place the region and data centre of this host
+     * @param policy the routing policy
      * @param seed the seed of random choices
      * @return the router
      */
@@ -72,54 +72,54 @@
     }
 
     /**
-     * Takes the targets of this region that take work; others get no more.
+     * Replaces the targets of this region that accept requests; any other target gets no more.
      *
-     * @param takingWork the targets that are listed and not leaving
+     * @param acceptingTargets the targets that are listed and not leaving
      * @param nowMillis the time
      */
-    public void targets(List<ListedHost> takingWork, long nowMillis) {
+    public void targets(List<ListedHost> acceptingTargets, long nowMillis) {
         lock.lock();
         try {
-            targets.listed(takingWork, nowMillis);
+            targetTable.updateListed(acceptingTargets, nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes what is known of the other regions.
+     * Updates the state of the other regions.
      *
-     * @param remote the other regions
+     * @param regions the other regions
      * @param nowMillis the time
      */
-    public void regions(List<RemoteRegion> remote, long nowMillis) {
+    public void regions(List<RemoteRegion> regions, long nowMillis) {
         lock.lock();
         try {
-            remotes.learn(remote, nowMillis);
+            remoteRegions.update(regions, nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes a new configuration.
+     * Applies a new configuration.
      *
-     * @param newer the configuration in force
+     * @param newest the configuration in force
      * @param nowMillis the time
      */
-    public void configured(Configuration newer, long nowMillis) {
+    public void configured(Configuration newest, long nowMillis) {
         lock.lock();
         try {
-            configuration = newer;
-            targets.configured(newer);
-            remotes.configured(newer, nowMillis);
+            configuration = newest;
+            targetTable.applyConfiguration(newest);
+            remoteRegions.applyConfiguration(newest, nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes a target's report of its load.
+     * Records a target's load report.
      *
      * @param load the report
      * @param nowMillis the time
@@ -127,14 +127,14 @@
     public void reported(TargetLoad load, long nowMillis) {
         lock.lock();
         try {
-            targets.reported(load, nowMillis);
+            targetTable.recordReport(load, nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes note that a target did not answer when it was asked for its load.
+     * Records that a target did not answer a load query.
      *
      * @param target the target
      * @param nowMillis the time
@@ -142,14 +142,14 @@
     public void missed(String target, long nowMillis) {
         lock.lock();
         try {
-            targets.missed(target, nowMillis);
+            targetTable.recordMissedReport(target, nowMillis);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes changes of a target's prefix cache.
+     * Applies changes of the targets' prefix caches.
      *
      * @param events the changes
      * @param nowMillis the time
@@ -158,7 +158,7 @@
         lock.lock();
         try {
             for (CacheEvent event : events) {
-                targets.target(event.target()).forEach(target -> target.cache.changed(event));
+                targetTable.target(event.target()).forEach(target -> target.cache.applyEvent(event));
             }
         } finally {
             lock.unlock();
@@ -166,33 +166,33 @@
     }
 
     /**
-     * Decides whether there is room for a request at all.
+     * Decides whether a request is admitted.
      *
      * @param request the request
      * @param nowMillis the time
-     * @return a refusal, or none if the request may go on
+     * @return a rejection, or none if the request is admitted
      */
     public Option<Routing.Refuse> admit(Request request, long nowMillis) {
         lock.lock();
         try {
             if (attempts.size() >= MAX_ATTEMPTS) {
-                return Option.some(refuse(request, new Refusal("too many requests run", RETRY_AFTER_MILLIS)));
+                return Option.some(reject(request, new Refusal("too many concurrent requests", RETRY_AFTER_MILLIS)));
             }
-            Option<Refusal> refusal = policy.isBaseline() ? Option.none() : refusal(request, nowMillis);
-            if (refusal.isEmpty()) {
-                budget.earn();
+            Option<Refusal> rejection = policy.isBaseline() ? Option.none() : checkAdmission(request, nowMillis);
+            if (rejection.isEmpty()) {
+                retryBudget.earn();
             }
-            return refusal.map(found -> refuse(request, found));
+            return rejection.map(cause -> reject(request, cause));
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Chooses where an attempt goes.
+     * Chooses the destination of an attempt.
      *
      * @param request the request
-     * @param eligibility where it may go at all
+     * @param eligibility the regions and peers that may serve the request
      * @param nowMillis the time
      * @return the decision
      */
@@ -206,65 +206,66 @@
     }
 
     /**
-     * Decides whether a request that surely did not run, or may be repeated, may be tried once more.
+     * Decides whether a request that definitely did not run, or that is safe to repeat, may be retried.
      *
      * @param request the request
-     * @param attemptsHad how many attempts it has had
+     * @param previousAttempts the number of attempts so far
      * @param nowMillis the time
      * @return whether the retry budget allows it
      */
-    public boolean mayRetry(Request request, int attemptsHad, long nowMillis) {
+    public boolean mayRetry(Request request, int previousAttempts, long nowMillis) {
         lock.lock();
         try {
-            return policy.isBaseline() ? attemptsHad < 2 : budget.spend(attemptsHad);
+            return policy.isBaseline() ? previousAttempts < 2 : retryBudget.spend(previousAttempts);
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes note that an attempt has started.
+     * Records that an attempt has started.
      *
      * @param request the request
-     * @param route where it goes
+     * @param route the destination
      * @param nowMillis the time
      */
     public void started(Request request, Route route, long nowMillis) {
         lock.lock();
         try {
-            takeBack(request, nowMillis);
-            Attempt attempt = expected(request, route, nowMillis);
+            removeAttempt(request, nowMillis);
+            Attempt attempt = estimateAttempt(request, route, nowMillis);
             attempts.put(request.id(), attempt);
             if (route instanceof Route.ToHost toHost) {
-                remotes.region(toHost.region())
-                        .forEach(remote -> remote.load(request.service()).started(Remote.HERD, nowMillis));
+                remoteRegions.region(toHost.region()).forEach(remote -> remote.load(request.service())
+                        .recordStart(RemoteRegionState.OWN_SEND_WEIGHT, nowMillis));
             }
-            attempt.target().forEach(target -> sent(request, target, nowMillis));
+            attempt.target().forEach(target -> recordSend(request, target, nowMillis));
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes note that an attempt has ended.
+     * Records that an attempt has ended.
      *
      * @param request the request
-     * @param route where it went
+     * @param route the destination
      * @param result how it ended
-     * @param tookMillis how long it took
+     * @param durationMillis the duration of the attempt
      * @param nowMillis the time
      */
-    public void ended(Request request, Route route, AttemptResult result, long tookMillis, long nowMillis) {
+    public void ended(Request request, Route route, AttemptResult result, long durationMillis, long nowMillis) {
         lock.lock();
         try {
-            takeBack(request, nowMillis).forEach(attempt -> judge(request, attempt, result, tookMillis, nowMillis));
+            removeAttempt(request, nowMillis)
+                    .forEach(attempt -> recordResult(request, attempt, result, durationMillis, nowMillis));
         } finally {
             lock.unlock();
         }
     }
 
     /**
-     * Takes note that a request has had its outcome.
+     * Records that a request has its outcome.
      *
      * @param request the request
      * @param nowMillis the time
@@ -272,11 +273,11 @@
     public void finished(Request request, long nowMillis) {
         lock.lock();
         try {
-            Option<Attempt> attempt = takeBack(request, nowMillis);
-            // A silent target never ends an attempt: its failures would not be seen by the results alone, and it would
-            // look idle once its requests are given up. An attempt that outlived the deadline counts as a failure.
+            Option<Attempt> attempt = removeAttempt(request, nowMillis);
+            // An unresponsive target never ends an attempt, so its failures do not show in the results, and it appears
+            // idle once its requests are abandoned. An attempt that is still running at the deadline counts as failed.
             if (nowMillis >= request.deadlineMillis()) {
-                attempt.forEach(running -> failed(request, running, nowMillis));
+                attempt.forEach(running -> recordFailure(request, running, nowMillis));
             }
         } finally {
             lock.unlock();
@@ -284,7 +285,7 @@
     }
 
     /**
-     * Sums up the load of this region's services, for other regions.
+     * Summarizes the load of this region's services for other regions.
      *
      * @param nowMillis the time
      * @return the loads by service
@@ -292,45 +293,49 @@
     public Map<String, RemoteRegion.ServiceLoad> summary(long nowMillis) {
         lock.lock();
         try {
-            Map<String, RemoteRegion.ServiceLoad> sums = new TreeMap<>();
-            targets.services().forEach((name, service) -> sums.put(name, service.sum(nowMillis)));
-            return sums;
+            Map<String, RemoteRegion.ServiceLoad> summaries = new TreeMap<>();
+            targetTable.services().forEach((name, service) -> summaries.put(name, service.summarize(nowMillis)));
+            return summaries;
         } finally {
             lock.unlock();
         }
     }
 
-    private Option<Refusal> refusal(Request request, long nowMillis) {
+    private Option<Refusal> checkAdmission(Request request, long nowMillis) {
         double weight =
                 configuration.account(request.account()).map(Account::weight).getOrElse(1.0);
         return admission.admit(request, weight, backlog(request, nowMillis), nowMillis);
     }
 
-    /** The work in the way of a request if this region's targets shared it evenly; none if it may go elsewhere. */
+    /**
+     * Returns the work ahead of a request if the load were spread evenly over this region's targets, without a queue wait
+     * if another region has capacity for it.
+     */
     private Backlog backlog(Request request, long nowMillis) {
-        Option<ServiceTargets> known = targets.service(request.service());
-        if (known.isEmpty()) {
+        Option<ServiceTargets> serviceTargets = targetTable.service(request.service());
+        if (serviceTargets.isEmpty()) {
             return new Backlog(0, 1, 1);
         }
-        ServiceTargets service = known.get();
-        service.refresh(nowMillis);
+        ServiceTargets service = serviceTargets.get();
+        service.refreshTotals(nowMillis);
         double rate = service.size() == 0 ? 0 : service.targets()[0].tokensPerSecond();
-        double run = service.work.outputMillis(request, rate);
-        double wait = service.hasRoom() || mayGoElsewhere(request, nowMillis) ? 0 : service.waitMillis();
-        double ahead = wait * service.mix.partAheadOf(request.workClass());
-        return new Backlog(ahead, run, service.work.meanRunMillis());
+        double run = service.workEstimate.outputMillis(request, rate);
+        double queueWait =
+                service.hasCapacity() || otherRegionHasCapacity(request, nowMillis) ? 0 : service.queueWaitMillis();
+        double ahead = queueWait * service.classMix.shareAheadOf(request.workClass());
+        return new Backlog(ahead, run, service.workEstimate.meanRunMillis());
     }
 
-    private boolean mayGoElsewhere(Request request, long nowMillis) {
+    private boolean otherRegionHasCapacity(Request request, long nowMillis) {
         if (request.isForwarded()) {
             return false;
         }
         for (String name : configuration.allowedRegions(request.homeRegion(), request.residency())) {
             boolean hasRoom = !name.equals(region)
-                    && remotes.region(name).exists(remote -> remote.summary(request.service())
-                            .exists(summary -> remote.hasRoom(
+                    && remoteRegions.region(name).exists(remote -> remote.summary(request.service())
+                            .exists(summary -> remote.hasCapacity(
                                     request.service(),
-                                    remote.slots(summary, remotes.share(name, nowMillis), nowMillis))));
+                                    remote.slots(summary, remoteRegions.share(name, nowMillis), nowMillis))));
             if (hasRoom) {
                 return true;
             }
@@ -338,90 +343,94 @@
         return false;
     }
 
-    private static Routing.Refuse refuse(Request request, Refusal refusal) {
+    private static Routing.Refuse reject(Request request, Refusal refusal) {
         Failure failure = Failure.of(Step.ADMIT, request.service(), refusal.reason());
         return new Routing.Refuse(failure, refusal.retryAfterMillis(), List.of());
     }
 
-    private Attempt expected(Request request, Route route, long nowMillis) {
-        Option<ServiceTargets> service = targets.service(request.service());
-        Option<Target> target = route instanceof Route.ToTarget ? targets.target(route.peer()) : Option.none();
+    private Attempt estimateAttempt(Request request, Route route, long nowMillis) {
+        Option<ServiceTargets> service = targetTable.service(request.service());
+        Option<Target> target = route instanceof Route.ToTarget ? targetTable.target(route.peer()) : Option.none();
         if (service.isEmpty() || target.isEmpty()) {
             return new Attempt(route, target, 0, 0, 0);
         }
-        WorkEstimate work = service.get().work;
+        WorkEstimate work = service.get().workEstimate;
         double rate = target.get().tokensPerSecond();
         double cached = target.get().cache.cachedTokens(request.prefixHashes(), request.promptTokens());
         double prefill = WorkEstimate.prefillMillis(request.promptTokens() - cached, rate);
-        double wait = target.get().waitMillis(work.meanRunMillis(), 1, nowMillis);
-        double run = work.isLearned() ? prefill + work.outputMillis(request, rate) : 0;
-        return new Attempt(route, target, wait, prefill, run);
+        double queueWait = target.get().queueWaitMillis(work.meanRunMillis(), 1, nowMillis);
+        double run = work.hasSamples() ? prefill + work.outputMillis(request, rate) : 0;
+        return new Attempt(route, target, queueWait, prefill, run);
     }
 
-    private void sent(Request request, Target target, long nowMillis) {
-        target.load.started(1, nowMillis);
-        target.cache.sent(request.prefixHashes(), request.promptTokens());
-        affinity.sent(request.prefixHashes(), target);
-        targets.service(request.service()).forEach(service -> {
-            service.changed(1);
-            service.mix.sent(request.workClass());
+    private void recordSend(Request request, Target target, long nowMillis) {
+        target.load.recordStart(1, nowMillis);
+        target.cache.recordPrompt(request.prefixHashes(), request.promptTokens());
+        affinity.recordPrompt(request.prefixHashes(), target);
+        targetTable.service(request.service()).forEach(service -> {
+            service.adjustLoad(1);
+            service.classMix.recordRequest(request.workClass());
         });
     }
 
-    /** Ends the count of the attempt that the request has now. */
-    private Option<Attempt> takeBack(Request request, long nowMillis) {
+    /** Removes the request's current attempt, if any, and its share of the load estimates. */
+    private Option<Attempt> removeAttempt(Request request, long nowMillis) {
         Option<Attempt> running = Option.of(attempts.remove(request.id()));
         running.forEach(attempt -> {
             if (attempt.route() instanceof Route.ToHost toHost) {
-                remotes.region(toHost.region())
-                        .forEach(remote -> remote.load(request.service()).ended(nowMillis));
+                remoteRegions.region(toHost.region()).forEach(remote -> remote.load(request.service())
+                        .recordEnd(nowMillis));
             }
             attempt.target().forEach(target -> {
-                target.load.ended(nowMillis);
-                targets.service(request.service()).forEach(service -> service.changed(-1));
+                target.load.recordEnd(nowMillis);
+                targetTable.service(request.service()).forEach(service -> service.adjustLoad(-1));
             });
         });
         return running;
     }
 
-    private void judge(Request request, Attempt attempt, AttemptResult result, long tookMillis, long nowMillis) {
-        if (result instanceof AttemptResult.Whole whole && whole.answer().status() < SERVER_ERROR) {
-            succeeded(request, attempt, tookMillis, nowMillis);
-        } else if (result instanceof AttemptResult.NotRun notRun && isRefusal(notRun)) {
-            long untilMillis = nowMillis + Math.min(longestPauseMillis(attempt), notRun.retryAfterMillis());
-            ejection(attempt).forEach(ejection -> ejection.busy(untilMillis));
+    private void recordResult(
+            Request request, Attempt attempt, AttemptResult result, long durationMillis, long nowMillis) {
+        if (result instanceof AttemptResult.Whole whole && whole.answer().status() < MIN_SERVER_ERROR_STATUS) {
+            recordSuccess(request, attempt, durationMillis, nowMillis);
+        } else if (result instanceof AttemptResult.NotRun notRun && isRejection(notRun)) {
+            long untilMillis = nowMillis + Math.min(maxPauseMillis(attempt), notRun.retryAfterMillis());
+            ejection(attempt).forEach(ejection -> ejection.pauseUntil(untilMillis));
         } else {
-            failed(request, attempt, nowMillis);
+            recordFailure(request, attempt, nowMillis);
         }
     }
 
-    /** Whether the other side is there and has only refused this request, so that it has not failed. */
-    private static boolean isRefusal(AttemptResult.NotRun notRun) {
+    /** Returns whether the peer is available and rejected only this request, which is no failure of the peer. */
+    private static boolean isRejection(AttemptResult.NotRun notRun) {
         return switch (notRun.failure().step()) {
             case ACCEPT, ADMIT, CLAIM, ROUTE -> true;
             case FORWARD, CONNECT, SEND, RECEIVE -> notRun.retryAfterMillis() > 0;
         };
     }
 
-    /** A region refuses one account or one deadline and may have room for the next; a target refuses all alike. */
-    private static long longestPauseMillis(Attempt attempt) {
-        return attempt.route() instanceof Route.ToHost ? LONGEST_REGION_PAUSE_MILLIS : LONGEST_BUSY_MILLIS;
+    /**
+     * Returns the longest pause after a rejection. A region may reject a request because of its account or deadline and
+     * still have capacity for the next one; a target rejects all requests alike.
+     */
+    private static long maxPauseMillis(Attempt attempt) {
+        return attempt.route() instanceof Route.ToHost ? MAX_REGION_PAUSE_MILLIS : MAX_TARGET_PAUSE_MILLIS;
     }
 
-    private void succeeded(Request request, Attempt attempt, long tookMillis, long nowMillis) {
-        Option<ServiceTargets> service = targets.service(request.service());
+    private void recordSuccess(Request request, Attempt attempt, long durationMillis, long nowMillis) {
+        Option<ServiceTargets> service = targetTable.service(request.service());
         if (attempt.target().isEmpty() || service.isEmpty()) {
-            ejection(attempt).forEach(ejection -> ejection.succeeded(1));
+            ejection(attempt).forEach(ejection -> ejection.recordSuccess(1));
             return;
         }
         Target target = attempt.target().get();
-        WorkEstimate work = service.get().work;
-        target.ejection.succeeded(attempt.expectedMillis()
-                .map(expected -> work.relativeSlowness(tookMillis, expected))
+        WorkEstimate work = service.get().workEstimate;
+        target.ejection.recordSuccess(attempt.expectedMillis()
+                .map(expected -> work.relativeSlowness(durationMillis, expected))
                 .getOrElse(1.0));
-        work.learn(
-                tookMillis,
-                attempt.waitMillis() > 0,
+        work.recordRun(
+                durationMillis,
+                attempt.queueWaitMillis() > 0,
                 attempt.prefillMillis(),
                 target.tokensPerSecond(),
                 request.maxTokens());
@@ -430,23 +439,24 @@
         }
     }
 
-    private void failed(Request request, Attempt attempt, long nowMillis) {
-        boolean leavesOut = ejection(attempt).exists(ejection -> ejection.failed(nowMillis));
-        attempt.target().forEach(target -> target.cache.doubt());
-        if (!leavesOut) {
+    private void recordFailure(Request request, Attempt attempt, long nowMillis) {
+        boolean ejects = ejection(attempt).exists(ejection -> ejection.recordFailure(nowMillis));
+        attempt.target().forEach(target -> target.cache.reduceConfidence());
+        if (!ejects) {
             return;
         }
         if (attempt.route() instanceof Route.ToHost) {
             ejection(attempt).forEach(ejection -> ejection.eject(nowMillis));
             return;
         }
-        attempt.target().forEach(target -> targets.service(request.service())
-                .forEach(service -> service.eject(target, nowMillis)));
+        attempt.target()
+                .forEach(target ->
+                        targetTable.service(request.service()).forEach(service -> service.eject(target, nowMillis)));
     }
 
     private Option<Ejection> ejection(Attempt attempt) {
         if (attempt.route() instanceof Route.ToHost toHost) {
-            return remotes.region(toHost.region()).map(remote -> remote.ejection);
+            return remoteRegions.region(toHost.region()).map(remote -> remote.ejection);
         }
         return attempt.target().map(target -> target.ejection);
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Routing.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Routing.java
@@ -5,21 +5,21 @@
 
 import org.rattanplank.core.request.Failure;
 
-/** The router's decision on one attempt. Immutable and thread safe. */
+/** The routing decision for one attempt. Immutable and thread safe. */
 public sealed interface Routing {
 
     /**
-     * What was considered.
+     * Returns the candidates that were considered.
      *
      * @return the candidates
      */
     List<Candidate> candidates();
 
     /**
-     * Go there.
+     * Sends the attempt to a destination.
      *
-     * @param route where
-     * @param candidates what was considered
+     * @param route the destination
+     * @param candidates the candidates that were considered
      */
     record Go(Route route, List<Candidate> candidates) implements Routing {
         public Go {
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Give the attempt up at once.
+     * Rejects the attempt at once.
      *
-     * @param failure why
-     * @param retryAfterMillis when to come back, zero if coming back does not help
-     * @param candidates what was considered
+     * @param failure the reason
+     * @param retryAfterMillis when the caller may retry, zero if a retry would not help
+     * @param candidates the candidates that were considered
      */
     record Refuse(Failure failure, long retryAfterMillis, List<Candidate> candidates) implements Routing {
         public Refuse {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
@@ -13,26 +13,32 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * The product's choice: the best score among a few candidates, some by prefix affinity and some at random, and another
- * region only through the service's spill gate.
+ * Chooses the candidate with the lowest score: a few targets of this region, some by prefix affinity and some at
+ * random, and the other regions. Work leaves the region only while the service's spillover gate is open.
  *
- * <p>Invariant: only eligible targets and regions are chosen. Confined to the router's lock.
+ * <p>Invariant: only eligible targets and regions are chosen. Guarded by the router's lock.
  */
 final class ScoredChooser implements Chooser {
-    private static final int RANDOM_CHOICES = 2;
-    private static final int RANDOM_TRIES = 8;
-    private static final double BOUNDED_LOAD = 1.5;
-    private static final double FAILURE_MILLIS = 500;
-    private static final double CROWDING = 0.1;
-    /** How much longer, in average runs, the wait at home must be than that in a region that is full as well. */
-    private static final double FULL_RUNS = 1;
+    private static final int RANDOM_CANDIDATES = 2;
+    private static final int MAX_RANDOM_PICKS = 8;
+    /** Prefix affinity fills a target beyond its slots only up to this multiple of the mean load. */
+    private static final double BOUNDED_LOAD_FACTOR = 1.5;
+    /** Score penalty for each consecutive failure of a target. */
+    private static final double FAILURE_PENALTY_MILLIS = 500;
+    /** Score of a fully utilized target or region, in mean run times. */
+    private static final double UTILIZATION_WEIGHT = 0.1;
+    /**
+     * Penalty of a region without a free slot, in mean run times: the queue wait at home must be longer by this much
+     * before work moves from one full region to another.
+     */
+    private static final double FULL_REGION_PENALTY_RUNS = 1;
 
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final String region;
     private final Policy policy;
     private final TargetTable targets;
-    private final RemoteTable remotes;
+    private final RemoteRegionTable remoteRegions;
     private final PrefixAffinity affinity;
     private final Admission admission;
     private final RandomGenerator random;
@@ -41,14 +47,14 @@
             String region,
             Policy policy,
             TargetTable targets,
-            RemoteTable remotes,
+            RemoteRegionTable remotes,
             PrefixAffinity affinity,
             Admission admission,
             RandomGenerator random) {
         this.region = region;
         this.policy = policy;
         this.targets = targets;
-        this.remotes = remotes;
+        this.remoteRegions = remotes;
         this.affinity = affinity;
         this.admission = admission;
         this.random = random;
@@ -58,29 +64,29 @@
     public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
         Decision decision = new Decision(request, eligibility, nowMillis);
         decision.considerTargets();
-        decision.considerRegions();
-        return decision.routing();
+        decision.considerRemoteRegions();
+        return decision.decide();
     }
 
-    /** One decision; its fields are the best found so far. */
+    /** One routing decision; its fields hold the best candidates found so far. */
     private final class Decision {
         private final Request request;
         private final Eligibility eligibility;
-        private final Set<String> tried;
+        private final Set<String> triedPeers;
         private final Set<String> allowedRegions;
-        private final boolean mayCross;
+        private final boolean mayLeaveRegion;
         private final long nowMillis;
-        private final Considered considered = new Considered();
+        private final CandidateLog candidateLog = new CandidateLog();
         private final Option<ServiceTargets> service;
-        private Option<Scored> bestTarget = Option.none();
-        private Option<Scored> bestRegion = Option.none();
+        private Option<ScoredRoute> bestTarget = Option.none();
+        private Option<ScoredRoute> bestRegion = Option.none();
 
         Decision(Request request, Eligibility eligibility, long nowMillis) {
             this.request = request;
             this.eligibility = eligibility;
-            this.tried = eligibility.triedPeers();
+            this.triedPeers = eligibility.triedPeers();
             this.allowedRegions = eligibility.allowedRegions();
-            this.mayCross = eligibility.mayCross();
+            this.mayLeaveRegion = eligibility.mayLeaveRegion();
             this.nowMillis = nowMillis;
             this.service = targets.service(request.service());
         }
@@ -89,188 +95,204 @@
             if (!allowedRegions.contains(region) || service.isEmpty()) {
                 return;
             }
-            ServiceTargets known = service.get();
-            known.refresh(nowMillis);
-            if (known.size() == 0) {
+            ServiceTargets serviceTargets = service.get();
+            serviceTargets.refreshTotals(nowMillis);
+            if (serviceTargets.size() == 0) {
                 return;
             }
-            considerByAffinity(known);
-            for (int i = 0; i < RANDOM_CHOICES; i++) {
-                randomTarget(known).forEach(target -> consider(target, known));
+            considerAffinityTargets(serviceTargets);
+            for (int i = 0; i < RANDOM_CANDIDATES; i++) {
+                randomTarget(serviceTargets).forEach(target -> considerTarget(target, serviceTargets));
             }
-            if (known.leftOut() > 0) {
-                considered.add(known.leftOut() + " of " + known.size(), "ejected or taking no work", 0);
+            if (serviceTargets.excludedCount() > 0) {
+                candidateLog.add(
+                        serviceTargets.excludedCount() + " of " + serviceTargets.size(),
+                        "ejected or not accepting requests",
+                        0);
             }
         }
 
-        private void considerByAffinity(ServiceTargets known) {
-            Option<Long> key = affinity.key(request.prefixHashes());
+        private void considerAffinityTargets(ServiceTargets serviceTargets) {
+            Option<Long> key = affinity.affinityKey(request.prefixHashes());
             if (key.isEmpty()) {
                 return;
             }
-            Predicate<Target> withinBound = target -> isOpen(target) && isWithinBound(target, known);
-            // Two services may be asked with the same prefix. Without the check of the service, a booking could go to
-            // the
-            // model engine that saw the prefix last; one would notice answers of the wrong service.
+            Predicate<Target> withinBound = target -> isSelectable(target) && isWithinLoadBound(target, serviceTargets);
+            // Requests for two services may carry the same prefix. Without the check of the service, a request could be
+            // sent to a target of the other service; symptom: answers of the wrong service.
             affinity.lastTarget(key.get())
                     .filter(target -> target.service.equals(request.service()))
                     .filter(withinBound)
-                    .forEach(target -> consider(target, known));
-            PrefixAffinity.firstTwo(known.targets(), known.seeds(), key.get(), withinBound)
-                    .forEach(target -> consider(target, known));
+                    .forEach(target -> considerTarget(target, serviceTargets));
+            PrefixAffinity.firstTwo(serviceTargets.targets(), serviceTargets.seeds(), key.get(), withinBound)
+                    .forEach(target -> considerTarget(target, serviceTargets));
         }
 
-        /** Bounded load: a popular prefix fills its target up to a bound and then goes to the next in order. */
-        private boolean isWithinBound(Target target, ServiceTargets known) {
+        /**
+         * Returns whether the target is within its load bound (consistent hashing with bounded loads): a popular prefix
+         * fills its target up to the bound, and further requests go to the next target in rendezvous order.
+         */
+        private boolean isWithinLoadBound(Target target, ServiceTargets serviceTargets) {
             int load = target.load.load();
-            return load < target.slots(nowMillis) || load + 1 <= BOUNDED_LOAD * (known.meanLoad() + 1);
+            return load < target.slots(nowMillis) || load + 1 <= BOUNDED_LOAD_FACTOR * (serviceTargets.meanLoad() + 1);
         }
 
-        private boolean isOpen(Target target) {
-            return target.takesWork()
-                    && target.ejection.allows(target.load.own(), nowMillis)
-                    && !tried.contains(target.name)
-                    && !target.isWarmingAndFull(nowMillis);
+        private boolean isSelectable(Target target) {
+            return target.acceptsRequests()
+                    && target.ejection.allowsRequest(target.load.ownInFlight(), nowMillis)
+                    && !triedPeers.contains(target.name)
+                    && !target.isWarmingUpAndFull(nowMillis);
         }
 
-        private Option<Target> randomTarget(ServiceTargets known) {
-            Target[] all = known.targets();
-            for (int i = 0; i < RANDOM_TRIES; i++) {
-                Target target = all[random.nextInt(all.length)];
-                if (isOpen(target)) {
+        private Option<Target> randomTarget(ServiceTargets serviceTargets) {
+            Target[] candidates = serviceTargets.targets();
+            for (int i = 0; i < MAX_RANDOM_PICKS; i++) {
+                Target target = candidates[random.nextInt(candidates.length)];
+                if (isSelectable(target)) {
                     return Option.some(target);
                 }
             }
-            int offset = random.nextInt(all.length);
-            for (int i = 0; i < all.length; i++) {
-                Target target = all[(offset + i) % all.length];
-                if (isOpen(target)) {
+            int offset = random.nextInt(candidates.length);
+            for (int i = 0; i < candidates.length; i++) {
+                Target target = candidates[(offset + i) % candidates.length];
+                if (isSelectable(target)) {
                     return Option.some(target);
                 }
             }
             return Option.none();
         }
 
-        private void consider(Target target, ServiceTargets known) {
-            WorkEstimate work = known.work;
-            double share = mayCross ? Math.max(0.01, remotes.share(region, nowMillis)) : 1;
-            double wait = target.waitMillis(work.meanRunMillis(), share, nowMillis);
-            double crowding = CROWDING * work.meanRunMillis() * target.load.load() / target.slots(nowMillis);
-            double cold = coldMillis(target);
-            double failing = target.ejection.failures() * FAILURE_MILLIS;
-            double score = policy.score(wait + crowding + failing, cold, 0);
-            considered.add(target.name, "eligible", score);
+        private void considerTarget(Target target, ServiceTargets serviceTargets) {
+            WorkEstimate work = serviceTargets.workEstimate;
+            double capacityShare = mayLeaveRegion ? Math.max(0.01, remoteRegions.share(region, nowMillis)) : 1;
+            double queueWait = target.queueWaitMillis(work.meanRunMillis(), capacityShare, nowMillis);
+            double utilization =
+                    UTILIZATION_WEIGHT * work.meanRunMillis() * target.load.load() / target.slots(nowMillis);
+            double prefill = prefillMillis(target);
+            double failurePenalty = target.ejection.consecutiveFailures() * FAILURE_PENALTY_MILLIS;
+            double score = policy.score(queueWait + utilization + failurePenalty, prefill, 0);
+            candidateLog.add(target.name, "eligible", score);
             if (bestTarget.isEmpty() || score < bestTarget.get().score()) {
-                double ahead = target.waitMillis(work.meanRunMillis(), 1, nowMillis)
-                        * known.mix.partAheadOf(request.workClass());
-                double run = cold + work.outputMillis(request, target.tokensPerSecond());
+                double ahead = target.queueWaitMillis(work.meanRunMillis(), 1, nowMillis)
+                        * serviceTargets.classMix.shareAheadOf(request.workClass());
+                double run = prefill + work.outputMillis(request, target.tokensPerSecond());
                 Backlog backlog = new Backlog(ahead, run, work.meanRunMillis());
-                bestTarget = Option.some(new Scored(new Route.ToTarget(target.name), score, backlog));
+                bestTarget = Option.some(new ScoredRoute(new Route.ToTarget(target.name), score, backlog));
             }
         }
 
-        private double coldMillis(Target target) {
+        private double prefillMillis(Target target) {
             double cached = target.cache.cachedTokens(request.prefixHashes(), request.promptTokens());
             return WorkEstimate.prefillMillis(request.promptTokens() - cached, target.tokensPerSecond());
         }
 
-        void considerRegions() {
-            if (!mayCross) {
+        void considerRemoteRegions() {
+            if (!mayLeaveRegion) {
                 return;
             }
-            for (Remote remote : remotes.all()) {
+            for (RemoteRegionState remote : remoteRegions.all()) {
                 if (allowedRegions.contains(remote.name)) {
-                    considerRegion(remote);
+                    considerRemoteRegion(remote);
                 }
             }
         }
 
-        private void considerRegion(Remote remote) {
+        private void considerRemoteRegion(RemoteRegionState remote) {
             Option<RemoteRegion.ServiceLoad> summary = remote.summary(request.service());
             LoadEstimate load = remote.load(request.service());
-            if (summary.isEmpty() || !remote.ejection.allows(load.own(), nowMillis)) {
+            if (summary.isEmpty() || !remote.ejection.allowsRequest(load.ownInFlight(), nowMillis)) {
                 return;
             }
-            double slots = remote.slots(summary.get(), remotes.share(remote.name, nowMillis), nowMillis);
-            boolean isFresh = nowMillis - summary.get().reportedAtMillis() <= Remote.OLDEST_SUMMARY_MILLIS;
-            if (!isFresh || !remote.mayTakeMore(request.service(), slots, nowMillis)) {
-                considered.add(remote.name, isFresh ? "no room" : "not heard of", 0);
+            double slots = remote.slots(summary.get(), remoteRegions.share(remote.name, nowMillis), nowMillis);
+            boolean isFresh = nowMillis - summary.get().reportedAtMillis() <= RemoteRegionState.MAX_SUMMARY_AGE_MILLIS;
+            if (!isFresh || !remote.acceptsMore(request.service(), slots, nowMillis)) {
+                candidateLog.add(remote.name, isFresh ? "no capacity" : "no recent summary", 0);
                 return;
             }
-            double meanRun = service.map(known -> known.work.meanRunMillis()).getOrElse(0.0);
-            double wait = remote.waitMillis(request.service(), slots, meanRun);
-            double crowding = CROWDING * meanRun * load.load() / Math.max(1, slots);
-            double full = remote.hasRoom(request.service(), slots) ? 0 : FULL_RUNS * meanRun;
-            double cold = WorkEstimate.prefillMillis(request.promptTokens(), usualRate());
-            double score = policy.score(wait + crowding + full, cold, Remote.CROSSING_MILLIS);
-            considered.add(remote.name, "eligible", score);
+            double meanRun = service.map(targetsHere -> targetsHere.workEstimate.meanRunMillis())
+                    .getOrElse(0.0);
+            double queueWait = remote.queueWaitMillis(request.service(), slots, meanRun);
+            double utilization = UTILIZATION_WEIGHT * meanRun * load.load() / Math.max(1, slots);
+            double fullPenalty = remote.hasCapacity(request.service(), slots) ? 0 : FULL_REGION_PENALTY_RUNS * meanRun;
+            double prefill = WorkEstimate.prefillMillis(request.promptTokens(), typicalTokensPerSecond());
+            double score = policy.score(
+                    queueWait + utilization + fullPenalty, prefill, RemoteRegionState.CROSS_REGION_LATENCY_MILLIS);
+            candidateLog.add(remote.name, "eligible", score);
             if (bestRegion.isEmpty() || score < bestRegion.get().score()) {
-                double run = service.map(known -> known.work.outputMillis(request, usualRate()))
+                double run = service.map(
+                                targetsHere -> targetsHere.workEstimate.outputMillis(request, typicalTokensPerSecond()))
                         .getOrElse(1.0);
-                Backlog backlog = new Backlog(wait + Remote.CROSSING_MILLIS, cold + run, meanRun);
-                bestRegion = remote.host(eligibility, random)
-                        .map(host -> new Scored(new Route.ToHost(host, remote.name), score, backlog))
+                Backlog backlog =
+                        new Backlog(queueWait + RemoteRegionState.CROSS_REGION_LATENCY_MILLIS, prefill + run, meanRun);
+                bestRegion = remote.randomHost(eligibility, random)
+                        .map(host -> new ScoredRoute(new Route.ToHost(host, remote.name), score, backlog))
                         .orElse(bestRegion);
             }
         }
 
-        /** The generation rate of this region's first target; the other regions' engines are taken to be alike. */
-        private double usualRate() {
-            return service.filter(known -> known.size() > 0)
-                    .map(known -> known.targets()[0].tokensPerSecond())
+        /** Returns the decode rate of this region's first target; the engines of other regions are assumed to match it. */
+        private double typicalTokensPerSecond() {
+            return service.filter(serviceTargets -> serviceTargets.size() > 0)
+                    .map(serviceTargets -> serviceTargets.targets()[0].tokensPerSecond())
                     .getOrElse(0.0);
         }
 
-        Routing routing() {
+        Routing decide() {
             if (bestTarget.isDefined() && bestRegion.isDefined()) {
                 double gain = bestTarget.get().score() - bestRegion.get().score();
-                boolean leaves = service.exists(known -> known.gate.leaves(gain));
-                return leaves ? go(bestRegion.get(), bestTarget) : go(bestTarget.get(), bestRegion);
+                boolean spillsOver =
+                        service.exists(serviceTargets -> serviceTargets.spilloverGate.shouldSpillOver(gain));
+                return spillsOver
+                        ? chooseFirstInTime(bestRegion.get(), bestTarget)
+                        : chooseFirstInTime(bestTarget.get(), bestRegion);
             }
             if (bestTarget.isDefined()) {
-                return go(bestTarget.get(), Option.none());
+                return chooseFirstInTime(bestTarget.get(), Option.none());
             }
             if (bestRegion.isDefined()) {
-                return go(bestRegion.get(), Option.none());
+                return chooseFirstInTime(bestRegion.get(), Option.none());
             }
-            return lastResort();
+            return fallback();
         }
 
-        /** Goes to the first, or to the second if the first would be late, or refuses if both would be. */
-        private Routing go(Scored first, Option<Scored> second) {
-            Option<Refusal> late = admission.late(request, first.backlog(), nowMillis);
-            if (late.isEmpty()) {
-                return new Routing.Go(first.route(), considered.list());
+        /** Routes to the first candidate that is expected to meet the deadline, and rejects the request if neither is. */
+        private Routing chooseFirstInTime(ScoredRoute first, Option<ScoredRoute> second) {
+            Option<Refusal> rejection = admission.late(request, first.backlog(), nowMillis);
+            if (rejection.isEmpty()) {
+                return new Routing.Go(first.route(), candidateLog.candidates());
             }
             if (second.exists(
                     other -> admission.late(request, other.backlog(), nowMillis).isEmpty())) {
-                return new Routing.Go(second.get().route(), considered.list());
+                return new Routing.Go(second.get().route(), candidateLog.candidates());
             }
             Failure failure =
-                    Failure.of(Step.ROUTE, request.service(), late.get().reason());
-            return new Routing.Refuse(failure, late.get().retryAfterMillis(), considered.list());
+                    Failure.of(Step.ROUTE, request.service(), rejection.get().reason());
+            return new Routing.Refuse(failure, rejection.get().retryAfterMillis(), candidateLog.candidates());
         }
 
-        /** Goes where it is not sure to help: to a region that has not said its load, or to a target left out. */
-        private Routing lastResort() {
-            Option<Route> route = unknownRegion().orElse(this::targetLeftOut);
+        /**
+         * Routes without a scored candidate: to another region that may serve the request, even if its load is unknown, else
+         * to the least loaded target, even if it is ejected or warming up. Rejects the request if there is none.
+         */
+        private Routing fallback() {
+            Option<Route> route = firstOtherRegion().orElse(this::leastLoadedTarget);
             if (route.isDefined()) {
-                considered.add(route.get().peer(), "last resort", 0);
-                return new Routing.Go(route.get(), considered.list());
+                candidateLog.add(route.get().peer(), "last resort", 0);
+                return new Routing.Go(route.get(), candidateLog.candidates());
             }
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, considered.list());
+            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
         }
 
-        private Option<Route> unknownRegion() {
-            if (!mayCross) {
+        private Option<Route> firstOtherRegion() {
+            if (!mayLeaveRegion) {
                 return Option.none();
             }
-            for (Remote remote : remotes.all()) {
-                boolean may = allowedRegions.contains(remote.name) && remote.mayHave(request.service());
-                boolean open =
-                        remote.ejection.allows(remote.load(request.service()).own(), nowMillis);
-                Option<String> host = may && open ? remote.host(eligibility, random) : Option.none();
+            for (RemoteRegionState remote : remoteRegions.all()) {
+                boolean mayServe = allowedRegions.contains(remote.name) && remote.mayServe(request.service());
+                boolean isAllowed = remote.ejection.allowsRequest(
+                        remote.load(request.service()).ownInFlight(), nowMillis);
+                Option<String> host = mayServe && isAllowed ? remote.randomHost(eligibility, random) : Option.none();
                 if (host.isDefined()) {
                     return Option.some(new Route.ToHost(host.get(), remote.name));
                 }
@@ -278,14 +300,14 @@
             return Option.none();
         }
 
-        private Option<Route> targetLeftOut() {
+        private Option<Route> leastLoadedTarget() {
             if (!allowedRegions.contains(region) || service.isEmpty()) {
                 return Option.none();
             }
             Option<Target> best = Option.none();
             for (Target target : service.get().targets()) {
-                boolean may = target.takesWork() && !tried.contains(target.name);
-                if (may && !best.exists(found -> found.load.load() <= target.load.load())) {
+                boolean isCandidate = target.acceptsRequests() && !triedPeers.contains(target.name);
+                if (isCandidate && !best.exists(found -> found.load.load() <= target.load.load())) {
                     best = Option.some(target);
                 }
             }
@@ -293,6 +315,6 @@
         }
     }
 
-    /** A candidate with its score and the work in its way. */
-    private record Scored(Route route, double score, Backlog backlog) {}
+    /** A route with its score in milliseconds and the work ahead of the request there. */
+    private record ScoredRoute(Route route, double score, Backlog backlog) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ServiceTargets.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ServiceTargets.java
@@ -4,34 +4,34 @@
 import java.util.Comparator;
 
 /**
- * The targets of one service in this region, in the order of their names, with what is learned of the service.
+ * The targets of one service in this region, ordered by name, with the statistics of the service.
  *
- * <p>Invariant: at most half of the targets are ejected at once. Sums over the targets are counted anew at most every
- * {@link #REFRESH_MILLIS} and corrected by this host's own sends in between. Confined to the router's lock.
+ * <p>Invariant: at most half of the targets are ejected at once. The totals over all targets are recomputed at most every
+ * {@link #REFRESH_MILLIS} and corrected by this host's own requests in between. Guarded by the router's lock.
  */
 final class ServiceTargets {
     static final long REFRESH_MILLIS = 100;
 
-    final WorkEstimate work = new WorkEstimate();
-    final ClassMix mix = new ClassMix();
-    final SpillGate gate;
+    final WorkEstimate workEstimate = new WorkEstimate();
+    final WorkClassMix classMix = new WorkClassMix();
+    final SpilloverGate spilloverGate;
     private Target[] targets = {};
     private long[] seeds = {};
     private String wantedVersion = "";
     private double slots;
     private int load;
-    private int left;
-    private long refreshAtMillis = Long.MIN_VALUE;
+    private int excluded;
+    private long refreshDueMillis = Long.MIN_VALUE;
 
     ServiceTargets(Policy policy) {
-        gate = SpillGate.closed(policy);
+        spilloverGate = SpilloverGate.closed(policy);
     }
 
     Target[] targets() {
         return targets;
     }
 
-    /** The targets' seeds in the same order, in one array that is fast to run through. */
+    /** Returns the targets' rendezvous seeds in the same order, in one array for a fast scan. */
     long[] seeds() {
         return seeds;
     }
@@ -40,19 +40,19 @@
         return targets.length;
     }
 
-    /** Targets that are ejected or take no work, as of the last count. */
-    int leftOut() {
-        return left;
+    /** Returns the number of targets that are ejected or accept no requests, as of the last refresh. */
+    int excludedCount() {
+        return excluded;
     }
 
-    void targets(Target[] listed, long nowMillis) {
-        targets = listed.clone();
+    void targets(Target[] newTargets, long nowMillis) {
+        targets = newTargets.clone();
         Arrays.sort(targets, Comparator.comparing(target -> target.name));
         seeds = new long[targets.length];
         Arrays.setAll(seeds, i -> targets[i].seed);
-        keepHalfIn(nowMillis);
+        keepHalfAvailable(nowMillis);
         filterByVersion();
-        refreshAtMillis = Long.MIN_VALUE;
+        refreshDueMillis = Long.MIN_VALUE;
     }
 
     void wantedVersion(String version) {
@@ -61,30 +61,30 @@
     }
 
     /**
-     * Leaves out the targets that have not loaded the wanted version, unless none has: an old version's answer is taken
-     * to be better than none while the first target still loads.
+     * Excludes the targets that have not loaded the wanted version, unless none has: while the first target is still loading, an
+     * answer of an old version is preferred to none.
      */
     void filterByVersion() {
-        boolean filters = false;
+        boolean isLoadedSomewhere = false;
         for (Target target : targets) {
-            filters |= !wantedVersion.isEmpty() && target.hasModel(wantedVersion);
+            isLoadedSomewhere |= !wantedVersion.isEmpty() && target.hasModel(wantedVersion);
         }
         for (Target target : targets) {
-            target.servesWanted(!filters || target.hasModel(wantedVersion));
+            target.servesWantedVersion(!isLoadedSomewhere || target.hasModel(wantedVersion));
         }
     }
 
-    void refresh(long nowMillis) {
-        if (nowMillis < refreshAtMillis) {
+    void refreshTotals(long nowMillis) {
+        if (nowMillis < refreshDueMillis) {
             return;
         }
-        refreshAtMillis = nowMillis + REFRESH_MILLIS;
+        refreshDueMillis = nowMillis + REFRESH_MILLIS;
         slots = 0;
         load = 0;
-        left = 0;
+        excluded = 0;
         for (Target target : targets) {
-            if (!target.takesWork() || target.ejection.isOut(nowMillis)) {
-                left++;
+            if (!target.acceptsRequests() || target.ejection.isEjected(nowMillis)) {
+                excluded++;
                 continue;
             }
             slots += target.slots(nowMillis);
@@ -92,65 +92,65 @@
         }
     }
 
-    void changed(int byRequests) {
-        load += byRequests;
+    void adjustLoad(int delta) {
+        load += delta;
     }
 
     double meanLoad() {
-        return load / (double) Math.max(1, targets.length - left);
+        return load / (double) Math.max(1, targets.length - excluded);
     }
 
-    boolean hasRoom() {
+    boolean hasCapacity() {
         return load < slots;
     }
 
-    /** How long a request would wait if the targets shared all work evenly. */
-    double waitMillis() {
-        return Math.max(0, load + 1 - slots) / Math.max(1, slots) * work.meanRunMillis();
+    /** Returns the queue wait of a request if the load were spread evenly over the targets. */
+    double queueWaitMillis() {
+        return Math.max(0, load + 1 - slots) / Math.max(1, slots) * workEstimate.meanRunMillis();
     }
 
-    /** Leaves a target out for a while, unless half of the targets are out already. */
+    /** Ejects a target, unless half of the targets are already ejected. */
     void eject(Target target, long nowMillis) {
-        // Ejecting all: a fault of the network or of this host looks like the failure of every target, and with none
-        // left nothing would be served. One would notice refusals while targets idle. So at most half are out.
-        boolean isIn = !target.ejection.isOut(nowMillis);
-        if (isIn && (out(nowMillis) + 1) * 2 <= targets.length) {
+        // A fault of the network or of this host looks like a failure of every target. If all of them were ejected,
+        // nothing would be served; symptom: rejections while targets are idle. So at most half are ejected.
+        boolean isAvailable = !target.ejection.isEjected(nowMillis);
+        if (isAvailable && (ejectedCount(nowMillis) + 1) * 2 <= targets.length) {
             target.ejection.eject(nowMillis);
-            refreshAtMillis = Long.MIN_VALUE;
+            refreshDueMillis = Long.MIN_VALUE;
         }
     }
 
-    RemoteRegion.ServiceLoad sum(long nowMillis) {
+    RemoteRegion.ServiceLoad summarize(long nowMillis) {
         int count = 0;
-        double sumSlots = 0;
+        double totalSlots = 0;
         int running = 0;
         int queued = 0;
         for (Target target : targets) {
-            if (target.load.isReported() && target.takesWork() && !target.ejection.isOut(nowMillis)) {
-                int runnable = (int) target.slots(nowMillis);
+            if (target.load.hasReport() && target.acceptsRequests() && !target.ejection.isEjected(nowMillis)) {
+                int targetSlots = (int) target.slots(nowMillis);
                 count++;
-                sumSlots += runnable;
-                running += Math.min(runnable, target.load.load());
-                queued += Math.max(0, target.load.load() - runnable);
+                totalSlots += targetSlots;
+                running += Math.min(targetSlots, target.load.load());
+                queued += Math.max(0, target.load.load() - targetSlots);
             }
         }
-        return new RemoteRegion.ServiceLoad(count, (int) sumSlots, running, queued, nowMillis);
+        return new RemoteRegion.ServiceLoad(count, (int) totalSlots, running, queued, nowMillis);
     }
 
-    private void keepHalfIn(long nowMillis) {
+    private void keepHalfAvailable(long nowMillis) {
         for (Target target : targets) {
-            if (out(nowMillis) * 2 <= targets.length) {
+            if (ejectedCount(nowMillis) * 2 <= targets.length) {
                 return;
             }
             target.ejection.readmit();
         }
     }
 
-    private int out(long nowMillis) {
-        int out = 0;
+    private int ejectedCount(long nowMillis) {
+        int count = 0;
         for (Target target : targets) {
-            out += target.ejection.isOut(nowMillis) ? 1 : 0;
+            count += target.ejection.isEjected(nowMillis) ? 1 : 0;
         }
-        return out;
+        return count;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
@@ -5,41 +5,41 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * What the router knows of one target.
+ * The router's view of one target.
  *
- * <p>Invariant: a target that is no longer listed, or that says that it is leaving, takes no new work for good; when its
- * name is listed anew, it gets a new object with an empty cache. Confined to the router's lock.
+ * <p>Invariant: a target that is no longer listed, or that reports that it is leaving, never accepts requests again; when
+ * its name is listed again, a new object with an empty cache estimate is created. Guarded by the router's lock.
  */
 final class Target {
-    /** How many requests a target is taken to run at once before it has said so. */
+    /** The number of concurrent requests assumed for a target before its first load report. */
     static final int DEFAULT_SLOTS = 8;
 
-    /** Reports missed in a row after which a target is taken to have restarted with an empty cache. */
-    static final int MISSES = 3;
+    /** Consecutive missed load reports after which a target is assumed to have restarted with an empty cache. */
+    static final int MAX_MISSED_REPORTS = 3;
 
-    private static final double COLD_SHARE = 0.25;
+    private static final double COLD_CAPACITY_SHARE = 0.25;
     private static final double WARM_UP_PER_SECOND = 0.25;
 
     final String name;
     final String service;
     final long seed;
     final LoadEstimate load = new LoadEstimate();
-    final PrefixCache cache = new PrefixCache();
+    final PrefixCacheEstimate cache = new PrefixCacheEstimate();
     final Ejection ejection = new Ejection();
-    private Ramp warmth;
+    private Ramp warmUpShare;
     private List<String> models = List.of();
     private int slots = DEFAULT_SLOTS;
     private double tokensPerSecond;
-    private double reportedDepth;
-    private int misses;
-    private boolean takesWork = true;
-    private boolean servesWanted = true;
+    private double reportedLoadPerSlot;
+    private int missedReports;
+    private boolean acceptsRequests = true;
+    private boolean servesWantedVersion = true;
 
     private Target(String name, String service, Ramp warmth) {
         this.name = name;
         this.service = service;
         this.seed = Rendezvous.mix(name.hashCode());
-        this.warmth = warmth;
+        this.warmUpShare = warmth;
     }
 
     static Target warm(String name, String service, long nowMillis) {
@@ -51,11 +51,11 @@
     }
 
     private static Ramp coldRamp(long nowMillis) {
-        return Ramp.at(COLD_SHARE, WARM_UP_PER_SECOND, nowMillis).towards(1, nowMillis);
+        return Ramp.at(COLD_CAPACITY_SHARE, WARM_UP_PER_SECOND, nowMillis).rampTo(1, nowMillis);
     }
 
-    boolean takesWork() {
-        return takesWork && servesWanted;
+    boolean acceptsRequests() {
+        return acceptsRequests && servesWantedVersion;
     }
 
     boolean hasModel(String wantedVersion) {
@@ -66,53 +66,54 @@
         return tokensPerSecond;
     }
 
-    /** Running and waiting requests for each slot, as last reported. */
-    double reportedDepth() {
-        return reportedDepth;
+    /** Returns the running and queued requests per slot, as last reported. */
+    double reportedLoadPerSlot() {
+        return reportedLoadPerSlot;
     }
 
-    /** How many requests run at once, fewer while the target warms up. */
+    /** Returns how many requests the target runs concurrently, fewer while it warms up. */
     double slots(long nowMillis) {
-        return Math.max(1, slots * warmth.value(nowMillis));
+        return Math.max(1, slots * warmUpShare.value(nowMillis));
     }
 
-    boolean isWarmingAndFull(long nowMillis) {
-        return warmth.value(nowMillis) < 1 && load.load() >= slots(nowMillis);
+    boolean isWarmingUpAndFull(long nowMillis) {
+        return warmUpShare.value(nowMillis) < 1 && load.load() >= slots(nowMillis);
     }
 
-    double waitMillis(double meanRunMillis, double share, long nowMillis) {
-        double usable = Math.max(1, slots(nowMillis) * share);
-        return Math.max(0, load.load() + 1 - usable) / usable * meanRunMillis;
+    double queueWaitMillis(double meanRunMillis, double capacityShare, long nowMillis) {
+        double usableSlots = Math.max(1, slots(nowMillis) * capacityShare);
+        return Math.max(0, load.load() + 1 - usableSlots) / usableSlots * meanRunMillis;
     }
 
-    /** Takes a report, and tells whether the target's models or its will to work have changed. */
-    boolean reported(TargetLoad report, long nowMillis) {
-        if (misses >= MISSES) {
+    /** Applies a load report, and returns whether the loaded models or the leaving state have changed. */
+    boolean recordReport(TargetLoad report, long nowMillis) {
+        if (missedReports >= MAX_MISSED_REPORTS) {
             cache.clear();
-            warmth = coldRamp(nowMillis);
+            warmUpShare = coldRamp(nowMillis);
         }
-        misses = 0;
-        boolean changes = report.leaving() == takesWork || !report.models().equals(models);
-        takesWork &= !report.leaving();
+        missedReports = 0;
+        boolean hasChanged =
+                report.leaving() == acceptsRequests || !report.models().equals(models);
+        acceptsRequests &= !report.leaving();
         models = report.models();
         slots = Math.max(1, report.slots());
         tokensPerSecond = report.tokensPerSecond();
-        reportedDepth = (report.running() + report.queued()) / (double) slots;
-        cache.holdsAtMost(report.cacheTokens());
-        load.reported(report.running() + report.queued(), report.reportedAtMillis());
-        return changes;
+        reportedLoadPerSlot = (report.running() + report.queued()) / (double) slots;
+        cache.limitTokens(report.cacheTokens());
+        load.recordReport(report.running() + report.queued(), report.reportedAtMillis());
+        return hasChanged;
     }
 
-    int missed() {
-        cache.doubt();
-        return ++misses;
+    int recordMissedReport() {
+        cache.reduceConfidence();
+        return ++missedReports;
     }
 
-    void unlisted() {
-        takesWork = false;
+    void markUnlisted() {
+        acceptsRequests = false;
     }
 
-    void servesWanted(boolean serves) {
-        servesWanted = serves;
+    void servesWantedVersion(boolean serves) {
+        servesWantedVersion = serves;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetLoad.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetLoad.java
@@ -4,18 +4,18 @@
 import java.util.Objects;
 
 /**
- * What a target says of itself; it lags behind. Immutable and thread safe.
+ * A target's load report; it lags behind the target's state. Immutable and thread safe.
  *
  * @param target the target's name
- * @param service the service that it runs
+ * @param service the service that the target runs
  * @param models the models and versions that it has loaded, such as {@code plank-7b@3}
- * @param running requests that run now
- * @param queued requests that wait
- * @param slots how many requests run at once without slowing each other much
- * @param tokensPerSecond its generation rate for one request at low load, zero for a plain service
- * @param cacheTokens how many prompt tokens its prefix cache holds at most
- * @param leaving whether it takes no new work
- * @param reportedAtMillis when it measured this, on this host's clock
+ * @param running the number of running requests
+ * @param queued the number of queued requests
+ * @param slots the number of requests that run concurrently without slowing each other much
+ * @param tokensPerSecond the decode rate of one request at low load, zero for a plain service
+ * @param cacheTokens the capacity of the prefix cache in prompt tokens
+ * @param leaving whether the target is leaving and accepts no new requests
+ * @param reportedAtMillis when the load was measured, on this host's clock
  */
 public record TargetLoad(
         String target,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetTable.java
@@ -13,14 +13,14 @@
 /**
  * The targets of this region by name and by service.
  *
- * <p>Invariant: it holds the listed targets and no others, and one entry for each service that is listed or configured. A target
- * that is listed after its service had others starts cold. Confined to the router's lock.
+ * <p>Invariant: it holds the listed targets and no others, and one entry for each service that is listed or configured. A
+ * target that is added to an already known service starts cold. Guarded by the router's lock.
  */
 final class TargetTable {
     private final Policy policy;
     private final Map<String, Entry> targets = new HashMap<>();
     private final Map<String, ServiceTargets> services = new TreeMap<>();
-    private List<ListedHost> listed = List.of();
+    private List<ListedHost> updateListed = List.of();
     private Configuration configuration = Configuration.empty();
 
     TargetTable(Policy policy) {
@@ -43,61 +43,61 @@
         return Option.of(targets.get(name)).map(Entry::target);
     }
 
-    void listed(List<ListedHost> newer, long nowMillis) {
-        if (newer.equals(listed)) {
+    void updateListed(List<ListedHost> newest, long nowMillis) {
+        if (newest.equals(updateListed)) {
             return;
         }
-        listed = List.copyOf(newer);
+        updateListed = List.copyOf(newest);
         Map<String, List<Target>> byService = new TreeMap<>();
         services.keySet().forEach(service -> byService.put(service, new ArrayList<>()));
-        Map<String, Entry> kept = new HashMap<>();
-        for (ListedHost host : newer) {
-            Entry entry = entry(host, nowMillis);
-            kept.put(host.name(), entry);
+        Map<String, Entry> current = new HashMap<>();
+        for (ListedHost host : newest) {
+            Entry entry = entryFor(host, nowMillis);
+            current.put(host.name(), entry);
             byService
                     .computeIfAbsent(host.service(), service -> new ArrayList<>())
                     .add(entry.target());
         }
         targets.forEach((name, entry) -> {
-            if (kept.get(name) != entry) {
-                entry.target().unlisted();
+            if (current.get(name) != entry) {
+                entry.target().markUnlisted();
             }
         });
         targets.clear();
-        targets.putAll(kept);
-        byService.forEach((name, members) -> serviceOf(name).targets(members.toArray(new Target[0]), nowMillis));
+        targets.putAll(current);
+        byService.forEach((name, members) -> serviceTargets(name).targets(members.toArray(new Target[0]), nowMillis));
     }
 
-    void configured(Configuration newer) {
-        configuration = newer;
+    void applyConfiguration(Configuration newest) {
+        configuration = newest;
         services.entrySet()
                 .removeIf(service -> service.getValue().size() == 0
-                        && newer.service(service.getKey()).isEmpty());
+                        && newest.service(service.getKey()).isEmpty());
         services.forEach((name, service) -> service.wantedVersion(wantedVersion(name)));
     }
 
-    void reported(TargetLoad load, long nowMillis) {
+    void recordReport(TargetLoad load, long nowMillis) {
         Entry entry = targets.get(load.target());
         if (entry != null) {
-            int before = entry.target().load.load();
-            boolean changes = entry.target().reported(load, nowMillis);
-            ServiceTargets service = serviceOf(entry.service());
-            service.changed(entry.target().load.load() - before);
-            if (changes) {
+            int previousLoad = entry.target().load.load();
+            boolean hasChanged = entry.target().recordReport(load, nowMillis);
+            ServiceTargets service = serviceTargets(entry.service());
+            service.adjustLoad(entry.target().load.load() - previousLoad);
+            if (hasChanged) {
                 service.filterByVersion();
             }
         }
     }
 
-    /** Leaves out a target that has not answered several times in a row, as if its requests had failed. */
-    void missed(String name, long nowMillis) {
+    /** Records a missed load report, and ejects the target after several in a row, as if its requests had failed. */
+    void recordMissedReport(String name, long nowMillis) {
         Entry entry = targets.get(name);
-        if (entry != null && entry.target().missed() >= Target.MISSES) {
-            serviceOf(entry.service()).eject(entry.target(), nowMillis);
+        if (entry != null && entry.target().recordMissedReport() >= Target.MAX_MISSED_REPORTS) {
+            serviceTargets(entry.service()).eject(entry.target(), nowMillis);
         }
     }
 
-    private Entry entry(ListedHost host, long nowMillis) {
+    private Entry entryFor(ListedHost host, long nowMillis) {
         Entry known = targets.get(host.name());
         if (known != null && known.service().equals(host.service())) {
             return known;
@@ -109,7 +109,7 @@
         return new Entry(host.service(), target);
     }
 
-    private ServiceTargets serviceOf(String name) {
+    private ServiceTargets serviceTargets(String name) {
         return services.computeIfAbsent(name, added -> {
             ServiceTargets service = new ServiceTargets(policy);
             service.wantedVersion(wantedVersion(added));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/WorkEstimate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/WorkEstimate.java
@@ -3,87 +3,89 @@
 import org.rattanplank.core.request.Request;
 
 /**
- * How long requests of one service run, learned from those that ended.
+ * Estimates the run time of one service's requests from completed requests.
  *
- * <p>Invariant: every estimate is above zero. Confined to the router's lock.
+ * <p>Invariant: every estimate is above zero. Guarded by the router's lock.
  */
 final class WorkEstimate {
-    /** How many times faster an engine reads a prompt than it generates, for one request. */
+    /** Ratio of an engine's prefill rate to its decode rate for one request. */
     static final double PREFILL_SPEEDUP = 50;
 
-    private static final double SMOOTHING = 0.05;
-    private static final double FIRST_RUN_MILLIS = 500;
-    private static final double FIRST_OUTPUT_PART = 0.5;
-    private static final double LOWEST_OUTPUT_PART = 0.02;
-    private static final double HIGHEST_OUTPUT_PART = 2;
+    private static final double SMOOTHING_FACTOR = 0.05;
+    private static final double INITIAL_RUN_MILLIS = 500;
+    private static final double INITIAL_OUTPUT_FRACTION = 0.5;
+    private static final double MIN_OUTPUT_FRACTION = 0.02;
+    private static final double MAX_OUTPUT_FRACTION = 2;
 
-    private static final double HIGHEST_RATIO = 10;
-    private static final double LOWEST_RATIO = 0.1;
+    private static final double MAX_RATIO = 10;
+    private static final double MIN_RATIO = 0.1;
 
-    private double meanRunMillis = FIRST_RUN_MILLIS;
-    private double outputPart = FIRST_OUTPUT_PART;
-    private double slowness = 1;
-    private boolean learned;
+    private double meanRunMillis = INITIAL_RUN_MILLIS;
+    private double outputFraction = INITIAL_OUTPUT_FRACTION;
+    private double meanSlowness = 1;
+    private boolean hasSamples;
 
-    /** Whether any request has ended, so that expectations mean something. */
-    boolean isLearned() {
-        return learned;
+    /** Returns whether any request has completed, so that the estimates are meaningful. */
+    boolean hasSamples() {
+        return hasSamples;
     }
 
     double meanRunMillis() {
         return meanRunMillis;
     }
 
-    /** The time to read tokens that are not cached. */
+    /** Returns the time to prefill the given number of uncached tokens. */
     static double prefillMillis(double tokens, double tokensPerSecond) {
         return tokensPerSecond > 0 ? 1_000 * tokens / (tokensPerSecond * PREFILL_SPEEDUP) : 0;
     }
 
-    /** The time that a request runs after its prompt was read; next to nothing before any was learned. */
+    /** Returns the estimated run time after the prefill; one millisecond while there are no samples. */
     double outputMillis(Request request, double tokensPerSecond) {
-        if (!learned) {
+        if (!hasSamples) {
             return 1;
         }
         if (tokensPerSecond <= 0) {
             return meanRunMillis;
         }
-        return Math.max(1, 1_000 * request.maxTokens() * outputPart / tokensPerSecond);
+        return Math.max(1, 1_000 * request.maxTokens() * outputFraction / tokensPerSecond);
     }
 
     /**
-     * Learns from a request that ended well.
+     * Records a request that completed successfully.
      *
-     * <p>The wait of one that had to queue is not known: engines let urgent work pass it. Taking its whole time less an
-     * estimated wait as its run would feed a wrong estimate of the wait back into itself; one would notice estimates
-     * growing under overload without bound. So a request that queued only ever lowers the estimate.
+     * <p>The queue wait of a request is not known, because engines run more urgent requests first. Subtracting an
+     * estimated queue wait from the duration would feed errors of that estimate back into itself; symptom: estimates that
+     * grow without bound under overload. So a request that queued can only lower the estimate.
      *
-     * @param tookMillis the time taken
-     * @param queued whether the request had to wait
-     * @param prefillMillis the reading time that had been expected
-     * @param tokensPerSecond the target's generation rate
-     * @param maxTokens the largest number of tokens to generate
+     * @param durationMillis the measured duration
+     * @param queued whether the request had to queue
+     * @param prefillMillis the prefill time that was estimated
+     * @param tokensPerSecond the target's decode rate
+     * @param maxTokens the maximum number of generated tokens
      */
-    void learn(double tookMillis, boolean queued, double prefillMillis, double tokensPerSecond, int maxTokens) {
-        if (learned && queued && tookMillis >= meanRunMillis) {
+    void recordRun(double durationMillis, boolean queued, double prefillMillis, double tokensPerSecond, int maxTokens) {
+        if (hasSamples && queued && durationMillis >= meanRunMillis) {
             return;
         }
-        meanRunMillis = learned ? meanRunMillis + SMOOTHING * (tookMillis - meanRunMillis) : Math.max(1, tookMillis);
-        learned = true;
+        meanRunMillis = hasSamples
+                ? meanRunMillis + SMOOTHING_FACTOR * (durationMillis - meanRunMillis)
+                : Math.max(1, durationMillis);
+        hasSamples = true;
         if (!queued && tokensPerSecond > 0 && maxTokens > 0) {
-            double part = Math.max(0, tookMillis - prefillMillis) * tokensPerSecond / (1_000.0 * maxTokens);
-            double bounded = Math.max(LOWEST_OUTPUT_PART, Math.min(HIGHEST_OUTPUT_PART, part));
-            outputPart += SMOOTHING * (bounded - outputPart);
+            double fraction = Math.max(0, durationMillis - prefillMillis) * tokensPerSecond / (1_000.0 * maxTokens);
+            double boundedFraction = Math.max(MIN_OUTPUT_FRACTION, Math.min(MAX_OUTPUT_FRACTION, fraction));
+            outputFraction += SMOOTHING_FACTOR * (boundedFraction - outputFraction);
         }
     }
 
     /**
-     * Compares a time taken to the one expected, relative to the service's own mean of that ratio. One answer counts for
-     * so little that a single slow one cannot make a target look slow.
+     * Returns the ratio of the measured to the expected duration, relative to the service's mean of that ratio. The ratio is
+     * boundedFraction and the mean is smoothed, so that a single slow answer does not make a target appear slow.
      */
-    double relativeSlowness(double tookMillis, double expectedMillis) {
-        double ratio = Math.min(HIGHEST_RATIO, tookMillis / Math.max(1, expectedMillis));
-        double relative = Math.min(HIGHEST_RATIO, ratio / Math.max(LOWEST_RATIO, slowness));
-        slowness += SMOOTHING * (ratio - slowness);
+    double relativeSlowness(double durationMillis, double expectedMillis) {
+        double ratio = Math.min(MAX_RATIO, durationMillis / Math.max(1, expectedMillis));
+        double relative = Math.min(MAX_RATIO, ratio / Math.max(MIN_RATIO, meanSlowness));
+        meanSlowness += SMOOTHING_FACTOR * (ratio - meanSlowness);
         return relative;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/EstimatePropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/EstimatePropertiesTest.java
@@ -22,16 +22,16 @@
         int load = 0;
         for (int now = 0; now < 200; now++) {
             if (random.nextBoolean()) {
-                estimate.started(1, now);
+                estimate.recordStart(1, now);
                 load++;
             } else if (load > 0) {
-                estimate.ended(now);
+                estimate.recordEnd(now);
                 load--;
             }
             loadsByTime.add(load);
             if (random.nextInt(5) == 0) {
                 int reportedAt = Math.max(0, now - random.nextInt(40));
-                estimate.reported(loadsByTime.get(reportedAt), reportedAt);
+                estimate.recordReport(loadsByTime.get(reportedAt), reportedAt);
             }
             assertEquals(load, estimate.load());
         }
@@ -39,39 +39,40 @@
 
     @Property(tries = 100, seed = "42")
     void shouldStayWithinBoundsWhenAnythingIsCached(@ForAll Random random) {
-        PrefixCache cache = new PrefixCache();
-        cache.holdsAtMost(5_000);
+        PrefixCacheEstimate cache = new PrefixCacheEstimate();
+        cache.limitTokens(5_000);
         for (int i = 0; i < 2_000; i++) {
             if (random.nextInt(3) == 0) {
                 List<Long> stored = List.of((long) random.nextInt(3_000));
                 List<Long> removed = List.of((long) random.nextInt(3_000));
-                cache.changed(new CacheEvent("t", i + random.nextInt(3), stored, removed));
+                cache.applyEvent(new CacheEvent("t", i + random.nextInt(3), stored, removed));
             } else {
-                cache.sent(List.of((long) random.nextInt(50), (long) random.nextInt(3_000)), random.nextInt(200));
+                cache.recordPrompt(
+                        List.of((long) random.nextInt(50), (long) random.nextInt(3_000)), random.nextInt(200));
             }
             assertTrue(cache.tokens() >= 0 && cache.tokens() <= 5_000);
-            assertTrue(cache.prefixes() <= PrefixCache.MAX_PREFIXES);
+            assertTrue(cache.prefixCount() <= PrefixCacheEstimate.MAX_PREFIXES);
         }
     }
 
     @Example
     void shouldDoubtBeliefWhenEventsAreMissing() {
-        PrefixCache cache = new PrefixCache();
-        cache.sent(List.of(1L, 2L), 1_000);
+        PrefixCacheEstimate cache = new PrefixCacheEstimate();
+        cache.recordPrompt(List.of(1L, 2L), 1_000);
         assertEquals(1_000, cache.cachedTokens(List.of(1L, 2L), 1_000));
-        cache.changed(new CacheEvent("t", 1, List.of(), List.of()));
-        cache.changed(new CacheEvent("t", 5, List.of(), List.of()));
+        cache.applyEvent(new CacheEvent("t", 1, List.of(), List.of()));
+        cache.applyEvent(new CacheEvent("t", 5, List.of(), List.of()));
         assertEquals(500, cache.cachedTokens(List.of(1L, 2L), 1_000));
-        cache.changed(new CacheEvent("t", 6, List.of(), List.of(2L)));
+        cache.applyEvent(new CacheEvent("t", 6, List.of(), List.of(2L)));
         assertTrue(cache.cachedTokens(List.of(1L, 2L), 1_000) < 500, "a removed prefix is not believed");
     }
 
     @Example
     void shouldForgetBeliefWhenTargetCountsItsEventsAnew() {
-        PrefixCache cache = new PrefixCache();
-        cache.sent(List.of(1L, 2L), 1_000);
-        cache.changed(new CacheEvent("t", 50, List.of(), List.of()));
-        cache.changed(new CacheEvent("t", 1, List.of(1L), List.of()));
+        PrefixCacheEstimate cache = new PrefixCacheEstimate();
+        cache.recordPrompt(List.of(1L, 2L), 1_000);
+        cache.applyEvent(new CacheEvent("t", 50, List.of(), List.of()));
+        cache.applyEvent(new CacheEvent("t", 1, List.of(1L), List.of()));
         assertEquals(500, cache.cachedTokens(List.of(1L, 2L), 1_000));
     }
 
@@ -80,9 +81,9 @@
         PrefixAffinity affinity = new PrefixAffinity();
         Target target = Target.warm("t", "plank-serve", 0);
         for (long i = 0; i < 2L * PrefixAffinity.MAX_PREFIXES; i++) {
-            affinity.sent(List.of(i), target);
+            affinity.recordPrompt(List.of(i), target);
         }
-        assertEquals(PrefixAffinity.MAX_PREFIXES, affinity.prefixes());
+        assertEquals(PrefixAffinity.MAX_PREFIXES, affinity.prefixCount());
     }
 
     /** A target that leaves moves only its own prefixes to others. */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -23,7 +23,7 @@
     static final String SERVICE = "plank-serve";
     static final Set<String> ANYWHERE = Set.of("suva", "lautoka");
     static final AttemptResult ANSWERED = new AttemptResult.Whole(Answer.of(200, "", new byte[0]), List.of());
-    static final AttemptResult REFUSED =
+    static final AttemptResult CONNECTION_REFUSED =
             new AttemptResult.NotRun(Failure.of(Step.CONNECT, "", "connection refused"), 0);
 
     private Fixtures() {}
@@ -84,7 +84,7 @@
         return new Configuration(1, "", Map.of(), Map.of(), Map.of(), shares, Set.of());
     }
 
-    static Eligibility anywhere(Set<String> tried) {
+    static Eligibility eligibleAnywhere(Set<String> tried) {
         return new Eligibility(ANYWHERE, true, tried);
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
@@ -54,14 +54,14 @@
             service.eject(all[random.nextInt(targets)], i * 10L);
             long nowMillis = i * 10L;
             long out = List.of(all).stream()
-                    .filter(target -> target.ejection.isOut(nowMillis))
+                    .filter(target -> target.ejection.isEjected(nowMillis))
                     .count();
             assertTrue(out * 2 <= targets);
         }
         Target[] fewer = java.util.Arrays.copyOf(all, (targets + 1) / 2);
         service.targets(fewer, 1_000);
         long out = List.of(fewer).stream()
-                .filter(target -> target.ejection.isOut(1_000))
+                .filter(target -> target.ejection.isEjected(1_000))
                 .count();
         assertTrue(out * 2 <= fewer.length);
     }
@@ -70,8 +70,8 @@
     void shouldBoundCandidatesWhenThereAreManyTargetsAndRegions() {
         Router router = Fixtures.router(500);
         Request request = Fixtures.request("a", "floor", WorkClass.DRAFT, 60_000, List.of(1L, 2L));
-        Routing routing = router.choose(request, Fixtures.anywhere(Set.of("t1")), 10);
-        assertTrue(routing.candidates().size() <= Considered.MAX_CANDIDATES);
+        Routing routing = router.choose(request, Fixtures.eligibleAnywhere(Set.of("t1")), 10);
+        assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
     }
 
     private static List<Routing> decisions(Policy policy, long seed) {
@@ -100,15 +100,15 @@
 
         List<Routing> step(long nowMillis) {
             switch (random.nextInt(8)) {
-                case 0 -> list(nowMillis);
-                case 1 -> report(nowMillis);
+                case 0 -> updateList(nowMillis);
+                case 1 -> reportLoad(nowMillis);
                 case 2 -> router.missed("t" + random.nextInt(8), nowMillis);
                 case 3 -> router.regions(
                         random.nextBoolean() ? List.of(Fixtures.lautoka(random.nextInt(60), nowMillis)) : List.of(),
                         nowMillis);
-                case 4 -> end(nowMillis);
+                case 4 -> endAttempt(nowMillis);
                 default -> {
-                    return List.of(choose(nowMillis));
+                    return List.of(chooseRoute(nowMillis));
                 }
             }
             return List.of();
@@ -118,7 +118,7 @@
             return target.equals("t5") || target.equals("t6") || target.equals("t7");
         }
 
-        private void list(long nowMillis) {
+        private void updateList(long nowMillis) {
             List<ListedHost> now = Fixtures.targets(8).stream()
                     .map(target -> runsOther(target.name()) ? Fixtures.ofService(target, OTHER) : target)
                     .filter(target -> random.nextInt(4) > 0)
@@ -132,7 +132,7 @@
             router.targets(now, nowMillis);
         }
 
-        private void report(long nowMillis) {
+        private void reportLoad(long nowMillis) {
             String target = "t" + random.nextInt(8);
             boolean leaves = random.nextInt(6) == 0;
             if (leaves && listed.contains(target)) {
@@ -146,14 +146,14 @@
                     nowMillis);
         }
 
-        private void end(long nowMillis) {
+        private void endAttempt(long nowMillis) {
             if (running.isEmpty()) {
                 return;
             }
             Request request = running.remove(random.nextInt(running.size()));
             AttemptResult result =
                     switch (random.nextInt(4)) {
-                        case 0 -> Fixtures.REFUSED;
+                        case 0 -> Fixtures.CONNECTION_REFUSED;
                         case 1 -> new AttemptResult.Lost(Failure.of(Step.RECEIVE, "", "reset"), 0);
                         default -> Fixtures.ANSWERED;
                     };
@@ -161,7 +161,7 @@
             router.finished(request, nowMillis);
         }
 
-        private Routing choose(long nowMillis) {
+        private Routing chooseRoute(long nowMillis) {
             Request drawn = Fixtures.request(
                     "r" + requests++,
                     "a" + random.nextInt(3),
@@ -181,15 +181,16 @@
             router.admit(request, nowMillis);
             Routing routing = router.choose(request, new Eligibility(allowed, mayCross, tried), nowMillis);
             if (routing instanceof Routing.Go go) {
-                check(request, go.route(), allowed, mayCross, tried);
+                checkRoute(request, go.route(), allowed, mayCross, tried);
                 router.started(request, go.route(), nowMillis);
                 running.add(request);
             }
-            assertTrue(routing.candidates().size() <= Considered.MAX_CANDIDATES);
+            assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
             return routing;
         }
 
-        private void check(Request request, Route route, Set<String> allowed, boolean mayCross, Set<String> tried) {
+        private void checkRoute(
+                Request request, Route route, Set<String> allowed, boolean mayCross, Set<String> tried) {
             assertFalse(tried.contains(route.peer()), "tried before");
             if (route instanceof Route.ToHost host) {
                 assertTrue(mayCross && allowed.contains(host.region()), "crossing where it may not");
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
@@ -45,7 +45,7 @@
             Map<String, Integer> loads = new TreeMap<>();
             for (int i = 0; i < 32; i++) {
                 Request request = Fixtures.request("r" + i, "floor", WorkClass.DRAFT, 60_000, MANUAL);
-                Routing.Go go = go(router, request, 5_000);
+                Routing.Go go = chooseRoute(router, request, 5_000);
                 router.started(request, go.route(), 5_000);
                 loads.merge(go.route().peer(), 1, Integer::sum);
             }
@@ -65,7 +65,7 @@
             int toIdle = 0;
             for (int i = 0; i < 16; i++) {
                 Request request = Fixtures.request("r" + i);
-                Routing.Go go = go(router, request, 200);
+                Routing.Go go = chooseRoute(router, request, 200);
                 router.started(request, go.route(), 200);
                 toIdle += go.route().peer().equals("t0") ? 1 : 0;
             }
@@ -80,8 +80,8 @@
             }
             router.reported(Fixtures.load("t0", 40, 100), 100);
             Request hasty = Fixtures.request("r", "floor", WorkClass.INTERACTIVE, 5_100, List.of());
-            Routing.Refuse refuse =
-                    assertInstanceOf(Routing.Refuse.class, router.choose(hasty, Fixtures.anywhere(Set.of()), 100));
+            Routing.Refuse refuse = assertInstanceOf(
+                    Routing.Refuse.class, router.choose(hasty, Fixtures.eligibleAnywhere(Set.of()), 100));
             assertTrue(refuse.retryAfterMillis() >= 10_000, "33 runs of 4 s on 8 slots: " + refuse.retryAfterMillis());
         }
 
@@ -93,14 +93,18 @@
                     new org.rattanplank.core.intent.Configuration(
                             2, "", Map.of(Fixtures.SERVICE, service), Map.of(), Map.of(), Map.of(), Set.of()),
                     10);
-            assertInstanceOf(Routing.Go.class, router.choose(Fixtures.request("a"), Fixtures.anywhere(Set.of()), 10));
+            assertInstanceOf(
+                    Routing.Go.class, router.choose(Fixtures.request("a"), Fixtures.eligibleAnywhere(Set.of()), 10));
             router.reported(
                     new TargetLoad(
                             "t1", Fixtures.SERVICE, List.of("plank@1", "plank@2"), 8, 8, 8, 40, 10_000, false, 20),
                     20);
             for (int i = 0; i < 20; i++) {
                 assertEquals(
-                        "t1", go(router, Fixtures.request("b" + i), 30).route().peer());
+                        "t1",
+                        chooseRoute(router, Fixtures.request("b" + i), 30)
+                                .route()
+                                .peer());
             }
         }
 
@@ -111,14 +115,14 @@
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
             }
             router.regions(List.of(Fixtures.lautoka(2, 5_000)), 5_000);
-            assertEquals(0, shareAway(router, 5_100, 50), 0, "an idle home keeps its work");
+            assertEquals(0, spilloverFraction(router, 5_100, 50), 0, "an idle home keeps its work");
             router.reported(Fixtures.load("t0", 30, 5_200), 5_200);
             router.reported(Fixtures.load("t1", 30, 5_200), 5_200);
-            assertTrue(shareAway(router, 5_300, 50) > 0.8, "a home with a queue of 11 s sends work away");
+            assertTrue(spilloverFraction(router, 5_300, 50) > 0.8, "a home with a queue of 11 s sends work away");
             router.reported(Fixtures.load("t0", 2, 5_400), 5_400);
             router.reported(Fixtures.load("t1", 2, 5_400), 5_400);
-            shareAway(router, 5_500, 30);
-            assertEquals(0, shareAway(router, 5_600, 50), 0, "an idle home takes its work back");
+            spilloverFraction(router, 5_500, 30);
+            assertEquals(0, spilloverFraction(router, 5_600, 50), 0, "an idle home takes its work back");
         }
 
         /**
@@ -131,19 +135,19 @@
             router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
             router.regions(List.of(), 1_000);
             router.regions(List.of(Fixtures.lautoka(0, 2_000)), 2_000);
-            assertTrue(sentAway(router, "a", 2_100) <= 4, "a tenth of 32 slots at first");
+            assertTrue(sendUntilFull(router, "a", 2_100) <= 4, "a tenth of 32 slots at first");
             router.regions(List.of(Fixtures.lautoka(0, 12_000)), 12_000);
-            assertTrue(sentAway(router, "b", 12_100) >= 30, "all slots after ten seconds");
+            assertTrue(sendUntilFull(router, "b", 12_100) >= 30, "all slots after ten seconds");
         }
 
         @Test
         void shouldMoveToNewShareGraduallyWhenItChanges() {
-            RemoteTable table = new RemoteTable();
-            table.configured(Fixtures.shares(Map.of("suva", 1.0)), 0);
-            table.configured(Fixtures.shares(Map.of("suva", 0.2)), 1_000);
+            RemoteRegionTable table = new RemoteRegionTable();
+            table.applyConfiguration(Fixtures.shares(Map.of("suva", 1.0)), 0);
+            table.applyConfiguration(Fixtures.shares(Map.of("suva", 0.2)), 1_000);
             assertEquals(0.9, table.share("suva", 2_000), 1e-9);
             assertEquals(0.2, table.share("suva", 20_000), 1e-9);
-            table.configured(Fixtures.shares(Map.of()), 20_000);
+            table.applyConfiguration(Fixtures.shares(Map.of()), 20_000);
             assertEquals(0.3, table.share("suva", 21_000), 1e-9);
         }
     }
@@ -153,9 +157,9 @@
         @Test
         void shouldLetTargetBackOneRequestAtATimeWhenItHadFailed() {
             Router router = Fixtures.router(4);
-            failUntilLeftOut(router, "t2");
-            assertFalse(routes(router, "x", 900, 40).contains("t2"), "left out");
-            List<String> back = routes(router, "y", 10_000, 40);
+            failUntilEjected(router, "t2");
+            assertFalse(routeRequests(router, "x", 900, 40).contains("t2"), "left out");
+            List<String> back = routeRequests(router, "y", 10_000, 40);
             assertEquals(1, back.stream().filter("t2"::equals).count(), "one probe while it has not answered");
         }
 
@@ -169,7 +173,7 @@
                 router.started(request, route, 10);
                 router.ended(request, route, Fixtures.ANSWERED, took, 20);
             }
-            Set<String> used = new HashSet<>(routes(router, "x", 30, 60));
+            Set<String> used = new HashSet<>(routeRequests(router, "x", 30, 60));
             assertEquals(Set.of("t0", "t2", "t3"), used);
         }
 
@@ -186,7 +190,7 @@
                 router.started(request, new Route.ToTarget("t0"), 10);
                 router.ended(request, new Route.ToTarget("t0"), Fixtures.ANSWERED, 4_000, 20);
             }
-            assertTrue(routes(router, "x", 30, 20).contains("t0"));
+            assertTrue(routeRequests(router, "x", 30, 20).contains("t0"));
         }
 
         /**
@@ -199,13 +203,13 @@
             router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
             AttemptResult refusal =
                     new AttemptResult.NotRun(Failure.of(Step.ADMIT, "", "the account is over its fair share"), 5_000);
-            for (int i = 0; i < 2 * Ejection.FAILURES; i++) {
+            for (int i = 0; i < 2 * Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("r" + i);
                 Route route = new Route.ToHost("lautoka-1", "lautoka");
                 router.started(request, route, 10);
                 router.ended(request, route, refusal, 250, 260);
             }
-            Routing.Go go = go(router, Fixtures.request("next"), 400);
+            Routing.Go go = chooseRoute(router, Fixtures.request("next"), 400);
             assertEquals("eligible", go.candidates().get(0).verdict());
         }
 
@@ -216,8 +220,8 @@
             AttemptResult busy = new AttemptResult.NotRun(Failure.of(Step.SEND, "", "no room"), 1_500);
             String peer =
                     Fixtures.serve(router, Fixtures.request("a"), busy, 1, 10).peer();
-            assertFalse(routes(router, "x", 500, 20).contains(peer));
-            assertTrue(routes(router, "y", 3_000, 20).contains(peer));
+            assertFalse(routeRequests(router, "x", 500, 20).contains(peer));
+            assertTrue(routeRequests(router, "y", 3_000, 20).contains(peer));
         }
     }
 
@@ -231,12 +235,12 @@
         @Test
         void shouldLeaveOutSilentTargetWhenItsRequestsPassTheirDeadlines() {
             Router router = Fixtures.router(4);
-            for (int i = 0; i < Ejection.FAILURES; i++) {
+            for (int i = 0; i < Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("s" + i, "floor", WorkClass.INTERACTIVE, 1_000, List.of());
                 router.started(request, new Route.ToTarget("t3"), 10);
                 router.finished(request, 1_000);
             }
-            assertFalse(routes(router, "x", 1_100, 40).contains("t3"));
+            assertFalse(routeRequests(router, "x", 1_100, 40).contains("t3"));
         }
 
         @Test
@@ -273,26 +277,27 @@
         }
     }
 
-    private static Routing.Go go(Router router, Request request, long nowMillis) {
-        return assertInstanceOf(Routing.Go.class, router.choose(request, Fixtures.anywhere(Set.of()), nowMillis));
+    private static Routing.Go chooseRoute(Router router, Request request, long nowMillis) {
+        return assertInstanceOf(
+                Routing.Go.class, router.choose(request, Fixtures.eligibleAnywhere(Set.of()), nowMillis));
     }
 
-    private static void failUntilLeftOut(Router router, String target) {
-        for (int i = 0; i < Ejection.FAILURES; i++) {
+    private static void failUntilEjected(Router router, String target) {
+        for (int i = 0; i < Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
             Request request = Fixtures.request("f" + i);
             Route route = new Route.ToTarget(target);
             router.started(request, route, 10 + i);
-            router.ended(request, route, Fixtures.REFUSED, 1, 10 + i);
+            router.ended(request, route, Fixtures.CONNECTION_REFUSED, 1, 10 + i);
         }
     }
 
     /** Starts so many requests without ending them, and returns where they went. */
-    private static List<String> routes(Router router, String prefix, long nowMillis, int count) {
+    private static List<String> routeRequests(Router router, String prefix, long nowMillis, int count) {
         List<String> peers = new ArrayList<>();
         List<Request> started = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Request request = Fixtures.request(prefix + i);
-            Route route = go(router, request, nowMillis).route();
+            Route route = chooseRoute(router, request, nowMillis).route();
             router.started(request, route, nowMillis);
             started.add(request);
             peers.add(route.peer());
@@ -301,20 +306,20 @@
         return peers;
     }
 
-    private static double shareAway(Router router, long nowMillis, int count) {
+    private static double spilloverFraction(Router router, long nowMillis, int count) {
         int away = 0;
         for (int i = 0; i < count; i++) {
-            away += go(router, Fixtures.request("s" + i), nowMillis).route() instanceof Route.ToHost ? 1 : 0;
+            away += chooseRoute(router, Fixtures.request("s" + i), nowMillis).route() instanceof Route.ToHost ? 1 : 0;
         }
         return away / (double) count;
     }
 
     /** Sends requests away until the region takes no more as one with known room. */
-    private static int sentAway(Router router, String prefix, long nowMillis) {
+    private static int sendUntilFull(Router router, String prefix, long nowMillis) {
         List<Request> sent = new ArrayList<>();
         while (sent.size() < 100) {
             Request request = Fixtures.request(prefix + sent.size());
-            Routing.Go go = go(router, request, nowMillis);
+            Routing.Go go = chooseRoute(router, request, nowMillis);
             if (go.candidates().stream()
                     .anyMatch(candidate -> candidate.verdict().equals("last resort"))) {
                 break;
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -31,20 +31,20 @@
     @Test
     void shouldEndUnknownWhenAnswerOfBookingIsLost() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.lost("desk-suva"));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
     }
 
     @Test
     void shouldKeepAnswerWhenBookingIsRepeatedAtOtherHost() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.whole("seal 7"));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         Outcome.Answered first = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         Outcome.Answered second = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertEquals(first.answer(), second.answer());
@@ -54,9 +54,9 @@
     @Test
     void shouldJoinRunningBookingWhenRepeatedBeforeItsEnd() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        assertEquals(List.of(), session.pendingTargets("r2"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
@@ -70,17 +70,17 @@
     @Test
     void shouldNotSayNotRunWhenDeadlineOfJoinedCallerPasses() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
     }
 
     @Test
     void shouldRunBookingAtHomeDataCentreWhenAskedElsewhere() {
         Session session = Koro.start();
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
@@ -88,10 +88,10 @@
     @Test
     void shouldTryOtherHomeHostWhenTheFirstIsLeaving() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r0", "suva"));
-        session.feed("suva-1", new Event.DrainAsked());
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r0", "suva"));
+        session.handleEvent("suva-1", new Event.DrainAsked());
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
@@ -100,9 +100,9 @@
     void shouldTellWhenToComeBackWhenHomeOfKeyIsCutOff() {
         Session session = Koro.start();
         for (String away : List.of("suva-1", "suva-2")) {
-            session.cut("lautoka-1", away).cut("lautoka-2", away);
+            session.partition("lautoka-1", away).partition("lautoka-2", away);
         }
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertTrue(notRun.retryAfterMillis() > 0);
     }
@@ -115,11 +115,11 @@
     @Test
     void shouldKeepLateAnswerWhenCallerOfBookingHasGone() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
         session.end("r1", Koro.whole("seal 7"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("booking-past-deadline");
     }
@@ -131,12 +131,12 @@
     @Test
     void shouldRunBookingOnceWhenHostIsKilledAfterItsClaim() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
-        session.kill("suva-1").pass(10_000);
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
+        session.kill("suva-1").advance(10_000);
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
         session.transcript().assertMatches("booking-host-killed");
     }
 
@@ -148,13 +148,13 @@
     @Test
     void shouldSayUnknownSoonWhenStoreIsOutAndRunnerIsLost() {
         Session session = Koro.start();
-        session.storeDown(true);
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.kill("suva-1").pass(3_000);
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.pass(5_000);
+        session.setStoreDown(true);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.kill("suva-1").advance(3_000);
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.advance(5_000);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
     }
 
     /*
@@ -165,10 +165,10 @@
     @Test
     void shouldRefuseKeyOfBookingWhenItCarriesNoTime() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", "order-17"));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", "order-17"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(Step.ACCEPT, notRun.failure().step());
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     /*
@@ -178,17 +178,17 @@
      */
     @Test
     void shouldServeItsOwnCallersWhenDataCentreIsCutOff() {
-        Session session = Koro.start().cutFromStore("labasa-1").cutFromStore("labasa-2");
+        Session session = Koro.start().partitionFromStore("labasa-1").partitionFromStore("labasa-2");
         for (String away : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2")) {
-            session.cut("labasa-1", away).cut("labasa-2", away);
+            session.partition("labasa-1", away).partition("labasa-2", away);
         }
-        session.pass(30_000);
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+        session.advance(30_000);
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         session.end("r1", Koro.whole("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
-        session.ask("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
-        assertEquals(List.of("desk-labasa"), session.waitingAt("r2"));
-        session.ask("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
+        session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
+        assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
+        session.request("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
         session.end("r2", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
@@ -202,16 +202,16 @@
     @Test
     void shouldFinishRequestsBeforeStoppingWhenDrained() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.feed("suva-1", new Event.DrainAsked()).pass(5_000);
-        session.ask("suva-1", Koro.draft(session, "r3", "suva"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.handleEvent("suva-1", new Event.DrainAsked()).advance(5_000);
+        session.request("suva-1", Koro.draft(session, "r3", "suva"));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).pass(5_000);
+        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).advance(5_000);
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertTrue(Option.of(session.node("suva-1")).isEmpty(), "the host has stopped");
-        session.ask("suva-2", Koro.booking(session, "r4", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r4", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r4"));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
@@ -16,7 +16,7 @@
     /** The time that callers give each request. */
     static final long TIMEOUT_MILLIS = 20_000;
 
-    private static final long START_TAKES_MILLIS = 7_000;
+    private static final long STARTUP_MILLIS = 7_000;
 
     /** A key made when the deployment had just started. */
     static final String KEY = key(0);
@@ -55,15 +55,15 @@
         for (String region : List.of("suva", "lautoka", "labasa")) {
             session.start(region + "-1", region, region + "-hall");
             session.start(region + "-2", region, region + "-hall");
-            session.target("plank-" + region, "plank-serve", region, region + "-hall");
-            session.target("desk-" + region, "crew-desk", region, region + "-hall");
+            session.addTarget("plank-" + region, "plank-serve", region, region + "-hall");
+            session.addTarget("desk-" + region, "crew-desk", region, region + "-hall");
         }
-        return session.configure(DOCUMENT).pass(5_000);
+        return session.configure(DOCUMENT).advance(5_000);
     }
 
     /** A version 7 UUID made when the deployment had just started. */
     static String key(int number) {
-        long madeAtMillis = Session.START_MILLIS + START_TAKES_MILLIS;
+        long madeAtMillis = Session.START_MILLIS + STARTUP_MILLIS;
         return new UUID(madeAtMillis << 16 | 0x7000L, 0x8000_0000_0000_0000L | number).toString();
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
@@ -27,9 +27,9 @@
     private static final int KEYS = 3;
 
     private final Map<String, String> keyOfRequest = new HashMap<>();
-    private final Set<String> ran = new HashSet<>();
+    private final Set<String> requestsThatRan = new HashSet<>();
     private final Map<String, Integer> runsOfKey = new HashMap<>();
-    private final Set<String> dead = new HashSet<>();
+    private final Set<String> terminatedHosts = new HashSet<>();
     private final List<String> requests = new ArrayList<>();
 
     /*
@@ -43,42 +43,42 @@
         reset();
         Session session = Koro.start();
         for (int step : script) {
-            take(step, session);
+            runStep(step, session);
         }
-        session.pass(5_000);
+        session.advance(5_000);
         session.cancelled().forEach(this::countRun);
         runsOfKey.forEach((key, runs) -> assertTrue(runs <= 1, () -> key + " ran " + runs + " times"));
         for (String request : requests) {
             List<Outcome> outcomes = session.outcomes(request);
             assertTrue(outcomes.size() <= 1, () -> request + " had " + outcomes);
             if (!outcomes.isEmpty() && outcomes.get(0) instanceof Outcome.NotRun notRun) {
-                assertTrue(!ran.contains(request), () -> request + " ran, but: " + notRun);
+                assertTrue(!requestsThatRan.contains(request), () -> request + " ran, but: " + notRun);
             }
         }
     }
 
     private void reset() {
         keyOfRequest.clear();
-        ran.clear();
+        requestsThatRan.clear();
         runsOfKey.clear();
-        dead.clear();
+        terminatedHosts.clear();
         requests.clear();
     }
 
-    private void take(int step, Session session) {
+    private void runStep(int step, Session session) {
         int choice = step / 16;
         switch (step % 16) {
             case 0, 1, 2, 3 -> book(choice, session);
             case 4 -> draft(choice, session);
-            case 5, 6 -> end(choice, session, 0);
-            case 7 -> end(choice, session, 1);
-            case 8 -> end(choice, session, 2);
-            case 9 -> session.pass(200L * (1 + choice % 40));
+            case 5, 6 -> endAttempt(choice, session, 0);
+            case 7 -> endAttempt(choice, session, 1);
+            case 8 -> endAttempt(choice, session, 2);
+            case 9 -> session.advance(200L * (1 + choice % 40));
             case 10 -> kill(choice, session);
             case 11 -> restart(choice, session);
-            case 12 -> cut(choice, session);
-            case 13 -> session.healAll().pass(300);
-            case 14 -> session.storeDown(choice % 2 == 0);
+            case 12 -> partition(choice, session);
+            case 13 -> session.healPartitions().advance(300);
+            case 14 -> session.setStoreDown(choice % 2 == 0);
             default -> drain(choice, session);
         }
     }
@@ -87,33 +87,34 @@
         String region = REGIONS.get(choice % 3);
         String key = Koro.key(choice / 3 % KEYS);
         String host = host(choice / 9);
-        if (dead.contains(host)) {
+        if (terminatedHosts.contains(host)) {
             return;
         }
         String id = "b" + requests.size();
         requests.add(id);
         keyOfRequest.put(id, region + "/" + key);
-        session.ask(host, Koro.booking(session, id, region, key));
+        session.request(host, Koro.booking(session, id, region, key));
     }
 
     private void draft(int choice, Session session) {
         String host = host(choice / 3);
-        if (dead.contains(host)) {
+        if (terminatedHosts.contains(host)) {
             return;
         }
         String id = "d" + requests.size();
         requests.add(id);
-        session.ask(host, Koro.draft(session, id, REGIONS.get(choice % 3)));
+        session.request(host, Koro.draft(session, id, REGIONS.get(choice % 3)));
     }
 
-    private void end(int choice, Session session, int way) {
-        List<String> waiting =
-                requests.stream().filter(id -> !session.waitingAt(id).isEmpty()).toList();
+    private void endAttempt(int choice, Session session, int way) {
+        List<String> waiting = requests.stream()
+                .filter(id -> !session.pendingTargets(id).isEmpty())
+                .toList();
         if (waiting.isEmpty()) {
             return;
         }
         String id = waiting.get(choice % waiting.size());
-        String target = session.waitingAt(id).get(0);
+        String target = session.pendingTargets(id).get(0);
         AttemptResult result =
                 switch (way) {
                     case 0 -> Koro.whole(id);
@@ -124,11 +125,11 @@
             countRun(id);
         }
         session.end(id, result);
-        session.feed(host(choice), new Event.AttemptEnded(id, 1, Koro.whole("late")));
+        session.handleEvent(host(choice), new Event.AttemptEnded(id, 1, Koro.whole("late")));
     }
 
     private void countRun(String id) {
-        ran.add(id);
+        requestsThatRan.add(id);
         if (keyOfRequest.containsKey(id)) {
             runsOfKey.merge(keyOfRequest.get(id), 1, Integer::sum);
         }
@@ -136,9 +137,9 @@
 
     private void kill(int choice, Session session) {
         String host = host(choice);
-        if (dead.add(host)) {
+        if (terminatedHosts.add(host)) {
             requests.stream()
-                    .filter(id -> keyOfRequest.containsKey(id) && session.isWaitingOn(host, id))
+                    .filter(id -> keyOfRequest.containsKey(id) && session.hasAttemptAtTarget(host, id))
                     .forEach(this::countRun);
             session.kill(host);
         }
@@ -146,26 +147,26 @@
 
     private void restart(int choice, Session session) {
         String host = host(choice);
-        if (dead.remove(host)) {
+        if (terminatedHosts.remove(host)) {
             String region = host.substring(0, host.indexOf('-'));
-            session.start(host, region, region + "-hall").relist().pass(500);
+            session.start(host, region, region + "-hall").publishList().advance(500);
         }
     }
 
-    private static void cut(int choice, Session session) {
+    private static void partition(int choice, Session session) {
         String left = host(choice);
         String right = host(choice / 6);
         if (!left.equals(right)) {
-            session.cut(left, right);
+            session.partition(left, right);
         }
     }
 
     private void drain(int choice, Session session) {
         String host = host(choice);
-        if (choice % 4 == 0 && !dead.contains(host)) {
-            session.feed(host, new Event.DrainAsked()).pass(1_000);
+        if (choice % 4 == 0 && !terminatedHosts.contains(host)) {
+            session.handleEvent(host, new Event.DrainAsked()).advance(1_000);
             if (session.node(host) == null) {
-                dead.add(host);
+                terminatedHosts.add(host);
             }
         }
     }
