--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -19,8 +19,8 @@
     @Test
     void shouldServeAtHomeWhenAllIsWell() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        assertEquals(List.of("plank-suva"), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         session.transcript().assertMatches("serve-at-home");
@@ -33,8 +33,8 @@
      */
     @Test
     void shouldRefuseWhenResidencyAllowsNoRegionWithTargets() {
-        Session session = Koro.start().listAsLeaving("plank-labasa").pass(4_000);
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+        Session session = Koro.start().listAsLeaving("plank-labasa").advance(4_000);
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(Step.ROUTE, notRun.failure().step());
         assertTrue(notRun.retryAfterMillis() > 0);
@@ -44,9 +44,9 @@
     void shouldRefuseAtReceivingHostWhenResidencyForbidsItsRegion() {
         Session session = Koro.start();
         Request crossed = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
-        session.feed("suva-1", new Event.PeerAsked("labasa-1", 1, crossed));
+        session.handleEvent("suva-1", new Event.PeerAsked("labasa-1", 1, crossed));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     /*
@@ -57,17 +57,17 @@
     @Test
     void shouldCrossAtMostOnceWhenRegionsHaveOppositeViews() {
         Session session = Koro.start();
-        session.listAsLeaving("plank-lautoka").pass(4_000);
+        session.listAsLeaving("plank-lautoka").advance(4_000);
         Request crossed = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
-        session.feed("lautoka-1", new Event.PeerAsked("suva-1", 1, crossed));
+        session.handleEvent("lautoka-1", new Event.PeerAsked("suva-1", 1, crossed));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
     }
 
     @Test
     void shouldServeAwayWhenHomeHasNoTarget() {
-        Session session = Koro.start().listAsLeaving("plank-suva").pass(4_000);
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        assertEquals(1, session.waitingAt("r1").size());
+        Session session = Koro.start().listAsLeaving("plank-suva").advance(4_000);
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        assertEquals(1, session.pendingTargets("r1").size());
         session.end("r1", Koro.whole("steps"));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertEquals(3, answered.path().size(), () -> "path " + answered.path());
@@ -81,14 +81,14 @@
     @Test
     void shouldDropLateAnswerWhenAttemptWasGivenUp() {
         Session session = Koro.start()
-                .target("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .relist();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.end("r1", Koro.lost(session.waitingAt("r1").get(0)));
-        session.feed("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+                .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
+                .publishList();
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
         assertEquals(List.of(), session.outcomes("r1"));
         session.end("r1", Koro.whole("second"));
-        session.feed("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertEquals(((AttemptResult.Whole) Koro.whole("second")).answer(), answered.answer());
         session.transcript().assertMatches("late-answer");
@@ -97,10 +97,10 @@
     @Test
     void shouldResumeStreamAtItsPartWhenItBreaks() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.feed("suva-1", new Event.StreamProgressed("r1", 1, 5));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.handleEvent("suva-1", new Event.StreamProgressed("r1", 1, 5));
         session.end("r1", new AttemptResult.Lost(Failure.of(Step.RECEIVE, "plank-suva", "broke"), 5));
-        assertEquals(List.of("plank-suva"), session.waitingAt("r1"));
+        assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
         session.end("r1", new AttemptResult.Lost(Failure.of(Step.RECEIVE, "plank-suva", "broke"), 6));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
         session.transcript().assertMatches("stream-broken-twice");
@@ -109,18 +109,18 @@
     @Test
     void shouldEndAtOnceWhenDeadlinePasses() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     @Test
     void shouldCancelAtTargetWhenCallerLeaves() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.feed("suva-1", new Event.AskerLeft("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.handleEvent("suva-1", new Event.AskerLeft("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
         assertEquals(0, session.node("suva-1").status().inFlight());
         session.transcript().assertMatches("cancelled");
     }
@@ -132,13 +132,13 @@
     @Test
     void shouldNotSayNotRunWhenAnEarlierAttemptMayHaveRun() {
         Session session = Koro.start()
-                .target("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .relist();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.end("r1", Koro.lost(session.waitingAt("r1").get(0)));
-        session.end("r1", Koro.refused(session.waitingAt("r1").get(0)));
-        while (!session.waitingAt("r1").isEmpty()) {
-            session.end("r1", Koro.refused(session.waitingAt("r1").get(0)));
+                .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
+                .publishList();
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
+        session.end("r1", Koro.refused(session.pendingTargets("r1").get(0)));
+        while (!session.pendingTargets("r1").isEmpty()) {
+            session.end("r1", Koro.refused(session.pendingTargets("r1").get(0)));
         }
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
     }
@@ -150,9 +150,9 @@
     @Test
     void shouldChooseOwnServiceWhenAnotherServedThePrefix() {
         Session session = Koro.start();
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         session.end("r1", Koro.whole("steps"));
-        session.ask("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
-        assertEquals(List.of("desk-labasa"), session.waitingAt("r2"));
+        session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
+        assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -19,15 +19,20 @@
     @Test
     void shouldSpillAndReturnWhenHomeIsFullAndThenIdle() {
         Session session = Koro.start();
-        learnRunTimes(session, "suva");
+        recordRunTimes(session, "suva");
         session.transcript().clear();
-        List<String> asked = ask(session, "full", "suva", 32);
-        assertTrue(asked.stream().anyMatch(id -> !isAt(session, id, "plank-suva")), "none has left the region");
-        assertTrue(asked.stream().filter(id -> isAt(session, id, "plank-suva")).count() >= 8, "home has free slots");
+        List<String> asked = sendRequests(session, "full", "suva", 32);
+        assertTrue(asked.stream().anyMatch(id -> !isWaitingAt(session, id, "plank-suva")), "none has left the region");
+        assertTrue(
+                asked.stream()
+                                .filter(id -> isWaitingAt(session, id, "plank-suva"))
+                                .count()
+                        >= 8,
+                "home has free slots");
         asked.forEach(id -> session.end(id, Koro.whole("steps")));
-        session.pass(2_000);
-        for (String id : ask(session, "idle", "suva", 4)) {
-            assertTrue(isAt(session, id, "plank-suva"), "an idle home keeps its work");
+        session.advance(2_000);
+        for (String id : sendRequests(session, "idle", "suva", 4)) {
+            assertTrue(isWaitingAt(session, id, "plank-suva"), "an idle home keeps its work");
         }
         session.transcript().assertMatches("spill-and-return");
     }
@@ -41,15 +46,18 @@
         Session session = twoTargets("suva");
         session.transcript().clear();
         for (int missed = 0; missed < 3; missed++) {
-            session.feed("suva-1", new Event.LoadMissed("plank-suva"));
+            session.handleEvent("suva-1", new Event.LoadMissed("plank-suva"));
         }
-        for (String id : ask(session, "out", "suva", 4)) {
-            assertTrue(isAt(session, id, "plank-suva-2"), "left out");
+        for (String id : sendRequests(session, "out", "suva", 4)) {
+            assertTrue(isWaitingAt(session, id, "plank-suva-2"), "left out");
         }
-        session.pass(1_500);
-        List<String> back = ask(session, "back", "suva", 8);
+        session.advance(1_500);
+        List<String> back = sendRequests(session, "back", "suva", 8);
         assertEquals(
-                1, back.stream().filter(id -> isAt(session, id, "plank-suva")).count());
+                1,
+                back.stream()
+                        .filter(id -> isWaitingAt(session, id, "plank-suva"))
+                        .count());
         session.transcript().assertMatches("ejection");
     }
 
@@ -64,10 +72,10 @@
         int attempts = 0;
         for (int i = 0; i < REQUESTS; i++) {
             String id = "storm-" + i;
-            session.ask("labasa-1", Koro.draft(session, id, "labasa"));
-            while (!session.waitingAt(id).isEmpty()) {
+            session.request("labasa-1", Koro.draft(session, id, "labasa"));
+            while (!session.pendingTargets(id).isEmpty()) {
                 attempts++;
-                session.end(id, Koro.refused(session.waitingAt(id).get(0)));
+                session.end(id, Koro.refused(session.pendingTargets(id).get(0)));
             }
             assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome(id));
         }
@@ -77,29 +85,29 @@
 
     private static Session twoTargets(String region) {
         return Koro.start()
-                .target("plank-" + region + "-2", "plank-serve", region, region + "-hall")
-                .relist()
-                .pass(5_000);
+                .addTarget("plank-" + region + "-2", "plank-serve", region, region + "-hall")
+                .publishList()
+                .advance(5_000);
     }
 
     /** Lets the router see that requests run for four seconds. */
-    private static void learnRunTimes(Session session, String region) {
-        List<String> asked = ask(session, "learn", region, 5);
-        session.pass(4_000);
+    private static void recordRunTimes(Session session, String region) {
+        List<String> asked = sendRequests(session, "learn", region, 5);
+        session.advance(4_000);
         asked.forEach(id -> session.end(id, Koro.whole("steps")));
     }
 
-    private static List<String> ask(Session session, String name, String region, int count) {
+    private static List<String> sendRequests(Session session, String name, String region, int count) {
         List<String> ids = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String id = name + "-" + i;
-            session.ask(region + "-1", Koro.draft(session, id, region));
+            session.request(region + "-1", Koro.draft(session, id, region));
             ids.add(id);
         }
         return ids;
     }
 
-    private static boolean isAt(Session session, String requestId, String target) {
-        return session.waitingAt(requestId).contains(target);
+    private static boolean isWaitingAt(Session session, String requestId, String target) {
+        return session.pendingTargets(requestId).contains(target);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -44,13 +44,13 @@
     /** How far each step of time goes. */
     static final long TICK_MILLIS = 100;
 
-    private static final long LOAD_EVERY_MILLIS = 500;
-    private static final int MOST_DELIVERIES = 100_000;
+    private static final long LOAD_REPORT_INTERVAL_MILLIS = 500;
+    private static final int MAX_DELIVERIES = 100_000;
 
     private final Map<String, Node> nodes = new TreeMap<>();
     private final Map<String, NodeIdentity> identities = new TreeMap<>();
     private final Map<String, Set<String>> links = new TreeMap<>();
-    private final Set<Set<String>> cuts = new HashSet<>();
+    private final Set<Set<String>> partitions = new HashSet<>();
     private final Map<String, Attempt> attempts = new LinkedHashMap<>();
     private final Map<String, Attempt> forwards = new LinkedHashMap<>();
     private final List<ListedHost> listed = new ArrayList<>();
@@ -60,14 +60,14 @@
     private final List<String> cancelled = new ArrayList<>();
     private final FakeStore store = new FakeStore();
     private FakeStore.Fault storeFault = FakeStore.Fault.NONE;
-    private final Set<String> storeless = new HashSet<>();
+    private final Set<String> hostsWithoutStore = new HashSet<>();
     private long nowMillis = START_MILLIS;
     private long listRevision;
 
     private record Attempt(String node, String requestId, int number, Route route) {}
 
     /** Takes the platform's store down or brings it back. */
-    Session storeDown(boolean isDown) {
+    Session setStoreDown(boolean isDown) {
         storeFault = isDown ? FakeStore.Fault.DOWN : FakeStore.Fault.NONE;
         return this;
     }
@@ -100,7 +100,7 @@
     }
 
     /** The attempts at targets that wait for an answer, by target, for one request. */
-    List<String> waitingAt(String requestId) {
+    List<String> pendingTargets(String requestId) {
         return attempts.values().stream()
                 .filter(attempt -> attempt.requestId().equals(requestId))
                 .map(attempt -> attempt.route().peer())
@@ -108,7 +108,7 @@
     }
 
     /** Whether a request waits for a target by an attempt of this host. */
-    boolean isWaitingOn(String host, String requestId) {
+    boolean hasAttemptAtTarget(String host, String requestId) {
         return attempts.containsKey(keyOf(host, requestId));
     }
 
@@ -118,7 +118,7 @@
     }
 
     /** Puts a target into the platform's list. */
-    Session target(String name, String service, String region, String dataCentre) {
+    Session addTarget(String name, String service, String region, String dataCentre) {
         listed.add(
                 new ListedHost(name, HostRole.TARGET, Place.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
         return this;
@@ -139,15 +139,15 @@
     /** Applies a configuration document, and lets every node that runs learn the list and the document. */
     Session configure(String document) {
         store.write(Configurations.KEY, document);
-        relist();
-        return pass(2_000);
+        publishList();
+        return advance(2_000);
     }
 
     /** Lets every node read the platform's list anew. */
-    Session relist() {
+    Session publishList() {
         listRevision++;
         HostList list = new HostList(listRevision, listed);
-        nodes.keySet().forEach(host -> feed(host, new Event.HostsListed(list)));
+        nodes.keySet().forEach(host -> handleEvent(host, new Event.HostsListed(list)));
         return this;
     }
 
@@ -164,17 +164,17 @@
                         known.service(),
                         true)
                 : known);
-        return relist();
+        return publishList();
     }
 
     /** Lets time pass in steps; every node ticks at each. */
-    Session pass(long millis) {
+    Session advance(long millis) {
         for (long passed = 0; passed < millis; passed += TICK_MILLIS) {
             nowMillis += TICK_MILLIS;
             for (String host : List.copyOf(nodes.keySet())) {
-                relink(host);
+                connectLinks(host);
                 reportLoads(host);
-                feed(host, new Event.Ticked());
+                handleEvent(host, new Event.Ticked());
             }
         }
         return this;
@@ -182,7 +182,7 @@
 
     /** Kills a host: it loses all it knew, and its attempts end nowhere. */
     Session kill(String host) {
-        transcript.note(nowMillis, host, "killed");
+        transcript.recordNote(nowMillis, host, "killed");
         nodes.remove(host);
         links.remove(host);
         attempts.values().removeIf(attempt -> attempt.node().equals(host));
@@ -199,38 +199,38 @@
     }
 
     /** Cuts two hosts from each other. */
-    Session cut(String left, String right) {
-        transcript.note(nowMillis, left, "cut from " + right);
-        cuts.add(Set.of(left, right));
-        lose(left, right, false);
-        lose(right, left, false);
+    Session partition(String left, String right) {
+        transcript.recordNote(nowMillis, left, "cut from " + right);
+        partitions.add(Set.of(left, right));
+        loseLink(left, right, false);
+        loseLink(right, left, false);
         drainDeliveries();
         return this;
     }
 
     /** Cuts a host from the platform's store. */
-    Session cutFromStore(String host) {
-        transcript.note(nowMillis, host, "cut from the store");
-        storeless.add(host);
+    Session partitionFromStore(String host) {
+        transcript.recordNote(nowMillis, host, "cut from the store");
+        hostsWithoutStore.add(host);
         return this;
     }
 
     /** Connects all hosts again. */
-    Session healAll() {
-        cuts.clear();
+    Session healPartitions() {
+        partitions.clear();
         return this;
     }
 
     /** Lets a caller ask a host. */
-    Session ask(String host, Request request) {
+    Session request(String host, Request request) {
         outcomes.putIfAbsent(request.id(), new ArrayList<>());
-        feed(host, new Event.CallerAsked(request));
+        handleEvent(host, new Event.CallerAsked(request));
         return this;
     }
 
     /** Feeds any event to a host. */
-    Session feed(String host, Event event) {
-        handle(host, event);
+    Session handleEvent(String host, Event event) {
+        deliverEvent(host, event);
         drainDeliveries();
         return this;
     }
@@ -248,7 +248,7 @@
     }
 
     private void reportLoads(String host) {
-        if (nowMillis % LOAD_EVERY_MILLIS != 0) {
+        if (nowMillis % LOAD_REPORT_INTERVAL_MILLIS != 0) {
             return;
         }
         for (ListedHost target : listed) {
@@ -256,7 +256,7 @@
                     && target.place()
                             .region()
                             .equals(identities.get(host).place().region())) {
-                feed(host, new Event.LoadReported(loadOf(target)));
+                handleEvent(host, new Event.LoadReported(loadOf(target)));
             }
         }
     }
@@ -271,8 +271,8 @@
 
     private void end(Attempt attempt, AttemptResult result) {
         if (nodes.containsKey(attempt.node())) {
-            deliveries.add(() ->
-                    handle(attempt.node(), new Event.AttemptEnded(attempt.requestId(), attempt.number(), result)));
+            deliveries.add(() -> deliverEvent(
+                    attempt.node(), new Event.AttemptEnded(attempt.requestId(), attempt.number(), result)));
         }
     }
 
@@ -280,31 +280,31 @@
         int count = 0;
         while (!deliveries.isEmpty()) {
             deliveries.poll().run();
-            if (++count > MOST_DELIVERIES) {
+            if (++count > MAX_DELIVERIES) {
                 throw new AssertionError("messages never end: " + transcript.tail());
             }
         }
     }
 
-    private void handle(String host, Event event) {
+    private void deliverEvent(String host, Event event) {
         Node node = nodes.get(host);
         if (node == null) {
             // The host has gone.
             return;
         }
         List<Action> actions = node.handle(event, nowMillis);
-        transcript.add(nowMillis, host, event, actions);
-        actions.forEach(action -> carryOut(host, action));
+        transcript.record(nowMillis, host, event, actions);
+        actions.forEach(action -> perform(host, action));
     }
 
-    private void carryOut(String host, Action action) {
+    private void perform(String host, Action action) {
         if (action instanceof Action.SendMessage send) {
             deliver(host, send);
         } else if (action instanceof Action.CallStore call) {
-            var reply = storeless.contains(host)
+            var reply = hostsWithoutStore.contains(host)
                     ? new org.rattanplank.core.store.StoreReply.Unavailable("cut off")
                     : store.call(call.command(), storeFault, nowMillis);
-            deliveries.add(() -> handle(host, new Event.StoreReplied(call.owner(), call.callId(), reply)));
+            deliveries.add(() -> deliverEvent(host, new Event.StoreReplied(call.owner(), call.callId(), reply)));
         } else if (action instanceof Action.StartAttempt start) {
             startAttempt(host, start);
         } else if (action instanceof Action.CancelAttempt cancel) {
@@ -325,8 +325,8 @@
     private void deliver(String host, Action.SendMessage send) {
         if (canReach(host, send.host())) {
             NodeIdentity sender = identities.get(host);
-            deliveries.add(
-                    () -> handle(send.host(), new Event.MessageReceived(host, sender.incarnation(), send.message())));
+            deliveries.add(() ->
+                    deliverEvent(send.host(), new Event.MessageReceived(host, sender.incarnation(), send.message())));
         }
     }
 
@@ -341,7 +341,7 @@
             return;
         }
         forwards.put(keyOf(to.host(), start.requestId()), attempt);
-        deliveries.add(() -> handle(to.host(), new Event.PeerAsked(host, start.attempt(), start.request())));
+        deliveries.add(() -> deliverEvent(to.host(), new Event.PeerAsked(host, start.attempt(), start.request())));
     }
 
     private void finish(String host, Action.Finish finish) {
@@ -368,7 +368,7 @@
         return new AttemptResult.Lost(((Outcome.Unknown) outcome).failure(), 0);
     }
 
-    private void relink(String host) {
+    private void connectLinks(String host) {
         if (!links.containsKey(host)) {
             return;
         }
@@ -381,7 +381,7 @@
     private void link(String host, String other) {
         if (canReach(host, other) && links.get(host).add(other)) {
             NodeIdentity peer = identities.get(other);
-            deliveries.add(() -> handle(
+            deliveries.add(() -> deliverEvent(
                     host,
                     new Event.PeerConnected(
                             other,
@@ -393,18 +393,18 @@
 
     private void breakLinksTo(String host, boolean refused) {
         for (String other : List.copyOf(nodes.keySet())) {
-            lose(other, host, refused);
+            loseLink(other, host, refused);
         }
     }
 
-    private void lose(String host, String other, boolean refused) {
+    private void loseLink(String host, String other, boolean refused) {
         if (links.containsKey(host) && links.get(host).remove(other)) {
-            deliveries.add(() -> handle(host, new Event.PeerLost(other, refused)));
+            deliveries.add(() -> deliverEvent(host, new Event.PeerLost(other, refused)));
         }
     }
 
     private boolean canReach(String host, String other) {
-        return nodes.containsKey(other) && !cuts.contains(Set.of(host, other));
+        return nodes.containsKey(other) && !partitions.contains(Set.of(host, other));
     }
 
     private static String keyOf(String host, String requestId) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
@@ -24,12 +24,12 @@
             Pattern.compile("Request\\[id=([^,]*), account=([^,]*), service=([^,]*), .*?claimed=\\w+\\]");
     private static final Pattern ARRAY = Pattern.compile("\\[B@[0-9a-f]+");
     private static final int TAIL_LENGTH = 2_000;
-    private static final Path FOLDER = Path.of("src/test/resources/golden");
+    private static final Path GOLDEN_DIRECTORY = Path.of("src/test/resources/golden");
 
     private final StringBuilder text = new StringBuilder();
 
     /** Writes down an event with what it led to. */
-    void add(long nowMillis, String host, Event event, List<Action> actions) {
+    void record(long nowMillis, String host, Event event, List<Action> actions) {
         List<Action> shown = actions.stream().filter(Transcript::isShown).toList();
         if (shown.isEmpty() && !isShown(event)) {
             return;
@@ -40,7 +40,7 @@
     }
 
     /** Writes down something that the script did to a host. */
-    void note(long nowMillis, String host, String note) {
+    void recordNote(long nowMillis, String host, String note) {
         text.append(nowMillis)
                 .append(' ')
                 .append(host)
@@ -61,10 +61,10 @@
 
     /** Compares the session with its golden file. */
     void assertMatches(String name) {
-        Path file = FOLDER.resolve(name + ".txt");
+        Path file = GOLDEN_DIRECTORY.resolve(name + ".txt");
         try {
             if (Boolean.getBoolean("golden.write")) {
-                Files.createDirectories(FOLDER);
+                Files.createDirectories(GOLDEN_DIRECTORY);
                 Files.writeString(file, text);
             }
             assertEquals(Files.readString(file), text.toString());
