--- a/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
@@ -49,7 +49,8 @@
     record AskerLeft(String requestId) implements Event {}
 
     /**
-     * A stream event was delivered to the requester; from now on the request cannot be restarted without the requester noticing.
+     * A stream event was delivered to the requester; from now on the request cannot be restarted without the requester
+     * noticing.
      *
      * @param requestId the request
      * @param attempt the attempt that produced it
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
@@ -12,8 +12,8 @@
 /**
  * Stores the explanations of the most recent requests.
  *
- * <p>Invariant: it holds at most {@link #CAPACITY} requests; the oldest are evicted first. Thread safe: one lock guards all
- * state, and no other lock is acquired while it is held.
+ * <p>Invariant: it holds at most {@link #CAPACITY} requests; the oldest are evicted first. Thread safe: one lock guards
+ * all state, and no other lock is acquired while it is held.
  */
 final class Explanations {
     private static final int CAPACITY = 500;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
@@ -161,10 +161,10 @@
     }
 
     private void apply(Event event, long nowMillis, Effects effects) {
-        if (event instanceof Event.CallerAsked asked) {
-            requests.receive(asked.request(), nowMillis, effects);
-        } else if (event instanceof Event.PeerAsked asked) {
-            requests.receive(asked.request(), nowMillis, effects);
+        if (event instanceof Event.CallerAsked requested) {
+            requests.receive(requested.request(), nowMillis, effects);
+        } else if (event instanceof Event.PeerAsked requested) {
+            requests.receive(requested.request(), nowMillis, effects);
         } else if (event instanceof Event.AskerLeft left) {
             requests.requesterLeft(left.requestId(), nowMillis, effects);
         } else if (event instanceof Event.StreamProgressed progressed) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
@@ -29,10 +29,10 @@
 /**
  * Drives each request from its claim and route through its attempts to its outcome.
  *
- * <p>Invariants: a request gets exactly one outcome, unless its requester has left; the outcome is {@code not run} only if
- * every attempt definitely did not run; a forwarded request is never forwarded again. Thread safe. Lock order: one
- * request's lock first, then the lock of one component (members, configurations, claims, router, explanations); a thread
- * never holds the locks of two requests.
+ * <p>Invariants: a request gets exactly one outcome, unless its requester has left; the outcome is {@code not run} only
+ * if every attempt definitely did not run; a forwarded request is never forwarded again. Thread safe. Lock order: one
+ * request's lock first, then the lock of one component (members, configurations, claims, router, explanations); a
+ * thread never holds the locks of two requests.
  */
 final class RequestFlow {
     /** How long a claimed call may run beyond its caller's deadline, so that its answer can still be stored. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
@@ -10,7 +10,8 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * The baseline policies that the scored policies are compared with: every target has the same weight, whatever its region.
+ * The baseline policies that the scored policies are compared with: every target has the same weight, whatever its
+ * region.
  *
  * <p>Invariant: only eligible targets and regions are chosen. Guarded by the router's lock.
  */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
@@ -1,7 +1,8 @@
 package org.rattanplank.core.route;
 
 /**
- * Outlier ejection of one target or region: excludes it for a while when it fails or is slow, and readmits it gradually.
+ * Outlier ejection of one target or region: excludes it for a while when it fails or is slow, and readmits it
+ * gradually.
  *
  * <p>Invariant: after an ejection the peer first gets one request at a time, and one more for each that succeeds, until
  * it has fully recovered. The ejection time doubles with each consecutive ejection, up to a bound. Guarded by the
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/LoadEstimate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/LoadEstimate.java
@@ -4,8 +4,9 @@
  * Estimates the load of one target or region: the last report, corrected by the requests that this host has started and
  * ended since.
  *
- * <p>Invariant: the estimate is never below this host's own requests in flight. Changes since the report are kept in a ring of at most
- * {@link #MAX_CHANGES}; older ones are assumed to be covered by the report. Guarded by the router's lock.
+ * <p>Invariant: the estimate is never below this host's own requests in flight. Changes since the report are kept in a
+ * ring of at most {@link #MAX_CHANGES}; older ones are assumed to be covered by the report. Guarded by the router's
+ * lock.
  */
 final class LoadEstimate {
     static final int MAX_CHANGES = 256;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Policy.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Policy.java
@@ -29,25 +29,25 @@
     }
 
     Policy(
-            double waitWeight,
-            double coldWeight,
-            double crossingWeight,
+            double queueWaitWeight,
+            double prefillWeight,
+            double crossRegionWeight,
             double openingGainMillis,
             double closingGainMillis) {
-        this(false, waitWeight, coldWeight, crossingWeight, openingGainMillis, closingGainMillis);
+        this(false, queueWaitWeight, prefillWeight, crossRegionWeight, openingGainMillis, closingGainMillis);
     }
 
     Policy(
             boolean baseline,
-            double waitWeight,
-            double coldWeight,
-            double crossingWeight,
+            double queueWaitWeight,
+            double prefillWeight,
+            double crossRegionWeight,
             double openingGainMillis,
             double closingGainMillis) {
         this.baseline = baseline;
-        this.queueWaitWeight = waitWeight;
-        this.prefillWeight = coldWeight;
-        this.crossRegionWeight = crossingWeight;
+        this.queueWaitWeight = queueWaitWeight;
+        this.prefillWeight = prefillWeight;
+        this.crossRegionWeight = crossRegionWeight;
         this.openingGainMillis = openingGainMillis;
         this.closingGainMillis = closingGainMillis;
     }
@@ -77,7 +77,8 @@
     }
 
     /**
-     * Returns whether this is a baseline. A baseline has no admission control, ejection, spillover gate or retry budget.
+     * Returns whether this is a baseline. A baseline has no admission control, ejection, spillover gate or retry
+     * budget.
      *
      * @return whether the policy serves only as a comparison
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
@@ -12,8 +12,8 @@
  * Assigns prompts with a common prefix to a target: the one that the prefix was last sent to, else the one that
  * rendezvous hashing assigns, so that hosts agree without communication.
  *
- * <p>Invariant: at most {@link #MAX_PREFIXES} prefixes are held; the least recently used are evicted first. Guarded by the
- * router's lock.
+ * <p>Invariant: at most {@link #MAX_PREFIXES} prefixes are held; the least recently used are evicted first. Guarded by
+ * the router's lock.
  */
 final class PrefixAffinity {
     static final int MAX_PREFIXES = 16_384;
@@ -52,7 +52,8 @@
     }
 
     /**
-     * Returns the first two selectable targets in rendezvous order, in one pass that tests only targets that rank high enough.
+     * Returns the first two selectable targets in rendezvous order, in one pass that tests only targets that rank high
+     * enough.
      *
      * @param targets the targets
      * @param seeds the seeds of the targets, in the same order
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegionState.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegionState.java
@@ -10,8 +10,8 @@
 /**
  * The router's view of one other region.
  *
- * <p>Invariant: after the region was unreachable or without entry hosts, its usable capacity grows from a small share at
- * a bounded rate, because its prefix caches are cold. Guarded by the router's lock.
+ * <p>Invariant: after the region was unreachable or without entry hosts, its usable capacity grows from a small share
+ * at a bounded rate, because its prefix caches are cold. Guarded by the router's lock.
  */
 final class RemoteRegionState {
     /** Additional latency of a request that another region serves, there and back. */
@@ -21,8 +21,8 @@
     static final long MAX_SUMMARY_AGE_MILLIS = 15_000;
 
     /**
-     * Weight of each own request until a summary covers it. The other hosts of this region see the same summary; without
-     * the weight all of them would send their spillover to the same idle region at once.
+     * Weight of each own request until a summary covers it. The other hosts of this region see the same summary;
+     * without the weight all of them would send their spillover to the same idle region at once.
      */
     static final int OWN_SEND_WEIGHT = 2;
 
@@ -35,11 +35,11 @@
     private RemoteRegion latest;
     private Ramp warmUpShare;
 
-    RemoteRegionState(RemoteRegion known, long nowMillis) {
-        this.name = known.region();
+    RemoteRegionState(RemoteRegion initial, long nowMillis) {
+        this.name = initial.region();
         this.latest = new RemoteRegion(name, List.of(), Map.of());
         this.warmUpShare = Ramp.at(1, WARM_UP_PER_SECOND, nowMillis);
-        update(known, nowMillis, false);
+        update(initial, nowMillis, false);
     }
 
     void update(RemoteRegion newest, long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegionTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/RemoteRegionTable.java
@@ -13,8 +13,8 @@
 /**
  * The other regions, and the configured capacity share of each region.
  *
- * <p>Invariant: an unreachable region is kept without hosts, so that its return is detected; at most
- * {@link #MAX_REGIONS} are held. A capacity share changes by at most {@link #SHARE_CHANGE_PER_SECOND}. Guarded by the router's
+ * <p>Invariant: an unreachable region is kept without hosts, so that its return is detected; at most {@link
+ * #MAX_REGIONS} are held. A capacity share changes by at most {@link #SHARE_CHANGE_PER_SECOND}. Guarded by the router's
  * lock.
  */
 final class RemoteRegionTable {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
@@ -25,8 +25,8 @@
 /**
  * Admits requests and chooses the target, or the entry host of another region, for each attempt.
  *
- * <p>Invariant: a target that is leaving, that was already tried, or whose region the request's residency does not allow
- * is never chosen. Thread safe: one lock guards all state, and no other lock is acquired while it is held.
+ * <p>Invariant: a target that is leaving, that was already tried, or whose region the request's residency does not
+ * allow is never chosen. Thread safe: one lock guards all state, and no other lock is acquired while it is held.
  */
 public final class Router {
     /** Maximum number of concurrent attempts; further requests are rejected, so that memory stays bounded. */
@@ -308,8 +308,8 @@
     }
 
     /**
-     * Returns the work ahead of a request if the load were spread evenly over this region's targets, without a queue wait
-     * if another region has capacity for it.
+     * Returns the work ahead of a request if the load were spread evenly over this region's targets, without a queue
+     * wait if another region has capacity for it.
      */
     private Backlog backlog(Request request, long nowMillis) {
         Option<ServiceTargets> serviceTargets = targetTable.service(request.service());
@@ -343,9 +343,9 @@
         return false;
     }
 
-    private static Routing.Refuse reject(Request request, Refusal refusal) {
-        Failure failure = Failure.of(Step.ADMIT, request.service(), refusal.reason());
-        return new Routing.Refuse(failure, refusal.retryAfterMillis(), List.of());
+    private static Routing.Refuse reject(Request request, Refusal rejection) {
+        Failure failure = Failure.of(Step.ADMIT, request.service(), rejection.reason());
+        return new Routing.Refuse(failure, rejection.retryAfterMillis(), List.of());
     }
 
     private Attempt estimateAttempt(Request request, Route route, long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
@@ -230,7 +230,9 @@
             }
         }
 
-        /** Returns the decode rate of this region's first target; the engines of other regions are assumed to match it. */
+        /**
+         * Returns the decode rate of this region's first target; the engines of other regions are assumed to match it.
+         */
         private double typicalTokensPerSecond() {
             return service.filter(serviceTargets -> serviceTargets.size() > 0)
                     .map(serviceTargets -> serviceTargets.targets()[0].tokensPerSecond())
@@ -255,7 +257,9 @@
             return fallback();
         }
 
-        /** Routes to the first candidate that is expected to meet the deadline, and rejects the request if neither is. */
+        /**
+         * Routes to the first candidate that is expected to meet the deadline, and rejects the request if neither is.
+         */
         private Routing chooseFirstInTime(ScoredRoute first, Option<ScoredRoute> second) {
             Option<Refusal> rejection = admission.late(request, first.backlog(), nowMillis);
             if (rejection.isEmpty()) {
@@ -271,8 +275,8 @@
         }
 
         /**
-         * Routes without a scored candidate: to another region that may serve the request, even if its load is unknown, else
-         * to the least loaded target, even if it is ejected or warming up. Rejects the request if there is none.
+         * Routes without a scored candidate: to another region that may serve the request, even if its load is unknown,
+         * else to the least loaded target, even if it is ejected or warming up. Rejects the request if there is none.
          */
         private Routing fallback() {
             Option<Route> route = firstOtherRegion().orElse(this::leastLoadedTarget);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ServiceTargets.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ServiceTargets.java
@@ -6,8 +6,8 @@
 /**
  * The targets of one service in this region, ordered by name, with the statistics of the service.
  *
- * <p>Invariant: at most half of the targets are ejected at once. The totals over all targets are recomputed at most every
- * {@link #REFRESH_MILLIS} and corrected by this host's own requests in between. Guarded by the router's lock.
+ * <p>Invariant: at most half of the targets are ejected at once. The totals over all targets are recomputed at most
+ * every {@link #REFRESH_MILLIS} and corrected by this host's own requests in between. Guarded by the router's lock.
  */
 final class ServiceTargets {
     static final long REFRESH_MILLIS = 100;
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Excludes the targets that have not loaded the wanted version, unless none has: while the first target is still loading, an
-     * answer of an old version is preferred to none.
+     * Excludes the targets that have not loaded the wanted version, unless none has: while the first target is still
+     * loading, an answer of an old version is preferred to none.
      */
     void filterByVersion() {
         boolean isLoadedSomewhere = false;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
@@ -7,8 +7,8 @@
 /**
  * The router's view of one target.
  *
- * <p>Invariant: a target that is no longer listed, or that reports that it is leaving, never accepts requests again; when
- * its name is listed again, a new object with an empty cache estimate is created. Guarded by the router's lock.
+ * <p>Invariant: a target that is no longer listed, or that reports that it is leaving, never accepts requests again;
+ * when its name is listed again, a new object with an empty cache estimate is created. Guarded by the router's lock.
  */
 final class Target {
     /** The number of concurrent requests assumed for a target before its first load report. */
@@ -35,11 +35,11 @@
     private boolean acceptsRequests = true;
     private boolean servesWantedVersion = true;
 
-    private Target(String name, String service, Ramp warmth) {
+    private Target(String name, String service, Ramp warmUpShare) {
         this.name = name;
         this.service = service;
         this.seed = Rendezvous.mix(name.hashCode());
-        this.warmUpShare = warmth;
+        this.warmUpShare = warmUpShare;
     }
 
     static Target warm(String name, String service, long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/TargetTable.java
@@ -13,8 +13,8 @@
 /**
  * The targets of this region by name and by service.
  *
- * <p>Invariant: it holds the listed targets and no others, and one entry for each service that is listed or configured. A
- * target that is added to an already known service starts cold. Guarded by the router's lock.
+ * <p>Invariant: it holds the listed targets and no others, and one entry for each service that is listed or configured.
+ * A target that is added to an already existing service starts cold. Guarded by the router's lock.
  */
 final class TargetTable {
     private final Policy policy;
@@ -98,9 +98,9 @@
     }
 
     private Entry entryFor(ListedHost host, long nowMillis) {
-        Entry known = targets.get(host.name());
-        if (known != null && known.service().equals(host.service())) {
-            return known;
+        Entry existing = targets.get(host.name());
+        if (existing != null && existing.service().equals(host.service())) {
+            return existing;
         }
         boolean serviceIsKnown = services.containsKey(host.service());
         Target target = serviceIsKnown
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/WorkEstimate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/WorkEstimate.java
@@ -54,8 +54,8 @@
      * Records a request that completed successfully.
      *
      * <p>The queue wait of a request is not known, because engines run more urgent requests first. Subtracting an
-     * estimated queue wait from the duration would feed errors of that estimate back into itself; symptom: estimates that
-     * grow without bound under overload. So a request that queued can only lower the estimate.
+     * estimated queue wait from the duration would feed errors of that estimate back into itself; symptom: estimates
+     * that grow without bound under overload. So a request that queued can only lower the estimate.
      *
      * @param durationMillis the measured duration
      * @param queued whether the request had to queue
@@ -79,8 +79,9 @@
     }
 
     /**
-     * Returns the ratio of the measured to the expected duration, relative to the service's mean of that ratio. The ratio is
-     * boundedFraction and the mean is smoothed, so that a single slow answer does not make a target appear slow.
+     * Returns the ratio of the measured to the expected duration, relative to the service's mean of that ratio. The
+     * ratio is boundedFraction and the mean is smoothed, so that a single slow answer does not make a target appear
+     * slow.
      */
     double relativeSlowness(double durationMillis, double expectedMillis) {
         double ratio = Math.min(MAX_RATIO, durationMillis / Math.max(1, expectedMillis));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
@@ -33,7 +33,7 @@
     private final Node node = Node.of(new NodeIdentity("suva-1", 1, SUVA), Policy.COST, 1);
 
     @Test
-    void shouldAnswerWhenTargetGivesWholeAnswer() {
+    void shouldAnswerWhenTargetReturnsWholeAnswer() {
         configure();
         List<Action> started = node.handle(new Event.CallerAsked(draft("r1")), 20);
         Action.StartAttempt attempt = assertInstanceOf(Action.StartAttempt.class, started.get(0));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/EstimatePropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/EstimatePropertiesTest.java
@@ -11,12 +11,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What is believed of a target's load and cache, against what the target really has. */
+/** Compares the estimates of a target's load and prefix cache with the actual state. */
 class EstimatePropertiesTest {
 
-    /** With one host, however late its reports, the estimate is the target's true load. */
+    /** With a single sending host the estimate equals the actual load, however late the reports arrive. */
     @Property(tries = 200, seed = "42")
-    void shouldEqualTrueLoadWhenOnlyThisHostSends(@ForAll Random random) {
+    void shouldEqualActualLoadWhenOnlyThisHostSends(@ForAll Random random) {
         LoadEstimate estimate = new LoadEstimate();
         List<Integer> loadsByTime = new ArrayList<>();
         int load = 0;
@@ -56,7 +56,7 @@
     }
 
     @Example
-    void shouldDoubtBeliefWhenEventsAreMissing() {
+    void shouldReduceConfidenceWhenEventsAreMissing() {
         PrefixCacheEstimate cache = new PrefixCacheEstimate();
         cache.recordPrompt(List.of(1L, 2L), 1_000);
         assertEquals(1_000, cache.cachedTokens(List.of(1L, 2L), 1_000));
@@ -64,11 +64,11 @@
         cache.applyEvent(new CacheEvent("t", 5, List.of(), List.of()));
         assertEquals(500, cache.cachedTokens(List.of(1L, 2L), 1_000));
         cache.applyEvent(new CacheEvent("t", 6, List.of(), List.of(2L)));
-        assertTrue(cache.cachedTokens(List.of(1L, 2L), 1_000) < 500, "a removed prefix is not believed");
+        assertTrue(cache.cachedTokens(List.of(1L, 2L), 1_000) < 500, "a removed prefix is not cached");
     }
 
     @Example
-    void shouldForgetBeliefWhenTargetCountsItsEventsAnew() {
+    void shouldResetEstimateWhenEventNumbersRestart() {
         PrefixCacheEstimate cache = new PrefixCacheEstimate();
         cache.recordPrompt(List.of(1L, 2L), 1_000);
         cache.applyEvent(new CacheEvent("t", 50, List.of(), List.of()));
@@ -77,7 +77,7 @@
     }
 
     @Example
-    void shouldHoldBoundedPrefixesWhenAllAreNew() {
+    void shouldBoundPrefixesWhenAllAreNew() {
         PrefixAffinity affinity = new PrefixAffinity();
         Target target = Target.warm("t", "plank-serve", 0);
         for (long i = 0; i < 2L * PrefixAffinity.MAX_PREFIXES; i++) {
@@ -86,9 +86,9 @@
         assertEquals(PrefixAffinity.MAX_PREFIXES, affinity.prefixCount());
     }
 
-    /** A target that leaves moves only its own prefixes to others. */
+    /** When a target leaves, only the prefixes assigned to it move to other targets. */
     @Property(tries = 50, seed = "42")
-    void shouldMoveOnlyOwnPrefixesWhenTargetLeaves(@ForAll long key) {
+    void shouldMoveOnlyItsPrefixesWhenTargetLeaves(@ForAll long key) {
         Target[] targets = new Target[10];
         long[] seeds = new long[10];
         for (int i = 0; i < 10; i++) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -17,7 +17,7 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.request.WorkClass;
 
-/** Requests, targets and reports for the tests of routing. */
+/** Requests, targets and load reports for the routing tests. */
 final class Fixtures {
     static final Place SUVA = Place.of("suva", "suva-hall");
     static final String SERVICE = "plank-serve";
@@ -84,8 +84,8 @@
         return new Configuration(1, "", Map.of(), Map.of(), Map.of(), shares, Set.of());
     }
 
-    static Eligibility eligibleAnywhere(Set<String> tried) {
-        return new Eligibility(ANYWHERE, true, tried);
+    static Eligibility eligibleAnywhere(Set<String> triedPeers) {
+        return new Eligibility(ANYWHERE, true, triedPeers);
     }
 
     static Request request(String id) {
@@ -111,13 +111,13 @@
                 false);
     }
 
-    /** Chooses, starts and ends one request, and returns where it went. */
-    static Route serve(Router router, Request request, AttemptResult result, long tookMillis, long nowMillis) {
+    /** Routes, starts and ends one request, and returns its route. */
+    static Route serve(Router router, Request request, AttemptResult result, long durationMillis, long nowMillis) {
         Routing routing = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
         Route route = ((Routing.Go) routing).route();
         router.started(request, route, nowMillis);
-        router.ended(request, route, result, tookMillis, nowMillis + tookMillis);
-        router.finished(request, nowMillis + tookMillis);
+        router.ended(request, route, result, durationMillis, nowMillis + durationMillis);
+        router.finished(request, nowMillis + durationMillis);
         return route;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What holds for every policy, whatever happened before. */
+/** Properties that hold for every policy after any sequence of events. */
 class RouterPropertiesTest {
     private static final int STEPS = 300;
     private static final String OTHER = "crew-desk";
@@ -36,14 +36,14 @@
     }
 
     @Property(tries = 50, seed = "42")
-    void shouldDecideAlikeWhenSeedAndEventsAreTheSame(@ForAll Policy policy, @ForAll long seed) {
+    void shouldDecideDeterministicallyWhenSeedAndEventsAreEqual(@ForAll Policy policy, @ForAll long seed) {
         List<Routing> first = decisions(policy, seed);
         assertEquals(first, decisions(policy, seed));
     }
 
-    /** At most half of the targets are left out, however many fail, so that some are always tried. */
+    /** At most half of the targets are ejected, however many fail, so that some always receive requests. */
     @Property(tries = 100, seed = "42")
-    void shouldKeepHalfInWhenAllFail(@ForAll @IntRange(min = 1, max = 12) int targets, @ForAll Random random) {
+    void shouldKeepHalfAvailableWhenAllFail(@ForAll @IntRange(min = 1, max = 12) int targets, @ForAll Random random) {
         ServiceTargets service = new ServiceTargets(Policy.COST);
         Target[] all = new Target[targets];
         for (int i = 0; i < targets; i++) {
@@ -53,17 +53,17 @@
         for (int i = 0; i < 100; i++) {
             service.eject(all[random.nextInt(targets)], i * 10L);
             long nowMillis = i * 10L;
-            long out = List.of(all).stream()
+            long ejected = List.of(all).stream()
                     .filter(target -> target.ejection.isEjected(nowMillis))
                     .count();
-            assertTrue(out * 2 <= targets);
+            assertTrue(ejected * 2 <= targets);
         }
         Target[] fewer = java.util.Arrays.copyOf(all, (targets + 1) / 2);
         service.targets(fewer, 1_000);
-        long out = List.of(fewer).stream()
+        long ejected = List.of(fewer).stream()
                 .filter(target -> target.ejection.isEjected(1_000))
                 .count();
-        assertTrue(out * 2 <= fewer.length);
+        assertTrue(ejected * 2 <= fewer.length);
     }
 
     @Example
@@ -84,7 +84,7 @@
         return decisions;
     }
 
-    /** A random session that checks each decision. */
+    /** A random sequence of events that checks each routing decision. */
     private static final class Session {
         private final Router router;
         private final Random random;
@@ -114,35 +114,36 @@
             return List.of();
         }
 
-        private static boolean runsOther(String target) {
+        private static boolean servesOther(String target) {
             return target.equals("t5") || target.equals("t6") || target.equals("t7");
         }
 
         private void updateList(long nowMillis) {
-            List<ListedHost> now = Fixtures.targets(8).stream()
-                    .map(target -> runsOther(target.name()) ? Fixtures.ofService(target, OTHER) : target)
+            List<ListedHost> targets = Fixtures.targets(8).stream()
+                    .map(target -> servesOther(target.name()) ? Fixtures.ofService(target, OTHER) : target)
                     .filter(target -> random.nextInt(4) > 0)
                     .toList();
             Set<String> names = new HashSet<>();
-            now.forEach(target -> names.add(target.name()));
-            // A target that goes from the list and comes back is a new one, which is not leaving.
+            targets.forEach(target -> names.add(target.name()));
+            // A target that is removed from the list and listed again is a new one, which is not leaving.
             leaving.removeIf(name -> !names.contains(name));
             listed.clear();
             listed.addAll(names);
-            router.targets(now, nowMillis);
+            router.targets(targets, nowMillis);
         }
 
         private void reportLoad(long nowMillis) {
             String target = "t" + random.nextInt(8);
-            boolean leaves = random.nextInt(6) == 0;
-            if (leaves && listed.contains(target)) {
+            boolean isLeaving = random.nextInt(6) == 0;
+            if (isLeaving && listed.contains(target)) {
                 leaving.add(target);
             }
-            int runs = random.nextInt(9);
+            int runningCount = random.nextInt(9);
             int queued = random.nextInt(5);
             List<String> models = List.of("plank@1");
             router.reported(
-                    new TargetLoad(target, Fixtures.SERVICE, models, runs, queued, 8, 40, 9_000, leaves, nowMillis),
+                    new TargetLoad(
+                            target, Fixtures.SERVICE, models, runningCount, queued, 8, 40, 9_000, isLeaving, nowMillis),
                     nowMillis);
         }
 
@@ -162,26 +163,26 @@
         }
 
         private Routing chooseRoute(long nowMillis) {
-            Request drawn = Fixtures.request(
+            Request base = Fixtures.request(
                     "r" + requests++,
                     "a" + random.nextInt(3),
                     WorkClass.values()[random.nextInt(3)],
                     nowMillis + random.nextInt(20_000),
                     List.of((long) random.nextInt(5), 100L + random.nextInt(20)));
-            Request request = random.nextInt(3) == 0 ? Fixtures.ofService(drawn, OTHER) : drawn;
-            Set<String> tried = new HashSet<>();
+            Request request = random.nextInt(3) == 0 ? Fixtures.ofService(base, OTHER) : base;
+            Set<String> triedPeers = new HashSet<>();
             for (int i = random.nextInt(6); i > 0; i--) {
-                tried.add("t" + random.nextInt(8));
+                triedPeers.add("t" + random.nextInt(8));
             }
             if (random.nextBoolean()) {
-                tried.add("lautoka-1");
+                triedPeers.add("lautoka-1");
             }
             Set<String> allowed = random.nextInt(4) == 0 ? Set.of("lautoka") : Fixtures.ANYWHERE;
-            boolean mayCross = random.nextBoolean();
+            boolean mayLeaveRegion = random.nextBoolean();
             router.admit(request, nowMillis);
-            Routing routing = router.choose(request, new Eligibility(allowed, mayCross, tried), nowMillis);
+            Routing routing = router.choose(request, new Eligibility(allowed, mayLeaveRegion, triedPeers), nowMillis);
             if (routing instanceof Routing.Go go) {
-                checkRoute(request, go.route(), allowed, mayCross, tried);
+                checkRoute(request, go.route(), allowed, mayLeaveRegion, triedPeers);
                 router.started(request, go.route(), nowMillis);
                 running.add(request);
             }
@@ -190,14 +191,14 @@
         }
 
         private void checkRoute(
-                Request request, Route route, Set<String> allowed, boolean mayCross, Set<String> tried) {
-            assertFalse(tried.contains(route.peer()), "tried before");
+                Request request, Route route, Set<String> allowed, boolean mayLeaveRegion, Set<String> triedPeers) {
+            assertFalse(triedPeers.contains(route.peer()), "tried before");
             if (route instanceof Route.ToHost host) {
-                assertTrue(mayCross && allowed.contains(host.region()), "crossing where it may not");
+                assertTrue(mayLeaveRegion && allowed.contains(host.region()), "left the region without permission");
             } else {
                 assertTrue(allowed.contains("suva"), "served outside its residency");
                 assertTrue(listed.contains(route.peer()), "not listed");
-                assertEquals(request.service().equals(OTHER), runsOther(route.peer()), "runs another service");
+                assertEquals(request.service().equals(OTHER), servesOther(route.peer()), "runs another service");
                 assertFalse(leaving.contains(route.peer()), "leaving");
             }
         }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
@@ -21,72 +21,74 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class RouterTest {
-    private static final List<Long> MANUAL = List.of(11L, 12L, 13L);
+    private static final List<Long> PREFIXES = List.of(11L, 12L, 13L);
 
     @Nested
     class Choose {
         @Test
-        void shouldReturnToCachedTargetWhenPrefixWasSeen() {
+        void shouldReuseTargetWhenPrefixIsCached() {
             Router router = Fixtures.router(20);
-            Request first = Fixtures.request("a", "floor", WorkClass.DRAFT, 60_000, MANUAL);
+            Request first = Fixtures.request("a", "floor", WorkClass.DRAFT, 60_000, PREFIXES);
             Route route = Fixtures.serve(router, first, Fixtures.ANSWERED, 1_000, 10);
             for (int i = 0; i < 10; i++) {
-                Request next = Fixtures.request("b" + i, "floor", WorkClass.DRAFT, 60_000, MANUAL);
+                Request next = Fixtures.request("b" + i, "floor", WorkClass.DRAFT, 60_000, PREFIXES);
                 assertEquals(route, Fixtures.serve(router, next, Fixtures.ANSWERED, 1_000, 2_000 + i));
             }
         }
 
         @Test
-        void shouldLeavePopularPrefixToOthersWhenItsTargetIsFull() {
+        void shouldSpreadPopularPrefixWhenItsTargetIsFull() {
             Router router = Fixtures.router(4);
             for (int i = 0; i < 10; i++) {
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
             }
             Map<String, Integer> loads = new TreeMap<>();
             for (int i = 0; i < 32; i++) {
-                Request request = Fixtures.request("r" + i, "floor", WorkClass.DRAFT, 60_000, MANUAL);
-                Routing.Go go = chooseRoute(router, request, 5_000);
-                router.started(request, go.route(), 5_000);
-                loads.merge(go.route().peer(), 1, Integer::sum);
+                Request request = Fixtures.request("r" + i, "floor", WorkClass.DRAFT, 60_000, PREFIXES);
+                Routing.Go dispatch = chooseRoute(router, request, 5_000);
+                router.started(request, dispatch.route(), 5_000);
+                loads.merge(dispatch.route().peer(), 1, Integer::sum);
             }
             assertTrue(loads.size() > 2, "the first two in rendezvous order alone would have 16 each: " + loads);
             assertTrue(loads.values().stream().allMatch(load -> load <= 1.5 * (8 + 1)), "bounded load: " + loads);
         }
 
         /**
-         * Symptom: hosts sent all work to one target for as long as its report was old. Sequence: a report shows a target
-         * idle, the next report is late, every request meanwhile picks the idle one. Cause: own sends since the report
-         * were not counted.
+         * Guards against sending all requests to one target while its load report is outdated. A report shows a target
+         * as idle, the next report is late, and every request picks that target unless the own requests since the
+         * report are counted.
          */
         @Test
-        void shouldCountOwnSendsWhenReportsAreLate() {
+        void shouldCountOwnRequestsWhenReportsAreLate() {
             Router router = Fixtures.router(2);
             router.reported(Fixtures.load("t1", 7, 100), 100);
             int toIdle = 0;
             for (int i = 0; i < 16; i++) {
                 Request request = Fixtures.request("r" + i);
-                Routing.Go go = chooseRoute(router, request, 200);
-                router.started(request, go.route(), 200);
-                toIdle += go.route().peer().equals("t0") ? 1 : 0;
+                Routing.Go dispatch = chooseRoute(router, request, 200);
+                router.started(request, dispatch.route(), 200);
+                toIdle += dispatch.route().peer().equals("t0") ? 1 : 0;
             }
-            assertTrue(toIdle >= 9 && toIdle <= 14, "sent to the idle one: " + toIdle);
+            assertTrue(toIdle >= 9 && toIdle <= 14, "sent to the idle target: " + toIdle);
         }
 
         @Test
-        void shouldRefuseAtOnceWhenBacklogIsLongerThanDeadline() {
+        void shouldRejectAtOnceWhenBacklogExceedsDeadline() {
             Router router = Fixtures.router(1);
             for (int i = 0; i < 10; i++) {
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
             }
             router.reported(Fixtures.load("t0", 40, 100), 100);
-            Request hasty = Fixtures.request("r", "floor", WorkClass.INTERACTIVE, 5_100, List.of());
-            Routing.Refuse refuse = assertInstanceOf(
-                    Routing.Refuse.class, router.choose(hasty, Fixtures.eligibleAnywhere(Set.of()), 100));
-            assertTrue(refuse.retryAfterMillis() >= 10_000, "33 runs of 4 s on 8 slots: " + refuse.retryAfterMillis());
+            Request urgent = Fixtures.request("r", "floor", WorkClass.INTERACTIVE, 5_100, List.of());
+            Routing.Refuse rejection = assertInstanceOf(
+                    Routing.Refuse.class, router.choose(urgent, Fixtures.eligibleAnywhere(Set.of()), 100));
+            assertTrue(
+                    rejection.retryAfterMillis() >= 10_000,
+                    "33 runs of 4 s on 8 slots: " + rejection.retryAfterMillis());
         }
 
         @Test
-        void shouldServeOldVersionOnlyWhenNoTargetHasWantedOne() {
+        void shouldServeOldVersionOnlyWhenNoTargetHasWantedVersion() {
             Router router = Fixtures.router(3);
             var service = new org.rattanplank.core.intent.Service(Fixtures.SERVICE, true, "plank@2", true, true);
             router.configured(
@@ -109,7 +111,7 @@
         }
 
         @Test
-        void shouldLeaveRegionAndReturnWhenHomeIsFullAndThenIdle() {
+        void shouldSpillOverAndReturnWhenHomeIsFullAndThenIdle() {
             Router router = Fixtures.router(2);
             for (int i = 0; i < 10; i++) {
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
@@ -118,19 +120,20 @@
             assertEquals(0, spilloverFraction(router, 5_100, 50), 0, "an idle home keeps its work");
             router.reported(Fixtures.load("t0", 30, 5_200), 5_200);
             router.reported(Fixtures.load("t1", 30, 5_200), 5_200);
-            assertTrue(spilloverFraction(router, 5_300, 50) > 0.8, "a home with a queue of 11 s sends work away");
+            assertTrue(spilloverFraction(router, 5_300, 50) > 0.8, "a home with a queue of 11 s spills over");
             router.reported(Fixtures.load("t0", 2, 5_400), 5_400);
             router.reported(Fixtures.load("t1", 2, 5_400), 5_400);
             spilloverFraction(router, 5_500, 30);
-            assertEquals(0, spilloverFraction(router, 5_600, 50), 0, "an idle home takes its work back");
+            assertEquals(0, spilloverFraction(router, 5_600, 50), 0, "an idle home serves its work again");
         }
 
         /**
-         * Symptom: a region that came back was slow again at once. Sequence: its links break and heal, its summary shows
-         * it idle, every host sends it all it has. Cause: its caches were cold, and nothing bounded the rate.
+         * Guards against overloading a region that has just become reachable again. Its links fail and recover, its
+         * summary shows it as idle, and every host spills over to it while its prefix caches are cold, unless its
+         * usable capacity grows at a bounded rate.
          */
         @Test
-        void shouldFillReturningRegionSlowlyWhenItsCachesAreCold() {
+        void shouldFillReachableRegionGraduallyWhenItsCachesAreCold() {
             Router router = Fixtures.router(0);
             router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
             router.regions(List.of(), 1_000);
@@ -141,7 +144,7 @@
         }
 
         @Test
-        void shouldMoveToNewShareGraduallyWhenItChanges() {
+        void shouldApproachNewShareGraduallyWhenItChanges() {
             RemoteRegionTable table = new RemoteRegionTable();
             table.applyConfiguration(Fixtures.shares(Map.of("suva", 1.0)), 0);
             table.applyConfiguration(Fixtures.shares(Map.of("suva", 0.2)), 1_000);
@@ -155,34 +158,34 @@
     @Nested
     class Ended {
         @Test
-        void shouldLetTargetBackOneRequestAtATimeWhenItHadFailed() {
+        void shouldReadmitTargetOneRequestAtATimeWhenItHadFailed() {
             Router router = Fixtures.router(4);
             failUntilEjected(router, "t2");
-            assertFalse(routeRequests(router, "x", 900, 40).contains("t2"), "left out");
-            List<String> back = routeRequests(router, "y", 10_000, 40);
-            assertEquals(1, back.stream().filter("t2"::equals).count(), "one probe while it has not answered");
+            assertFalse(routeRequests(router, "x", 900, 40).contains("t2"), "ejected");
+            List<String> peers = routeRequests(router, "y", 10_000, 40);
+            assertEquals(1, peers.stream().filter("t2"::equals).count(), "one probe while it has not answered");
         }
 
         @Test
-        void shouldLeaveOutOnlySlowTargetWhenOthersKeepTheirPace() {
+        void shouldEjectOnlySlowTargetWhenOthersAreFast() {
             Router router = Fixtures.router(4);
             for (int i = 0; i < 80; i++) {
                 Request request = Fixtures.request("r" + i);
                 Route route = new Route.ToTarget("t" + i % 4);
-                long took = i % 4 == 1 && i > 40 ? 30_000 : 3_000;
+                long durationMillis = i % 4 == 1 && i > 40 ? 30_000 : 3_000;
                 router.started(request, route, 10);
-                router.ended(request, route, Fixtures.ANSWERED, took, 20);
+                router.ended(request, route, Fixtures.ANSWERED, durationMillis, 20);
             }
             Set<String> used = new HashSet<>(routeRequests(router, "x", 30, 60));
             assertEquals(Set.of("t0", "t2", "t3"), used);
         }
 
         /**
-         * Symptom: the first target to answer was left out as slow. Sequence: nothing is known of run times, so next to
-         * nothing is expected; the first answer takes seconds. Cause: a time was compared with no expectation.
+         * Guards against ejecting the first target that answers as slow. Without samples the expected run time is near
+         * zero, so a first answer after seconds must not be compared with it.
          */
         @Test
-        void shouldLeaveNobodyOutWhenFirstAnswersTeachTheRunTime() {
+        void shouldEjectNoTargetWhenFirstAnswersProvideSamples() {
             Router router = Fixtures.router(2);
             router.reported(new TargetLoad("t0", Fixtures.SERVICE, List.of(), 0, 0, 8, 0, 0, false, 5), 5);
             for (int i = 0; i < 8; i++) {
@@ -194,28 +197,28 @@
         }
 
         /**
-         * Symptom: a region with room got no work from here. Sequence: its hosts refuse three requests of one account that
-         * is over its share. Cause: refusals counted as failures of the region.
+         * Guards against ejecting a region that has capacity. Its hosts reject several requests of one client account
+         * that is over its share; rejections must not count as failures of the region.
          */
         @Test
-        void shouldKeepRegionInWhenItRefusesSingleRequests() {
+        void shouldNotEjectRegionWhenItRejectsSingleRequests() {
             Router router = Fixtures.router(0);
             router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
-            AttemptResult refusal =
+            AttemptResult rejection =
                     new AttemptResult.NotRun(Failure.of(Step.ADMIT, "", "the account is over its fair share"), 5_000);
             for (int i = 0; i < 2 * Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("r" + i);
                 Route route = new Route.ToHost("lautoka-1", "lautoka");
                 router.started(request, route, 10);
-                router.ended(request, route, refusal, 250, 260);
+                router.ended(request, route, rejection, 250, 260);
             }
-            Routing.Go go = chooseRoute(router, Fixtures.request("next"), 400);
-            assertEquals("eligible", go.candidates().get(0).verdict());
+            Routing.Go dispatch = chooseRoute(router, Fixtures.request("next"), 400);
+            assertEquals("eligible", dispatch.candidates().get(0).verdict());
         }
 
-        /** A target that asks for a pause is not at fault: it is left alone for that time and not longer. */
+        /** A target that asks for a pause has not failed: it gets no requests for that time, and not longer. */
         @Test
-        void shouldPauseTargetWhenItSaysWhenToComeBack() {
+        void shouldPauseTargetWhenItReturnsRetryAfter() {
             Router router = Fixtures.router(2);
             AttemptResult busy = new AttemptResult.NotRun(Failure.of(Step.SEND, "", "no room"), 1_500);
             String peer =
@@ -228,12 +231,12 @@
     @Nested
     class Finished {
         /**
-         * Symptom: a silent target looked idle and got more and more requests. Sequence: it takes requests and never
-         * answers; each is given up at its deadline, so its load falls. Cause: given-up attempts did not count as
+         * Guards against sending more and more requests to an unresponsive target. It accepts requests and never
+         * answers; each is abandoned at its deadline, so its load estimate falls unless abandoned attempts count as
          * failures.
          */
         @Test
-        void shouldLeaveOutSilentTargetWhenItsRequestsPassTheirDeadlines() {
+        void shouldEjectUnresponsiveTargetWhenItsRequestsPassTheirDeadlines() {
             Router router = Fixtures.router(4);
             for (int i = 0; i < Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("s" + i, "floor", WorkClass.INTERACTIVE, 1_000, List.of());
@@ -244,7 +247,7 @@
         }
 
         @Test
-        void shouldForgetLoadWhenCallerCancels() {
+        void shouldReleaseLoadWhenCallerCancels() {
             Router router = Fixtures.router(1);
             for (int i = 0; i < 200; i++) {
                 Request request = Fixtures.request("c" + i);
@@ -258,7 +261,7 @@
 
     @Nested
     class MayRetry {
-        /** Symptom: attempts grew to several times the requests. Cause: everything failed, and every failure retried. */
+        /** Guards against a retry storm: when all requests fail, retries must not multiply the attempts. */
         @Test
         void shouldBoundAttemptsWhenEverythingFails() {
             Router router = Fixtures.router(10);
@@ -291,7 +294,7 @@
         }
     }
 
-    /** Starts so many requests without ending them, and returns where they went. */
+    /** Starts the given number of requests without ending them, and returns the peers that they were sent to. */
     private static List<String> routeRequests(Router router, String prefix, long nowMillis, int count) {
         List<String> peers = new ArrayList<>();
         List<Request> started = new ArrayList<>();
@@ -307,24 +310,25 @@
     }
 
     private static double spilloverFraction(Router router, long nowMillis, int count) {
-        int away = 0;
+        int spilledOver = 0;
         for (int i = 0; i < count; i++) {
-            away += chooseRoute(router, Fixtures.request("s" + i), nowMillis).route() instanceof Route.ToHost ? 1 : 0;
+            spilledOver +=
+                    chooseRoute(router, Fixtures.request("s" + i), nowMillis).route() instanceof Route.ToHost ? 1 : 0;
         }
-        return away / (double) count;
+        return spilledOver / (double) count;
     }
 
-    /** Sends requests away until the region takes no more as one with known room. */
+    /** Sends requests until the other region has no known capacity left, and returns how many were sent. */
     private static int sendUntilFull(Router router, String prefix, long nowMillis) {
         List<Request> sent = new ArrayList<>();
         while (sent.size() < 100) {
             Request request = Fixtures.request(prefix + sent.size());
-            Routing.Go go = chooseRoute(router, request, nowMillis);
-            if (go.candidates().stream()
+            Routing.Go dispatch = chooseRoute(router, request, nowMillis);
+            if (dispatch.candidates().stream()
                     .anyMatch(candidate -> candidate.verdict().equals("last resort"))) {
                 break;
             }
-            router.started(request, go.route(), nowMillis);
+            router.started(request, dispatch.route(), nowMillis);
             sent.add(request);
         }
         sent.forEach(request -> router.finished(request, nowMillis));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -15,7 +15,7 @@
 class ClaimSessionTest {
 
     @Test
-    void shouldHoldEachDataCentresHostsInOneViewWhenStarted() {
+    void shouldFormOneViewPerDataCentreWhenStarted() {
         Session session = Koro.startWithTranscript();
         for (String host : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2", "labasa-1", "labasa-2")) {
             assertEquals(2, session.node(host).status().viewNumber(), host);
@@ -24,12 +24,11 @@
     }
 
     /*
-     * Symptom: a caller is told "not run", repeats, and finds two bookings. Sequence: the connection to the target
-     * breaks after the booking was sent; the host reports the broken connection as a refusal. Cause: a lost answer taken
-     * for proof that nothing ran.
+     * Guards against reporting "not run" for a call that may have run, which leads to a duplicate booking on retry: the
+     * connection to the target breaks after the booking was sent, and the lost answer is treated as a rejection.
      */
     @Test
-    void shouldEndUnknownWhenAnswerOfBookingIsLost() {
+    void shouldEndAsUnknownWhenAnswerOfBookingIsLost() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.lost("desk-suva"));
@@ -40,7 +39,7 @@
     }
 
     @Test
-    void shouldKeepAnswerWhenBookingIsRepeatedAtOtherHost() {
+    void shouldReturnStoredAnswerWhenBookingIsRepeatedAtOtherHost() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.whole("seal 7"));
@@ -63,12 +62,11 @@
     }
 
     /*
-     * Symptom: a joined caller is told "not run" although the call that it joined runs. Sequence: a key is repeated
-     * while its first call runs; the second caller's deadline passes first. Cause: a request without an attempt of its
-     * own taken for one that did not run.
+     * Guards against reporting "not run" to a caller that joined a running call: a key is repeated while its first call
+     * runs, and the second caller's deadline passes first. The joined request has no attempt of its own.
      */
     @Test
-    void shouldNotSayNotRunWhenDeadlineOfJoinedCallerPasses() {
+    void shouldNotReportNotRunWhenDeadlineOfJoinedCallerPasses() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
@@ -77,7 +75,7 @@
     }
 
     @Test
-    void shouldRunBookingAtHomeDataCentreWhenAskedElsewhere() {
+    void shouldRunBookingInHomeDataCentreWhenReceivedElsewhere() {
         Session session = Koro.start();
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
@@ -86,7 +84,7 @@
     }
 
     @Test
-    void shouldTryOtherHomeHostWhenTheFirstIsLeaving() {
+    void shouldTryOtherHomeHostWhenFirstIsDraining() {
         Session session = Koro.start();
         session.request("suva-1", Koro.draft(session, "r0", "suva"));
         session.handleEvent("suva-1", new Event.DrainAsked());
@@ -97,10 +95,10 @@
     }
 
     @Test
-    void shouldTellWhenToComeBackWhenHomeOfKeyIsCutOff() {
+    void shouldReturnRetryAfterWhenHomeOfKeyIsPartitioned() {
         Session session = Koro.start();
-        for (String away : List.of("suva-1", "suva-2")) {
-            session.partition("lautoka-1", away).partition("lautoka-2", away);
+        for (String remoteHost : List.of("suva-1", "suva-2")) {
+            session.partition("lautoka-1", remoteHost).partition("lautoka-2", remoteHost);
         }
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
@@ -108,12 +106,11 @@
     }
 
     /*
-     * Symptom: a booking runs although its caller was told otherwise, or its answer is lost for good. Sequence: the
-     * caller's deadline passes while the booking runs, the answer comes later, the caller repeats its key. Cause: the
-     * claimed call is cancelled, or its late answer dropped.
+     * Guards against losing the answer of a booking that outlasts its caller's deadline. The answer arrives late and
+     * the caller repeats its key; the claimed call must not be cancelled, and its late answer must be stored.
      */
     @Test
-    void shouldKeepLateAnswerWhenCallerOfBookingHasGone() {
+    void shouldStoreLateAnswerWhenCallersDeadlineHasPassed() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
@@ -125,8 +122,8 @@
     }
 
     /*
-     * Symptom: a fitter gets the same seals twice. Sequence: the host that took the booking is killed after the booking
-     * went to the target; the caller repeats its key at the other host. Cause: the claim was known to one host only.
+     * Guards against running a booking twice. The host that accepted it is killed after sending it to the target, and
+     * the caller repeats its key at the other host, which must have a copy of the claim.
      */
     @Test
     void shouldRunBookingOnceWhenHostIsKilledAfterItsClaim() {
@@ -141,12 +138,12 @@
     }
 
     /*
-     * Symptom: a fitter waits for the whole deadline to learn that nobody knows about a booking. Sequence: the store is
-     * out; the host that runs a booking is killed; the key is repeated at the other host, which holds the claim. Cause:
-     * the repeat waits for the end of a call whose host cannot leave the view while the store is out.
+     * Guards against keeping a caller waiting until its deadline for a result that is lost. The store is unavailable,
+     * the host that runs a booking is killed, and the key is repeated at the other host, which holds the claim; the
+     * lost host cannot be removed from the view while the store is unavailable.
      */
     @Test
-    void shouldSayUnknownSoonWhenStoreIsOutAndRunnerIsLost() {
+    void shouldEndAsUnknownSoonWhenStoreIsUnavailableAndRunningHostIsLost() {
         Session session = Koro.start();
         session.setStoreDown(true);
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
@@ -158,12 +155,11 @@
     }
 
     /*
-     * Symptom: a booking that is repeated the next day runs again. Sequence: the key carries no time; its claim is
-     * forgotten when the retention has passed; the key comes again. Cause: nothing tells an old key without a time from
-     * a new one.
+     * Guards against running a booking again that is repeated the next day: its claim has been removed after the
+     * retention period, and an old key without a timestamp cannot be distinguished from a new one.
      */
     @Test
-    void shouldRefuseKeyOfBookingWhenItCarriesNoTime() {
+    void shouldRejectKeyOfBookingWhenItHasNoTimestamp() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", "order-17"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
@@ -172,15 +168,15 @@
     }
 
     /*
-     * Symptom: the same booking runs in Labasa and in Suva. Sequence: Labasa is cut from all others and from the
-     * platform; its caller books there, walks away and repeats the key at Suva. Cause: Suva takes the key over because
-     * Labasa is silent.
+     * Guards against running the same booking in Labasa and in Suva. Labasa is partitioned from the other regions and
+     * from the platform; a caller books there and repeats its key in Suva, which must not take over the key because
+     * Labasa is unresponsive.
      */
     @Test
-    void shouldServeItsOwnCallersWhenDataCentreIsCutOff() {
+    void shouldServeItsOwnCallersWhenDataCentreIsPartitioned() {
         Session session = Koro.start().partitionFromStore("labasa-1").partitionFromStore("labasa-2");
-        for (String away : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2")) {
-            session.partition("labasa-1", away).partition("labasa-2", away);
+        for (String remoteHost : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2")) {
+            session.partition("labasa-1", remoteHost).partition("labasa-2", remoteHost);
         }
         session.advance(30_000);
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
@@ -196,8 +192,8 @@
     }
 
     /*
-     * Symptom: a planned stop cuts off answers. Sequence: the host is told to stop while a draft and a booking run.
-     * Cause: the process ends, or leaves its claims, before its last request has its outcome.
+     * Guards against interrupting requests by a planned stop. The host drains while a draft and a booking run; the
+     * process must not stop or leave its claim view before every request has its outcome.
      */
     @Test
     void shouldFinishRequestsBeforeStoppingWhenDrained() {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
@@ -11,14 +11,14 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.request.WorkClass;
 
-/** Koro's deployment in small: three regions of one data centre each, and the requests of its fitters. */
+/** A small deployment for session tests: three regions of one data centre each, and requests of its callers. */
 final class Koro {
-    /** The time that callers give each request. */
+    /** Timeout of each request. */
     static final long TIMEOUT_MILLIS = 20_000;
 
     private static final long STARTUP_MILLIS = 7_000;
 
-    /** A key made when the deployment had just started. */
+    /** A key created when the deployment has just started. */
     static final String KEY = key(0);
 
     private static final String DOCUMENT =
@@ -42,14 +42,14 @@
 
     private Koro() {}
 
-    /** Starts two entry hosts and one target of each service in each region; the transcript begins after it. */
+    /** Starts two entry hosts and one target of each service in each region; the transcript begins after the start. */
     static Session start() {
         Session session = startWithTranscript();
         session.transcript().clear();
         return session;
     }
 
-    /** Starts the same, and keeps the transcript of the start. */
+    /** Starts the same deployment, and keeps the transcript of the start. */
     static Session startWithTranscript() {
         Session session = new Session();
         for (String region : List.of("suva", "lautoka", "labasa")) {
@@ -61,34 +61,34 @@
         return session.configure(DOCUMENT).advance(5_000);
     }
 
-    /** A version 7 UUID made when the deployment had just started. */
+    /** Returns a version 7 UUID created when the deployment has just started. */
     static String key(int number) {
-        long madeAtMillis = Session.START_MILLIS + STARTUP_MILLIS;
-        return new UUID(madeAtMillis << 16 | 0x7000L, 0x8000_0000_0000_0000L | number).toString();
+        long createdAtMillis = Session.START_MILLIS + STARTUP_MILLIS;
+        return new UUID(createdAtMillis << 16 | 0x7000L, 0x8000_0000_0000_0000L | number).toString();
     }
 
-    /** A draft of a step sequence, which may be repeated. */
+    /** Returns a draft request, which is safe to repeat. */
     static Request draft(Session session, String id, String region) {
         return request(session, id, region, "plank-serve", true, Option.none());
     }
 
-    /** A part booking, which may not be repeated. */
+    /** Returns a booking request, which is not safe to repeat. */
     static Request booking(Session session, String id, String region, String key) {
         return request(session, id, region, "crew-desk", false, Option.some(key));
     }
 
-    /** A whole answer from a target. */
+    /** Returns the result of an attempt with a whole answer. */
     static AttemptResult whole(String body) {
         byte[] bytes = body.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         return new AttemptResult.Whole(Answer.of(200, "application/json", bytes), List.of());
     }
 
-    /** An attempt that surely did not run. */
+    /** Returns the result of an attempt that definitely did not run. */
     static AttemptResult refused(String target) {
         return new AttemptResult.NotRun(Failure.of(Step.CONNECT, target, "connection refused"), 0);
     }
 
-    /** An attempt whose answer was lost. */
+    /** Returns the result of an attempt whose answer was lost. */
     static AttemptResult lost(String target) {
         return new AttemptResult.Lost(Failure.of(Step.RECEIVE, target, "the connection broke"), 0);
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
@@ -18,9 +18,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Random sessions of six hosts under faults, held against a ledger of what ran.
+ * Random sessions of six hosts under faults, checked against a ledger of the requests that ran.
  *
- * <p>Each number of a script is one step, so that a failing script shrinks to its shortest form.
+ * <p>Each number of a script is one step, so that a failing script can be shrunk.
  */
 class RandomSessionTest {
     private static final List<String> REGIONS = List.of("suva", "lautoka", "labasa");
@@ -33,12 +33,12 @@
     private final List<String> requests = new ArrayList<>();
 
     /*
-     * Symptom: two bookings under one key, or a "not run" that ran, or two outcomes for one request. Sequence: any order
-     * of requests, answers, losses, late results, cuts, kills, restarts, planned stops and outages of the store. Cause:
-     * any path through the core that a hand-written session does not take.
+     * Guards against two bookings under one key, a request that ran but ended as "not run", and two outcomes of one
+     * request, after any order of requests, answers, lost and late results, partitions, kills, restarts, drains and
+     * store outages.
      */
     @Property(tries = 400, seed = "20261202")
-    void shouldRunEachKeyOnceAndTellTheTruthWhenFaultsAreRandom(
+    void shouldRunEachKeyOnceAndReportTrueOutcomesWhenFaultsAreRandom(
             @ForAll @Size(min = 5, max = 60) List<@IntRange(min = 0, max = 1_000_000) Integer> script) {
         reset();
         Session session = Koro.start();
@@ -106,7 +106,7 @@
         session.request(host, Koro.draft(session, id, REGIONS.get(choice % 3)));
     }
 
-    private void endAttempt(int choice, Session session, int way) {
+    private void endAttempt(int choice, Session session, int resultKind) {
         List<String> waiting = requests.stream()
                 .filter(id -> !session.pendingTargets(id).isEmpty())
                 .toList();
@@ -116,12 +116,12 @@
         String id = waiting.get(choice % waiting.size());
         String target = session.pendingTargets(id).get(0);
         AttemptResult result =
-                switch (way) {
+                switch (resultKind) {
                     case 0 -> Koro.whole(id);
                     case 1 -> Koro.lost(target);
                     default -> Koro.refused(target);
                 };
-        if (way != 2) {
+        if (resultKind != 2) {
             countRun(id);
         }
         session.end(id, result);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -17,7 +17,7 @@
 class RequestSessionTest {
 
     @Test
-    void shouldServeAtHomeWhenAllIsWell() {
+    void shouldServeInHomeRegionWhenItHasCapacity() {
         Session session = Koro.start();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
@@ -27,12 +27,11 @@
     }
 
     /*
-     * Symptom: a fitter's log is read in another region. Sequence: the home region has no target left; the request goes
-     * to a region that its residency does not allow. Cause: targets scored before residency is checked, or checked only
-     * at the first host.
+     * Guards against serving a request outside its residency: the home region has no target, and targets are scored
+     * before residency is checked, or residency is checked only by the first host.
      */
     @Test
-    void shouldRefuseWhenResidencyAllowsNoRegionWithTargets() {
+    void shouldRejectWhenResidencyAllowsNoRegionWithTargets() {
         Session session = Koro.start().listAsLeaving("plank-labasa").advance(4_000);
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
@@ -41,30 +40,29 @@
     }
 
     @Test
-    void shouldRefuseAtReceivingHostWhenResidencyForbidsItsRegion() {
+    void shouldRejectAtReceivingHostWhenResidencyForbidsItsRegion() {
         Session session = Koro.start();
-        Request crossed = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
-        session.handleEvent("suva-1", new Event.PeerAsked("labasa-1", 1, crossed));
+        Request forwarded = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
+        session.handleEvent("suva-1", new Event.PeerAsked("labasa-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     /*
-     * Symptom: a request travels between regions until its deadline. Sequence: Suva has lost its targets and sends the
-     * request to Lautoka, which has lost its own and believes that Suva has some. Cause: each host decides alone, on
-     * opposite views, and a forwarded request may be forwarded again.
+     * Guards against forwarding loops. Suva has no targets and forwards the request to Lautoka, which has none either
+     * and whose outdated view shows targets in Suva; a forwarded request must not be forwarded again.
      */
     @Test
-    void shouldCrossAtMostOnceWhenRegionsHaveOppositeViews() {
+    void shouldForwardAtMostOnceWhenRegionsHaveOppositeViews() {
         Session session = Koro.start();
         session.listAsLeaving("plank-lautoka").advance(4_000);
-        Request crossed = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
-        session.handleEvent("lautoka-1", new Event.PeerAsked("suva-1", 1, crossed));
+        Request forwarded = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
+        session.handleEvent("lautoka-1", new Event.PeerAsked("suva-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
     }
 
     @Test
-    void shouldServeAwayWhenHomeHasNoTarget() {
+    void shouldServeInOtherRegionWhenHomeHasNoTarget() {
         Session session = Koro.start().listAsLeaving("plank-suva").advance(4_000);
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         assertEquals(1, session.pendingTargets("r1").size());
@@ -74,12 +72,11 @@
     }
 
     /*
-     * Symptom: a caller gets two answers, or the answer of an attempt that was given up. Sequence: the first target is
-     * slow, the attempt is given up, the retry answers, then the first answer arrives. Cause: results matched by
-     * request alone.
+     * Guards against delivering two answers, or the answer of an abandoned attempt. The first attempt is abandoned, the
+     * retry answers, then the first answer arrives; results must be matched by request and attempt.
      */
     @Test
-    void shouldDropLateAnswerWhenAttemptWasGivenUp() {
+    void shouldDropLateAnswerWhenAttemptWasAbandoned() {
         Session session = Koro.start()
                 .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
                 .publishList();
@@ -95,7 +92,7 @@
     }
 
     @Test
-    void shouldResumeStreamAtItsPartWhenItBreaks() {
+    void shouldResumeStreamAtNextEventWhenConnectionBreaks() {
         Session session = Koro.start();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         session.handleEvent("suva-1", new Event.StreamProgressed("r1", 1, 5));
@@ -126,11 +123,11 @@
     }
 
     /*
-     * Symptom: a caller is told "not run" for a draft that ran. Sequence: the first attempt's answer is lost, the retry
-     * finds no target. Cause: the outcome judged by the newest attempt alone.
+     * Guards against reporting "not run" for a request that ran: the answer of the first attempt is lost, the retries
+     * are refused, and the outcome is judged by the last attempt alone.
      */
     @Test
-    void shouldNotSayNotRunWhenAnEarlierAttemptMayHaveRun() {
+    void shouldNotReportNotRunWhenEarlierAttemptMayHaveRun() {
         Session session = Koro.start()
                 .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
                 .publishList();
@@ -144,11 +141,11 @@
     }
 
     /*
-     * Symptom: a booking goes to a model engine. Sequence: a draft and a booking carry the same prefix hashes. Cause: the
-     * memory of which target last saw a prefix did not know services.
+     * Guards against sending a request to a target of another service: requests for two services carry the same prefix
+     * hashes, and prefix affinity ignores the service.
      */
     @Test
-    void shouldChooseOwnServiceWhenAnotherServedThePrefix() {
+    void shouldChooseTargetOfOwnServiceWhenOtherServiceHadSamePrefix() {
         Session session = Koro.start();
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         session.end("r1", Koro.whole("steps"));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -12,24 +12,26 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Sessions that show what the router decides over time. */
+/** Tests the router's decisions over the course of a session. */
 class RoutingSessionTest {
     private static final int REQUESTS = 24;
 
     @Test
-    void shouldSpillAndReturnWhenHomeIsFullAndThenIdle() {
+    void shouldSpillOverAndReturnWhenHomeIsFullAndThenIdle() {
         Session session = Koro.start();
         recordRunTimes(session, "suva");
         session.transcript().clear();
-        List<String> asked = sendRequests(session, "full", "suva", 32);
-        assertTrue(asked.stream().anyMatch(id -> !isWaitingAt(session, id, "plank-suva")), "none has left the region");
+        List<String> requestIds = sendRequests(session, "full", "suva", 32);
         assertTrue(
-                asked.stream()
+                requestIds.stream().anyMatch(id -> !isWaitingAt(session, id, "plank-suva")),
+                "no request has left the region");
+        assertTrue(
+                requestIds.stream()
                                 .filter(id -> isWaitingAt(session, id, "plank-suva"))
                                 .count()
                         >= 8,
                 "home has free slots");
-        asked.forEach(id -> session.end(id, Koro.whole("steps")));
+        requestIds.forEach(id -> session.end(id, Koro.whole("steps")));
         session.advance(2_000);
         for (String id : sendRequests(session, "idle", "suva", 4)) {
             assertTrue(isWaitingAt(session, id, "plank-suva"), "an idle home keeps its work");
@@ -38,18 +40,18 @@
     }
 
     /*
-     * Symptom: a target that had restarted was slow for all. Sequence: it stops answering, comes back, and gets as much
-     * as before at once. Cause: its reports looked idle, and nothing let it back a little at a time.
+     * Guards against overloading a restarted target. It stops answering load queries, becomes available again, and its
+     * reports show it as idle; it must be readmitted gradually.
      */
     @Test
-    void shouldLetTargetBackOneRequestAtATimeWhenItHadStoppedAnswering() {
+    void shouldReadmitTargetOneRequestAtATimeWhenItHadStoppedAnswering() {
         Session session = twoTargets("suva");
         session.transcript().clear();
         for (int missed = 0; missed < 3; missed++) {
             session.handleEvent("suva-1", new Event.LoadMissed("plank-suva"));
         }
         for (String id : sendRequests(session, "out", "suva", 4)) {
-            assertTrue(isWaitingAt(session, id, "plank-suva-2"), "left out");
+            assertTrue(isWaitingAt(session, id, "plank-suva-2"), "ejected");
         }
         session.advance(1_500);
         List<String> back = sendRequests(session, "back", "suva", 8);
@@ -62,11 +64,11 @@
     }
 
     /*
-     * Symptom: attempts grew to a multiple of the requests. Sequence: both targets refuse everything, and every refused
-     * request is tried again. Cause: retries were bounded for each request, not over all.
+     * Guards against a retry storm. Both targets refuse every request; retries must be bounded over all requests, not
+     * only per request.
      */
     @Test
-    void shouldBoundAttemptsWhenBothTargetsRefuseAll() {
+    void shouldBoundAttemptsWhenBothTargetsRefuseAllRequests() {
         Session session = twoTargets("labasa");
         session.transcript().clear();
         int attempts = 0;
@@ -90,11 +92,11 @@
                 .advance(5_000);
     }
 
-    /** Lets the router see that requests run for four seconds. */
+    /** Lets the router record run times of four seconds. */
     private static void recordRunTimes(Session session, String region) {
-        List<String> asked = sendRequests(session, "learn", region, 5);
+        List<String> requestIds = sendRequests(session, "learn", region, 5);
         session.advance(4_000);
-        asked.forEach(id -> session.end(id, Koro.whole("steps")));
+        requestIds.forEach(id -> session.end(id, Koro.whole("steps")));
     }
 
     private static List<String> sendRequests(Session session, String name, String region, int count) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -32,16 +32,16 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * Drives a few nodes through a scripted session, and writes down what went in and what came out.
+ * Drives several nodes through a scripted session, and records their events and actions in a transcript.
  *
- * <p>Messages arrive at once and in order unless a link is cut; targets answer when the script says so. Confined to one
- * thread.
+ * <p>Messages arrive at once and in order unless two hosts are partitioned; targets answer when the script ends their
+ * attempts. Confined to one thread.
  */
 final class Session {
-    /** When each session begins. */
+    /** Start time of each session. */
     static final long START_MILLIS = 1_000_000;
 
-    /** How far each step of time goes. */
+    /** Interval between two ticks. */
     static final long TICK_MILLIS = 100;
 
     private static final long LOAD_REPORT_INTERVAL_MILLIS = 500;
@@ -66,40 +66,40 @@
 
     private record Attempt(String node, String requestId, int number, Route route) {}
 
-    /** Takes the platform's store down or brings it back. */
+    /** Makes the platform's store unavailable or available again. */
     Session setStoreDown(boolean isDown) {
         storeFault = isDown ? FakeStore.Fault.DOWN : FakeStore.Fault.NONE;
         return this;
     }
 
-    /** What went in and came out so far. */
+    /** Returns the transcript so far. */
     Transcript transcript() {
         return transcript;
     }
 
-    /** The time. */
+    /** Returns the current time. */
     long nowMillis() {
         return nowMillis;
     }
 
-    /** A node by its host's name. */
+    /** Returns a node by its host's name. */
     Node node(String host) {
         return nodes.get(host);
     }
 
-    /** All outcomes that a request has had at the host that its caller asked; more than one is a fault. */
+    /** Returns all outcomes of a request at the host that received it from its caller; more than one is a fault. */
     List<Outcome> outcomes(String requestId) {
         return outcomes.getOrDefault(requestId, List.of());
     }
 
-    /** The only outcome of a request; none or more than one fails the test. */
+    /** Returns the only outcome of a request; none or more than one fails the test. */
     Outcome onlyOutcome(String requestId) {
         List<Outcome> known = outcomes(requestId);
         assertEquals(1, known.size(), () -> requestId + " has outcomes " + known);
         return known.get(0);
     }
 
-    /** The attempts at targets that wait for an answer, by target, for one request. */
+    /** Returns the targets at which attempts of a request await an answer. */
     List<String> pendingTargets(String requestId) {
         return attempts.values().stream()
                 .filter(attempt -> attempt.requestId().equals(requestId))
@@ -107,24 +107,24 @@
                 .toList();
     }
 
-    /** Whether a request waits for a target by an attempt of this host. */
+    /** Returns whether an attempt of this host for the request awaits a target's answer. */
     boolean hasAttemptAtTarget(String host, String requestId) {
         return attempts.containsKey(keyOf(host, requestId));
     }
 
-    /** The requests whose attempts at targets were cancelled; each may have run. */
+    /** Returns the requests whose attempts at targets were cancelled; each may have run. */
     List<String> cancelled() {
         return List.copyOf(cancelled);
     }
 
-    /** Puts a target into the platform's list. */
+    /** Adds a target to the platform's host list. */
     Session addTarget(String name, String service, String region, String dataCentre) {
         listed.add(
                 new ListedHost(name, HostRole.TARGET, Place.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
         return this;
     }
 
-    /** Starts an entry host, and puts it into the platform's list if it is not there. */
+    /** Starts an entry host, and adds it to the platform's host list if it is not listed. */
     Session start(String host, String region, String dataCentre) {
         Place place = Place.of(region, dataCentre);
         listed.removeIf(known -> known.name().equals(host));
@@ -136,14 +136,14 @@
         return this;
     }
 
-    /** Applies a configuration document, and lets every node that runs learn the list and the document. */
+    /** Applies a configuration document, and lets every running node read the host list and the document. */
     Session configure(String document) {
         store.write(Configurations.KEY, document);
         publishList();
         return advance(2_000);
     }
 
-    /** Lets every node read the platform's list anew. */
+    /** Delivers a new version of the platform's host list to every node. */
     Session publishList() {
         listRevision++;
         HostList list = new HostList(listRevision, listed);
@@ -151,7 +151,7 @@
         return this;
     }
 
-    /** Marks a host or target as leaving in the platform's list. */
+    /** Marks a host or target as leaving in the platform's host list. */
     Session listAsLeaving(String name) {
         listed.replaceAll(known -> known.name().equals(name)
                 ? new ListedHost(
@@ -167,7 +167,7 @@
         return publishList();
     }
 
-    /** Lets time pass in steps; every node ticks at each. */
+    /** Advances the time in steps, with a tick of every node at each step. */
     Session advance(long millis) {
         for (long passed = 0; passed < millis; passed += TICK_MILLIS) {
             nowMillis += TICK_MILLIS;
@@ -180,7 +180,7 @@
         return this;
     }
 
-    /** Kills a host: it loses all it knew, and its attempts end nowhere. */
+    /** Kills a host: its state is lost, and the results of its attempts are discarded. */
     Session kill(String host) {
         transcript.recordNote(nowMillis, host, "killed");
         nodes.remove(host);
@@ -198,7 +198,7 @@
         return this;
     }
 
-    /** Cuts two hosts from each other. */
+    /** Partitions two hosts from each other. */
     Session partition(String left, String right) {
         transcript.recordNote(nowMillis, left, "cut from " + right);
         partitions.add(Set.of(left, right));
@@ -208,34 +208,34 @@
         return this;
     }
 
-    /** Cuts a host from the platform's store. */
+    /** Partitions a host from the platform's store. */
     Session partitionFromStore(String host) {
         transcript.recordNote(nowMillis, host, "cut from the store");
         hostsWithoutStore.add(host);
         return this;
     }
 
-    /** Connects all hosts again. */
+    /** Removes all partitions between hosts. */
     Session healPartitions() {
         partitions.clear();
         return this;
     }
 
-    /** Lets a caller ask a host. */
+    /** Sends a caller's request to a host. */
     Session request(String host, Request request) {
         outcomes.putIfAbsent(request.id(), new ArrayList<>());
         handleEvent(host, new Event.CallerAsked(request));
         return this;
     }
 
-    /** Feeds any event to a host. */
+    /** Delivers an event to a host, and everything that follows from it. */
     Session handleEvent(String host, Event event) {
         deliverEvent(host, event);
         drainDeliveries();
         return this;
     }
 
-    /** Ends the attempt of a request that waits at a target. */
+    /** Ends the attempt of a request that awaits a target's answer. */
     Session end(String requestId, AttemptResult result) {
         Attempt attempt = attempts.values().stream()
                 .filter(waiting -> waiting.requestId().equals(requestId))
@@ -281,7 +281,7 @@
         while (!deliveries.isEmpty()) {
             deliveries.poll().run();
             if (++count > MAX_DELIVERIES) {
-                throw new AssertionError("messages never end: " + transcript.tail());
+                throw new AssertionError("messages do not come to an end: " + transcript.tail());
             }
         }
     }
@@ -289,7 +289,7 @@
     private void deliverEvent(String host, Event event) {
         Node node = nodes.get(host);
         if (node == null) {
-            // The host has gone.
+            // The host has terminated.
             return;
         }
         List<Action> actions = node.handle(event, nowMillis);
@@ -332,16 +332,16 @@
 
     private void startAttempt(String host, Action.StartAttempt start) {
         Attempt attempt = new Attempt(host, start.requestId(), start.attempt(), start.route());
-        if (!(start.route() instanceof Route.ToHost to)) {
+        if (!(start.route() instanceof Route.ToHost toHost)) {
             attempts.put(keyOf(host, start.requestId()), attempt);
             return;
         }
-        if (!canReach(host, to.host())) {
-            end(attempt, new AttemptResult.NotRun(Failure.of(Step.FORWARD, to.host(), "no link"), 0));
+        if (!canReach(host, toHost.host())) {
+            end(attempt, new AttemptResult.NotRun(Failure.of(Step.FORWARD, toHost.host(), "no link"), 0));
             return;
         }
-        forwards.put(keyOf(to.host(), start.requestId()), attempt);
-        deliveries.add(() -> deliverEvent(to.host(), new Event.PeerAsked(host, start.attempt(), start.request())));
+        forwards.put(keyOf(toHost.host(), start.requestId()), attempt);
+        deliveries.add(() -> deliverEvent(toHost.host(), new Event.PeerAsked(host, start.attempt(), start.request())));
     }
 
     private void finish(String host, Action.Finish finish) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
@@ -14,10 +14,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * A session as text, to be compared with a golden file. Confined to one thread.
+ * The text form of a session, which is compared with a golden file. Confined to one thread.
  *
- * <p>It leaves out what every second repeats: ticks without effect, heartbeats, links, and reads of the store. Run with
- * {@code -Dgolden.write=true} to write the files anew, then read the difference before committing it.
+ * <p>It omits periodic events: ticks without effect, heartbeats, links and store reads. Run with
+ * {@code -Dgolden.write=true} to regenerate the files, and review the difference before committing it.
  */
 final class Transcript {
     private static final Pattern REQUEST =
@@ -28,7 +28,7 @@
 
     private final StringBuilder text = new StringBuilder();
 
-    /** Writes down an event with what it led to. */
+    /** Records an event with the resulting actions. */
     void record(long nowMillis, String host, Event event, List<Action> actions) {
         List<Action> shown = actions.stream().filter(Transcript::isShown).toList();
         if (shown.isEmpty() && !isShown(event)) {
@@ -39,7 +39,7 @@
         shown.forEach(action -> text.append("    > ").append(brief(action)).append('\n'));
     }
 
-    /** Writes down something that the script did to a host. */
+    /** Records an operation of the script on a host. */
     void recordNote(long nowMillis, String host, String note) {
         text.append(nowMillis)
                 .append(' ')
@@ -49,17 +49,17 @@
                 .append('\n');
     }
 
-    /** The newest part of what was written down. */
+    /** Returns the end of the transcript. */
     String tail() {
         return text.substring(Math.max(0, text.length() - TAIL_LENGTH));
     }
 
-    /** Forgets what was written down so far. */
+    /** Discards the transcript so far. */
     void clear() {
         text.setLength(0);
     }
 
-    /** Compares the session with its golden file. */
+    /** Asserts that the transcript equals its golden file. */
     void assertMatches(String name) {
         Path file = GOLDEN_DIRECTORY.resolve(name + ".txt");
         try {
