--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
@@ -26,93 +26,99 @@
     private int nextTurn;
 
     BaselineChooser(
-            String region, Policy policy, TargetTable targets, RemoteRegionTable remotes, RandomGenerator random) {
+            String region,
+            Policy policy,
+            TargetTable targets,
+            RemoteRegionTable remoteRegions,
+            RandomGenerator random) {
         this.region = region;
         this.policy = policy;
         this.targets = targets;
-        this.remoteRegions = remotes;
+        this.remoteRegions = remoteRegions;
         this.random = random;
     }
 
     @Override
     public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
-        CandidateLog considered = new CandidateLog();
-        List<WeightedRoute> choices = choices(request, eligibility);
-        choices.forEach(choice -> considered.add(choice.route().peer(), "eligible", choice.loadPerSlot()));
-        if (choices.isEmpty()) {
+        CandidateLog candidateLog = new CandidateLog();
+        List<WeightedRoute> candidates = candidates(request, eligibility);
+        candidates.forEach(
+                candidate -> candidateLog.add(candidate.route().peer(), "eligible", candidate.loadPerSlot()));
+        if (candidates.isEmpty()) {
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, considered.candidates());
+            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
         }
         Route route =
                 switch (policy) {
-                    case RANDOM -> byTargetIndex(choices, random.nextInt(targetCount(choices)));
-                    case ROUND_ROBIN -> byTargetIndex(choices, Math.floorMod(nextTurn++, targetCount(choices)));
-                    default -> leastLoaded(choices);
+                    case RANDOM -> byTargetIndex(candidates, random.nextInt(targetCount(candidates)));
+                    case ROUND_ROBIN -> byTargetIndex(candidates, Math.floorMod(nextTurn++, targetCount(candidates)));
+                    default -> leastLoaded(candidates);
                 };
-        return new Routing.Go(route, considered.candidates());
+        return new Routing.Go(route, candidateLog.candidates());
     }
 
-    private List<WeightedRoute> choices(Request request, Eligibility eligibility) {
-        List<WeightedRoute> choices = new ArrayList<>();
+    private List<WeightedRoute> candidates(Request request, Eligibility eligibility) {
+        List<WeightedRoute> candidates = new ArrayList<>();
         if (eligibility.allowedRegions().contains(region)) {
-            targets.service(request.service()).forEach(service -> addTargets(service, eligibility, choices));
+            targets.service(request.service()).forEach(service -> addTargets(service, eligibility, candidates));
         }
         if (eligibility.mayLeaveRegion() && policy != Policy.HOME_ONLY) {
             for (RemoteRegionState remote : remoteRegions.all()) {
-                addRemote(remote, request.service(), eligibility, choices);
+                addRemote(remote, request.service(), eligibility, candidates);
             }
         }
-        return choices;
+        return candidates;
     }
 
-    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<WeightedRoute> choices) {
+    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<WeightedRoute> candidates) {
         for (Target target : service.targets()) {
             if (target.acceptsRequests() && !eligibility.triedPeers().contains(target.name)) {
-                choices.add(new WeightedRoute(new Route.ToTarget(target.name), 1, target.reportedLoadPerSlot()));
+                candidates.add(new WeightedRoute(new Route.ToTarget(target.name), 1, target.reportedLoadPerSlot()));
             }
         }
     }
 
     private void addRemote(
-            RemoteRegionState remote, String service, Eligibility eligibility, List<WeightedRoute> choices) {
+            RemoteRegionState remote, String service, Eligibility eligibility, List<WeightedRoute> candidates) {
         if (!eligibility.allowedRegions().contains(remote.name) || !remote.mayServe(service)) {
             return;
         }
         Option<String> host = remote.randomHost(eligibility, random);
         Option<RemoteRegion.ServiceLoad> load = remote.summary(service);
         int targetsThere = load.map(RemoteRegion.ServiceLoad::targets).getOrElse(1);
-        double depth = load.map(
+        double loadPerSlot = load.map(
                         summary -> (summary.running() + summary.queued()) / (double) Math.max(1, summary.slots()))
                 .getOrElse(0.0);
-        host.forEach(name -> choices.add(new WeightedRoute(new Route.ToHost(name, remote.name), targetsThere, depth)));
+        host.forEach(name ->
+                candidates.add(new WeightedRoute(new Route.ToHost(name, remote.name), targetsThere, loadPerSlot)));
     }
 
-    private static int targetCount(List<WeightedRoute> choices) {
+    private static int targetCount(List<WeightedRoute> candidates) {
         int count = 0;
-        for (WeightedRoute choice : choices) {
-            count += choice.targetCount();
+        for (WeightedRoute candidate : candidates) {
+            count += candidate.targetCount();
         }
         return count;
     }
 
-    private static Route byTargetIndex(List<WeightedRoute> choices, int index) {
+    private static Route byTargetIndex(List<WeightedRoute> candidates, int index) {
         int remaining = index;
-        for (WeightedRoute choice : choices) {
-            remaining -= choice.targetCount();
+        for (WeightedRoute candidate : candidates) {
+            remaining -= candidate.targetCount();
             if (remaining < 0) {
-                return choice.route();
+                return candidate.route();
             }
         }
         throw new IllegalArgumentException("no target at index " + index);
     }
 
-    private Route leastLoaded(List<WeightedRoute> choices) {
-        int offset = random.nextInt(choices.size());
-        WeightedRoute best = choices.get(offset);
-        for (int i = 1; i < choices.size(); i++) {
-            WeightedRoute choice = choices.get((offset + i) % choices.size());
-            if (choice.loadPerSlot() < best.loadPerSlot()) {
-                best = choice;
+    private Route leastLoaded(List<WeightedRoute> candidates) {
+        int offset = random.nextInt(candidates.size());
+        WeightedRoute best = candidates.get(offset);
+        for (int i = 1; i < candidates.size(); i++) {
+            WeightedRoute candidate = candidates.get((offset + i) % candidates.size());
+            if (candidate.loadPerSlot() < best.loadPerSlot()) {
+                best = candidate;
             }
         }
         return best.route();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
@@ -47,14 +47,14 @@
             String region,
             Policy policy,
             TargetTable targets,
-            RemoteRegionTable remotes,
+            RemoteRegionTable remoteRegions,
             PrefixAffinity affinity,
             Admission admission,
             RandomGenerator random) {
         this.region = region;
         this.policy = policy;
         this.targets = targets;
-        this.remoteRegions = remotes;
+        this.remoteRegions = remoteRegions;
         this.affinity = affinity;
         this.admission = admission;
         this.random = random;
