--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
@@ -10,9 +10,10 @@
 import org.rattanplank.core.request.Step;
 
 /**
- * The baselines that the product's policies are compared with: every target counts alike, wherever it stands.
+ * The baseline policies that the scored policies are compared with: every target has the same weight, whatever its
+ * region.
  *
- * <p>Invariant: only eligible targets and regions are chosen. Confined to the router's lock.
+ * <p>Invariant: only eligible targets and regions are chosen. Guarded by the router's lock.
  */
 final class BaselineChooser implements Chooser {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -20,99 +21,108 @@
     private final String region;
     private final Policy policy;
     private final TargetTable targets;
-    private final RemoteTable remotes;
+    private final RemoteRegionTable remoteRegions;
     private final RandomGenerator random;
-    private int turn;
+    private int nextTurn;
 
-    BaselineChooser(String region, Policy policy, TargetTable targets, RemoteTable remotes, RandomGenerator random) {
+    BaselineChooser(
+            String region,
+            Policy policy,
+            TargetTable targets,
+            RemoteRegionTable remoteRegions,
+            RandomGenerator random) {
         this.region = region;
         this.policy = policy;
         this.targets = targets;
-        this.remotes = remotes;
+        this.remoteRegions = remoteRegions;
         this.random = random;
     }
 
     @Override
     public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
-        Considered considered = new Considered();
-        List<Choice> choices = choices(request, eligibility);
-        choices.forEach(choice -> considered.add(choice.route().peer(), "eligible", choice.depth()));
-        if (choices.isEmpty()) {
+        CandidateLog candidateLog = new CandidateLog();
+        List<WeightedRoute> candidates = candidates(request, eligibility);
+        candidates.forEach(
+                candidate -> candidateLog.add(candidate.route().peer(), "eligible", candidate.loadPerSlot()));
+        if (candidates.isEmpty()) {
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, considered.list());
+            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
         }
         Route route =
                 switch (policy) {
-                    case RANDOM -> byPlace(choices, random.nextInt(places(choices)));
-                    case ROUND_ROBIN -> byPlace(choices, Math.floorMod(turn++, places(choices)));
-                    default -> leastLoaded(choices);
+                    case RANDOM -> byTargetIndex(candidates, random.nextInt(targetCount(candidates)));
+                    case ROUND_ROBIN -> byTargetIndex(candidates, Math.floorMod(nextTurn++, targetCount(candidates)));
+                    default -> leastLoaded(candidates);
                 };
-        return new Routing.Go(route, considered.list());
+        return new Routing.Go(route, candidateLog.candidates());
     }
 
-    private List<Choice> choices(Request request, Eligibility eligibility) {
-        List<Choice> choices = new ArrayList<>();
+    private List<WeightedRoute> candidates(Request request, Eligibility eligibility) {
+        List<WeightedRoute> candidates = new ArrayList<>();
         if (eligibility.allowedRegions().contains(region)) {
-            targets.service(request.service()).forEach(service -> addTargets(service, eligibility, choices));
+            targets.service(request.service()).forEach(service -> addTargets(service, eligibility, candidates));
         }
-        if (eligibility.mayCross() && policy != Policy.HOME_ONLY) {
-            for (Remote remote : remotes.all()) {
-                addRemote(remote, request.service(), eligibility, choices);
+        if (eligibility.mayLeaveRegion() && policy != Policy.HOME_ONLY) {
+            for (RemoteRegionState remote : remoteRegions.all()) {
+                addRemote(remote, request.service(), eligibility, candidates);
             }
         }
-        return choices;
+        return candidates;
     }
 
-    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<Choice> choices) {
+    private static void addTargets(ServiceTargets service, Eligibility eligibility, List<WeightedRoute> candidates) {
         for (Target target : service.targets()) {
-            if (target.takesWork() && !eligibility.triedPeers().contains(target.name)) {
-                choices.add(new Choice(new Route.ToTarget(target.name), 1, target.reportedDepth()));
+            if (target.acceptsRequests() && !eligibility.triedPeers().contains(target.name)) {
+                candidates.add(new WeightedRoute(new Route.ToTarget(target.name), 1, target.reportedLoadPerSlot()));
             }
         }
     }
 
-    private void addRemote(Remote remote, String service, Eligibility eligibility, List<Choice> choices) {
-        if (!eligibility.allowedRegions().contains(remote.name) || !remote.mayHave(service)) {
+    private void addRemote(
+            RemoteRegionState remote, String service, Eligibility eligibility, List<WeightedRoute> candidates) {
+        if (!eligibility.allowedRegions().contains(remote.name) || !remote.mayServe(service)) {
             return;
         }
-        Option<String> host = remote.host(eligibility, random);
+        Option<String> host = remote.randomHost(eligibility, random);
         Option<RemoteRegion.ServiceLoad> load = remote.summary(service);
-        int places = load.map(RemoteRegion.ServiceLoad::targets).getOrElse(1);
-        double depth = load.map(known -> (known.running() + known.queued()) / (double) Math.max(1, known.slots()))
+        int targetsThere = load.map(RemoteRegion.ServiceLoad::targets).getOrElse(1);
+        double loadPerSlot = load.map(
+                        summary -> (summary.running() + summary.queued()) / (double) Math.max(1, summary.slots()))
                 .getOrElse(0.0);
-        host.forEach(name -> choices.add(new Choice(new Route.ToHost(name, remote.name), places, depth)));
+        host.forEach(name ->
+                candidates.add(new WeightedRoute(new Route.ToHost(name, remote.name), targetsThere, loadPerSlot)));
     }
 
-    private static int places(List<Choice> choices) {
-        int places = 0;
-        for (Choice choice : choices) {
-            places += choice.places();
+    private static int targetCount(List<WeightedRoute> candidates) {
+        int count = 0;
+        for (WeightedRoute candidate : candidates) {
+            count += candidate.targetCount();
         }
-        return places;
+        return count;
     }
 
-    private static Route byPlace(List<Choice> choices, int place) {
-        int left = place;
-        for (Choice choice : choices) {
-            left -= choice.places();
-            if (left < 0) {
-                return choice.route();
+    private static Route byTargetIndex(List<WeightedRoute> candidates, int index) {
+        int remaining = index;
+        for (WeightedRoute candidate : candidates) {
+            remaining -= candidate.targetCount();
+            if (remaining < 0) {
+                return candidate.route();
             }
         }
-        throw new IllegalArgumentException("no place " + place);
+        throw new IllegalArgumentException("no target at index " + index);
     }
 
-    private Route leastLoaded(List<Choice> choices) {
-        int offset = random.nextInt(choices.size());
-        Choice best = choices.get(offset);
-        for (int i = 1; i < choices.size(); i++) {
-            Choice choice = choices.get((offset + i) % choices.size());
-            if (choice.depth() < best.depth()) {
-                best = choice;
+    private Route leastLoaded(List<WeightedRoute> candidates) {
+        int offset = random.nextInt(candidates.size());
+        WeightedRoute best = candidates.get(offset);
+        for (int i = 1; i < candidates.size(); i++) {
+            WeightedRoute candidate = candidates.get((offset + i) % candidates.size());
+            if (candidate.loadPerSlot() < best.loadPerSlot()) {
+                best = candidate;
             }
         }
         return best.route();
     }
 
-    private record Choice(Route route, int places, double depth) {}
+    private record WeightedRoute(Route route, int targetCount, double loadPerSlot) {}
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -17,13 +17,13 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.request.WorkClass;
 
-/** Requests, targets and reports for the tests of routing. */
+/** Requests, targets and load reports for the routing tests. */
 final class Fixtures {
     static final Place SUVA = Place.of("suva", "suva-hall");
     static final String SERVICE = "plank-serve";
     static final Set<String> ANYWHERE = Set.of("suva", "lautoka");
     static final AttemptResult ANSWERED = new AttemptResult.Whole(Answer.of(200, "", new byte[0]), List.of());
-    static final AttemptResult REFUSED =
+    static final AttemptResult CONNECTION_REFUSED =
             new AttemptResult.NotRun(Failure.of(Step.CONNECT, "", "connection refused"), 0);
 
     private Fixtures() {}
@@ -84,8 +84,8 @@
         return new Configuration(1, "", Map.of(), Map.of(), Map.of(), shares, Set.of());
     }
 
-    static Eligibility anywhere(Set<String> tried) {
-        return new Eligibility(ANYWHERE, true, tried);
+    static Eligibility eligibleAnywhere(Set<String> triedPeers) {
+        return new Eligibility(ANYWHERE, true, triedPeers);
     }
 
     static Request request(String id) {
@@ -111,13 +111,13 @@
                 false);
     }
 
-    /** Chooses, starts and ends one request, and returns where it went. */
-    static Route serve(Router router, Request request, AttemptResult result, long tookMillis, long nowMillis) {
+    /** Routes, starts and ends one request, and returns its route. */
+    static Route serve(Router router, Request request, AttemptResult result, long durationMillis, long nowMillis) {
         Routing routing = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
         Route route = ((Routing.Go) routing).route();
         router.started(request, route, nowMillis);
-        router.ended(request, route, result, tookMillis, nowMillis + tookMillis);
-        router.finished(request, nowMillis + tookMillis);
+        router.ended(request, route, result, durationMillis, nowMillis + durationMillis);
+        router.finished(request, nowMillis + durationMillis);
         return route;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -15,7 +15,7 @@
 class ClaimSessionTest {
 
     @Test
-    void shouldHoldEachDataCentresHostsInOneViewWhenStarted() {
+    void shouldFormOneViewPerDataCentreWhenStarted() {
         Session session = Koro.startWithTranscript();
         for (String host : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2", "labasa-1", "labasa-2")) {
             assertEquals(2, session.node(host).status().viewNumber(), host);
@@ -24,27 +24,26 @@
     }
 
     /*
-     * Symptom: a caller is told "not run", repeats, and finds two bookings. Sequence: the connection to the target
-     * breaks after the booking was sent; the host reports the broken connection as a refusal. Cause: a lost answer taken
-     * for proof that nothing ran.
+     * Guards against reporting "not run" for a call that may have run, which leads to a duplicate booking on retry: the
+     * connection to the target breaks after the booking was sent, and the lost answer is treated as a rejection.
      */
     @Test
-    void shouldEndUnknownWhenAnswerOfBookingIsLost() {
+    void shouldEndAsUnknownWhenAnswerOfBookingIsLost() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.lost("desk-suva"));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
     }
 
     @Test
-    void shouldKeepAnswerWhenBookingIsRepeatedAtOtherHost() {
+    void shouldReturnStoredAnswerWhenBookingIsRepeatedAtOtherHost() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.end("r1", Koro.whole("seal 7"));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         Outcome.Answered first = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         Outcome.Answered second = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertEquals(first.answer(), second.answer());
@@ -54,141 +53,138 @@
     @Test
     void shouldJoinRunningBookingWhenRepeatedBeforeItsEnd() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        assertEquals(List.of(), session.pendingTargets("r2"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
     }
 
     /*
-     * Symptom: a joined caller is told "not run" although the call that it joined runs. Sequence: a key is repeated
-     * while its first call runs; the second caller's deadline passes first. Cause: a request without an attempt of its
-     * own taken for one that did not run.
+     * Guards against reporting "not run" to a caller that joined a running call: a key is repeated while its first call
+     * runs, and the second caller's deadline passes first. The joined request has no attempt of its own.
      */
     @Test
-    void shouldNotSayNotRunWhenDeadlineOfJoinedCallerPasses() {
+    void shouldNotReportNotRunWhenDeadlineOfJoinedCallerPasses() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
     }
 
     @Test
-    void shouldRunBookingAtHomeDataCentreWhenAskedElsewhere() {
+    void shouldRunBookingInHomeDataCentreWhenReceivedElsewhere() {
         Session session = Koro.start();
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
     @Test
-    void shouldTryOtherHomeHostWhenTheFirstIsLeaving() {
+    void shouldTryOtherHomeHostWhenFirstIsDraining() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r0", "suva"));
-        session.feed("suva-1", new Event.DrainAsked());
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r0", "suva"));
+        session.handleEvent("suva-1", new Event.DrainAsked());
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
     @Test
-    void shouldTellWhenToComeBackWhenHomeOfKeyIsCutOff() {
+    void shouldReturnRetryAfterWhenHomeOfKeyIsPartitioned() {
         Session session = Koro.start();
-        for (String away : List.of("suva-1", "suva-2")) {
-            session.cut("lautoka-1", away).cut("lautoka-2", away);
+        for (String remoteHost : List.of("suva-1", "suva-2")) {
+            session.partition("lautoka-1", remoteHost).partition("lautoka-2", remoteHost);
         }
-        session.ask("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertTrue(notRun.retryAfterMillis() > 0);
     }
 
     /*
-     * Symptom: a booking runs although its caller was told otherwise, or its answer is lost for good. Sequence: the
-     * caller's deadline passes while the booking runs, the answer comes later, the caller repeats its key. Cause: the
-     * claimed call is cancelled, or its late answer dropped.
+     * Guards against losing the answer of a booking that outlasts its caller's deadline. The answer arrives late and
+     * the caller repeats its key; the claimed call must not be cancelled, and its late answer must be stored.
      */
     @Test
-    void shouldKeepLateAnswerWhenCallerOfBookingHasGone() {
+    void shouldStoreLateAnswerWhenCallersDeadlineHasPassed() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
         session.end("r1", Koro.whole("seal 7"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("booking-past-deadline");
     }
 
     /*
-     * Symptom: a fitter gets the same seals twice. Sequence: the host that took the booking is killed after the booking
-     * went to the target; the caller repeats its key at the other host. Cause: the claim was known to one host only.
+     * Guards against running a booking twice. The host that accepted it is killed after sending it to the target, and
+     * the caller repeats its key at the other host, which must have a copy of the claim.
      */
     @Test
     void shouldRunBookingOnceWhenHostIsKilledAfterItsClaim() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        assertEquals(List.of("desk-suva"), session.waitingAt("r1"));
-        session.kill("suva-1").pass(10_000);
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
+        session.kill("suva-1").advance(10_000);
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
         session.transcript().assertMatches("booking-host-killed");
     }
 
     /*
-     * Symptom: a fitter waits for the whole deadline to learn that nobody knows about a booking. Sequence: the store is
-     * out; the host that runs a booking is killed; the key is repeated at the other host, which holds the claim. Cause:
-     * the repeat waits for the end of a call whose host cannot leave the view while the store is out.
+     * Guards against keeping a caller waiting until its deadline for a result that is lost. The store is unavailable,
+     * the host that runs a booking is killed, and the key is repeated at the other host, which holds the claim; the
+     * lost host cannot be removed from the view while the store is unavailable.
      */
     @Test
-    void shouldSayUnknownSoonWhenStoreIsOutAndRunnerIsLost() {
+    void shouldEndAsUnknownSoonWhenStoreIsUnavailableAndRunningHostIsLost() {
         Session session = Koro.start();
-        session.storeDown(true);
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.kill("suva-1").pass(3_000);
-        session.ask("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.pass(5_000);
+        session.setStoreDown(true);
+        session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
+        session.kill("suva-1").advance(3_000);
+        session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.advance(5_000);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r2"));
-        assertEquals(List.of(), session.waitingAt("r2"));
+        assertEquals(List.of(), session.pendingTargets("r2"));
     }
 
     /*
-     * Symptom: a booking that is repeated the next day runs again. Sequence: the key carries no time; its claim is
-     * forgotten when the retention has passed; the key comes again. Cause: nothing tells an old key without a time from
-     * a new one.
+     * Guards against running a booking again that is repeated the next day: its claim has been removed after the
+     * retention period, and an old key without a timestamp cannot be distinguished from a new one.
      */
     @Test
-    void shouldRefuseKeyOfBookingWhenItCarriesNoTime() {
+    void shouldRejectKeyOfBookingWhenItHasNoTimestamp() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.booking(session, "r1", "suva", "order-17"));
+        session.request("suva-1", Koro.booking(session, "r1", "suva", "order-17"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(Step.ACCEPT, notRun.failure().step());
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     /*
-     * Symptom: the same booking runs in Labasa and in Suva. Sequence: Labasa is cut from all others and from the
-     * platform; its caller books there, walks away and repeats the key at Suva. Cause: Suva takes the key over because
-     * Labasa is silent.
+     * Guards against running the same booking in Labasa and in Suva. Labasa is partitioned from the other regions and
+     * from the platform; a caller books there and repeats its key in Suva, which must not take over the key because
+     * Labasa is unresponsive.
      */
     @Test
-    void shouldServeItsOwnCallersWhenDataCentreIsCutOff() {
-        Session session = Koro.start().cutFromStore("labasa-1").cutFromStore("labasa-2");
-        for (String away : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2")) {
-            session.cut("labasa-1", away).cut("labasa-2", away);
+    void shouldServeItsOwnCallersWhenDataCentreIsPartitioned() {
+        Session session = Koro.start().partitionFromStore("labasa-1").partitionFromStore("labasa-2");
+        for (String remoteHost : List.of("suva-1", "suva-2", "lautoka-1", "lautoka-2")) {
+            session.partition("labasa-1", remoteHost).partition("labasa-2", remoteHost);
         }
-        session.pass(30_000);
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+        session.advance(30_000);
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         session.end("r1", Koro.whole("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
-        session.ask("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
-        assertEquals(List.of("desk-labasa"), session.waitingAt("r2"));
-        session.ask("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
+        session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
+        assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
+        session.request("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
         session.end("r2", Koro.whole("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
@@ -196,22 +192,22 @@
     }
 
     /*
-     * Symptom: a planned stop cuts off answers. Sequence: the host is told to stop while a draft and a booking run.
-     * Cause: the process ends, or leaves its claims, before its last request has its outcome.
+     * Guards against interrupting requests by a planned stop. The host drains while a draft and a booking run; the
+     * process must not stop or leave its claim view before every request has its outcome.
      */
     @Test
     void shouldFinishRequestsBeforeStoppingWhenDrained() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.ask("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
-        session.feed("suva-1", new Event.DrainAsked()).pass(5_000);
-        session.ask("suva-1", Koro.draft(session, "r3", "suva"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
+        session.handleEvent("suva-1", new Event.DrainAsked()).advance(5_000);
+        session.request("suva-1", Koro.draft(session, "r3", "suva"));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).pass(5_000);
+        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).advance(5_000);
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertTrue(Option.of(session.node("suva-1")).isEmpty(), "the host has stopped");
-        session.ask("suva-2", Koro.booking(session, "r4", "suva", Koro.KEY));
+        session.request("suva-2", Koro.booking(session, "r4", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r4"));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
@@ -18,67 +18,67 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Random sessions of six hosts under faults, held against a ledger of what ran.
+ * Random sessions of six hosts under faults, checked against a ledger of the requests that ran.
  *
- * <p>Each number of a script is one step, so that a failing script shrinks to its shortest form.
+ * <p>Each number of a script is one step, so that a failing script can be shrunk.
  */
 class RandomSessionTest {
     private static final List<String> REGIONS = List.of("suva", "lautoka", "labasa");
     private static final int KEYS = 3;
 
     private final Map<String, String> keyOfRequest = new HashMap<>();
-    private final Set<String> ran = new HashSet<>();
+    private final Set<String> requestsThatRan = new HashSet<>();
     private final Map<String, Integer> runsOfKey = new HashMap<>();
-    private final Set<String> dead = new HashSet<>();
+    private final Set<String> terminatedHosts = new HashSet<>();
     private final List<String> requests = new ArrayList<>();
 
     /*
-     * Symptom: two bookings under one key, or a "not run" that ran, or two outcomes for one request. Sequence: any order
-     * of requests, answers, losses, late results, cuts, kills, restarts, planned stops and outages of the store. Cause:
-     * any path through the core that a hand-written session does not take.
+     * Guards against two bookings under one key, a request that ran but ended as "not run", and two outcomes of one
+     * request, after any order of requests, answers, lost and late results, partitions, kills, restarts, drains and
+     * store outages.
      */
     @Property(tries = 400, seed = "20261202")
-    void shouldRunEachKeyOnceAndTellTheTruthWhenFaultsAreRandom(
+    void shouldRunEachKeyOnceAndReportTrueOutcomesWhenFaultsAreRandom(
             @ForAll @Size(min = 5, max = 60) List<@IntRange(min = 0, max = 1_000_000) Integer> script) {
         reset();
         Session session = Koro.start();
         for (int step : script) {
-            take(step, session);
+            runStep(step, session);
         }
-        session.pass(5_000);
+        session.advance(5_000);
         session.cancelled().forEach(this::countRun);
         runsOfKey.forEach((key, runs) -> assertTrue(runs <= 1, () -> key + " ran " + runs + " times"));
         for (String request : requests) {
             List<Outcome> outcomes = session.outcomes(request);
             assertTrue(outcomes.size() <= 1, () -> request + " had " + outcomes);
             if (!outcomes.isEmpty() && outcomes.get(0) instanceof Outcome.NotRun notRun) {
-                assertTrue(!ran.contains(request), () -> request + " ran, but: " + notRun);
+                assertTrue(!requestsThatRan.contains(request), () -> request + " ran, but: " + notRun);
             }
         }
     }
 
     private void reset() {
         keyOfRequest.clear();
-        ran.clear();
+        requestsThatRan.clear();
         runsOfKey.clear();
-        dead.clear();
+        terminatedHosts.clear();
         requests.clear();
     }
 
-    private void take(int step, Session session) {
+    private void runStep(int step, Session session) {
         int choice = step / 16;
         switch (step % 16) {
             case 0, 1, 2, 3 -> book(choice, session);
             case 4 -> draft(choice, session);
-            case 5, 6 -> end(choice, session, 0);
-            case 7 -> end(choice, session, 1);
-            case 8 -> end(choice, session, 2);
-            case 9 -> session.pass(200L * (1 + choice % 40));
+            case 5, 6 -> endAttempt(choice, session, 0);
+            case 7 -> endAttempt(choice, session, 1);
+            case 8 -> endAttempt(choice, session, 2);
+            case 9 -> session.advance(200L * (1 + choice % 40));
             case 10 -> kill(choice, session);
             case 11 -> restart(choice, session);
-            case 12 -> cut(choice, session);
-            case 13 -> session.healAll().pass(300);
-            case 14 -> session.storeDown(choice % 2 == 0);
+            case 12 -> partition(choice, session);
+            case 13 -> session.healPartitions().advance(300);
+            case 14 -> session.setStoreDown(choice % 2 == 0);
             default -> drain(choice, session);
         }
     }
@@ -87,48 +87,49 @@
         String region = REGIONS.get(choice % 3);
         String key = Koro.key(choice / 3 % KEYS);
         String host = host(choice / 9);
-        if (dead.contains(host)) {
+        if (terminatedHosts.contains(host)) {
             return;
         }
         String id = "b" + requests.size();
         requests.add(id);
         keyOfRequest.put(id, region + "/" + key);
-        session.ask(host, Koro.booking(session, id, region, key));
+        session.request(host, Koro.booking(session, id, region, key));
     }
 
     private void draft(int choice, Session session) {
         String host = host(choice / 3);
-        if (dead.contains(host)) {
+        if (terminatedHosts.contains(host)) {
             return;
         }
         String id = "d" + requests.size();
         requests.add(id);
-        session.ask(host, Koro.draft(session, id, REGIONS.get(choice % 3)));
+        session.request(host, Koro.draft(session, id, REGIONS.get(choice % 3)));
     }
 
-    private void end(int choice, Session session, int way) {
-        List<String> waiting =
-                requests.stream().filter(id -> !session.waitingAt(id).isEmpty()).toList();
+    private void endAttempt(int choice, Session session, int resultKind) {
+        List<String> waiting = requests.stream()
+                .filter(id -> !session.pendingTargets(id).isEmpty())
+                .toList();
         if (waiting.isEmpty()) {
             return;
         }
         String id = waiting.get(choice % waiting.size());
-        String target = session.waitingAt(id).get(0);
+        String target = session.pendingTargets(id).get(0);
         AttemptResult result =
-                switch (way) {
+                switch (resultKind) {
                     case 0 -> Koro.whole(id);
                     case 1 -> Koro.lost(target);
                     default -> Koro.refused(target);
                 };
-        if (way != 2) {
+        if (resultKind != 2) {
             countRun(id);
         }
         session.end(id, result);
-        session.feed(host(choice), new Event.AttemptEnded(id, 1, Koro.whole("late")));
+        session.handleEvent(host(choice), new Event.AttemptEnded(id, 1, Koro.whole("late")));
     }
 
     private void countRun(String id) {
-        ran.add(id);
+        requestsThatRan.add(id);
         if (keyOfRequest.containsKey(id)) {
             runsOfKey.merge(keyOfRequest.get(id), 1, Integer::sum);
         }
@@ -136,9 +137,9 @@
 
     private void kill(int choice, Session session) {
         String host = host(choice);
-        if (dead.add(host)) {
+        if (terminatedHosts.add(host)) {
             requests.stream()
-                    .filter(id -> keyOfRequest.containsKey(id) && session.isWaitingOn(host, id))
+                    .filter(id -> keyOfRequest.containsKey(id) && session.hasAttemptAtTarget(host, id))
                     .forEach(this::countRun);
             session.kill(host);
         }
@@ -146,26 +147,26 @@
 
     private void restart(int choice, Session session) {
         String host = host(choice);
-        if (dead.remove(host)) {
+        if (terminatedHosts.remove(host)) {
             String region = host.substring(0, host.indexOf('-'));
-            session.start(host, region, region + "-hall").relist().pass(500);
+            session.start(host, region, region + "-hall").publishList().advance(500);
         }
     }
 
-    private static void cut(int choice, Session session) {
+    private static void partition(int choice, Session session) {
         String left = host(choice);
         String right = host(choice / 6);
         if (!left.equals(right)) {
-            session.cut(left, right);
+            session.partition(left, right);
         }
     }
 
     private void drain(int choice, Session session) {
         String host = host(choice);
-        if (choice % 4 == 0 && !dead.contains(host)) {
-            session.feed(host, new Event.DrainAsked()).pass(1_000);
+        if (choice % 4 == 0 && !terminatedHosts.contains(host)) {
+            session.handleEvent(host, new Event.DrainAsked()).advance(1_000);
             if (session.node(host) == null) {
-                dead.add(host);
+                terminatedHosts.add(host);
             }
         }
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -17,90 +17,87 @@
 class RequestSessionTest {
 
     @Test
-    void shouldServeAtHomeWhenAllIsWell() {
+    void shouldServeInHomeRegionWhenItHasCapacity() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        assertEquals(List.of("plank-suva"), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
         session.end("r1", Koro.whole("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         session.transcript().assertMatches("serve-at-home");
     }
 
     /*
-     * Symptom: a fitter's log is read in another region. Sequence: the home region has no target left; the request goes
-     * to a region that its residency does not allow. Cause: targets scored before residency is checked, or checked only
-     * at the first host.
+     * Guards against serving a request outside its residency: the home region has no target, and targets are scored
+     * before residency is checked, or residency is checked only by the first host.
      */
     @Test
-    void shouldRefuseWhenResidencyAllowsNoRegionWithTargets() {
-        Session session = Koro.start().listAsLeaving("plank-labasa").pass(4_000);
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+    void shouldRejectWhenResidencyAllowsNoRegionWithTargets() {
+        Session session = Koro.start().listAsLeaving("plank-labasa").advance(4_000);
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         Outcome.NotRun notRun = assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(Step.ROUTE, notRun.failure().step());
         assertTrue(notRun.retryAfterMillis() > 0);
     }
 
     @Test
-    void shouldRefuseAtReceivingHostWhenResidencyForbidsItsRegion() {
+    void shouldRejectAtReceivingHostWhenResidencyForbidsItsRegion() {
         Session session = Koro.start();
-        Request crossed = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
-        session.feed("suva-1", new Event.PeerAsked("labasa-1", 1, crossed));
+        Request forwarded = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
+        session.handleEvent("suva-1", new Event.PeerAsked("labasa-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     /*
-     * Symptom: a request travels between regions until its deadline. Sequence: Suva has lost its targets and sends the
-     * request to Lautoka, which has lost its own and believes that Suva has some. Cause: each host decides alone, on
-     * opposite views, and a forwarded request may be forwarded again.
+     * Guards against forwarding loops. Suva has no targets and forwards the request to Lautoka, which has none either
+     * and whose outdated view shows targets in Suva; a forwarded request must not be forwarded again.
      */
     @Test
-    void shouldCrossAtMostOnceWhenRegionsHaveOppositeViews() {
+    void shouldForwardAtMostOnceWhenRegionsHaveOppositeViews() {
         Session session = Koro.start();
-        session.listAsLeaving("plank-lautoka").pass(4_000);
-        Request crossed = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
-        session.feed("lautoka-1", new Event.PeerAsked("suva-1", 1, crossed));
+        session.listAsLeaving("plank-lautoka").advance(4_000);
+        Request forwarded = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
+        session.handleEvent("lautoka-1", new Event.PeerAsked("suva-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
     }
 
     @Test
-    void shouldServeAwayWhenHomeHasNoTarget() {
-        Session session = Koro.start().listAsLeaving("plank-suva").pass(4_000);
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        assertEquals(1, session.waitingAt("r1").size());
+    void shouldServeInOtherRegionWhenHomeHasNoTarget() {
+        Session session = Koro.start().listAsLeaving("plank-suva").advance(4_000);
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        assertEquals(1, session.pendingTargets("r1").size());
         session.end("r1", Koro.whole("steps"));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertEquals(3, answered.path().size(), () -> "path " + answered.path());
     }
 
     /*
-     * Symptom: a caller gets two answers, or the answer of an attempt that was given up. Sequence: the first target is
-     * slow, the attempt is given up, the retry answers, then the first answer arrives. Cause: results matched by
-     * request alone.
+     * Guards against delivering two answers, or the answer of an abandoned attempt. The first attempt is abandoned, the
+     * retry answers, then the first answer arrives; results must be matched by request and attempt.
      */
     @Test
-    void shouldDropLateAnswerWhenAttemptWasGivenUp() {
+    void shouldDropLateAnswerWhenAttemptWasAbandoned() {
         Session session = Koro.start()
-                .target("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .relist();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.end("r1", Koro.lost(session.waitingAt("r1").get(0)));
-        session.feed("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+                .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
+                .publishList();
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
         assertEquals(List.of(), session.outcomes("r1"));
         session.end("r1", Koro.whole("second"));
-        session.feed("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertEquals(((AttemptResult.Whole) Koro.whole("second")).answer(), answered.answer());
         session.transcript().assertMatches("late-answer");
     }
 
     @Test
-    void shouldResumeStreamAtItsPartWhenItBreaks() {
+    void shouldResumeStreamAtNextEventWhenConnectionBreaks() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.feed("suva-1", new Event.StreamProgressed("r1", 1, 5));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.handleEvent("suva-1", new Event.StreamProgressed("r1", 1, 5));
         session.end("r1", new AttemptResult.Lost(Failure.of(Step.RECEIVE, "plank-suva", "broke"), 5));
-        assertEquals(List.of("plank-suva"), session.waitingAt("r1"));
+        assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
         session.end("r1", new AttemptResult.Lost(Failure.of(Step.RECEIVE, "plank-suva", "broke"), 6));
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
         session.transcript().assertMatches("stream-broken-twice");
@@ -109,50 +106,50 @@
     @Test
     void shouldEndAtOnceWhenDeadlinePasses() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.pass(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
     }
 
     @Test
     void shouldCancelAtTargetWhenCallerLeaves() {
         Session session = Koro.start();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.feed("suva-1", new Event.AskerLeft("r1"));
-        assertEquals(List.of(), session.waitingAt("r1"));
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.handleEvent("suva-1", new Event.AskerLeft("r1"));
+        assertEquals(List.of(), session.pendingTargets("r1"));
         assertEquals(0, session.node("suva-1").status().inFlight());
         session.transcript().assertMatches("cancelled");
     }
 
     /*
-     * Symptom: a caller is told "not run" for a draft that ran. Sequence: the first attempt's answer is lost, the retry
-     * finds no target. Cause: the outcome judged by the newest attempt alone.
+     * Guards against reporting "not run" for a request that ran: the answer of the first attempt is lost, the retries
+     * are refused, and the outcome is judged by the last attempt alone.
      */
     @Test
-    void shouldNotSayNotRunWhenAnEarlierAttemptMayHaveRun() {
+    void shouldNotReportNotRunWhenEarlierAttemptMayHaveRun() {
         Session session = Koro.start()
-                .target("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .relist();
-        session.ask("suva-1", Koro.draft(session, "r1", "suva"));
-        session.end("r1", Koro.lost(session.waitingAt("r1").get(0)));
-        session.end("r1", Koro.refused(session.waitingAt("r1").get(0)));
-        while (!session.waitingAt("r1").isEmpty()) {
-            session.end("r1", Koro.refused(session.waitingAt("r1").get(0)));
+                .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
+                .publishList();
+        session.request("suva-1", Koro.draft(session, "r1", "suva"));
+        session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
+        session.end("r1", Koro.refused(session.pendingTargets("r1").get(0)));
+        while (!session.pendingTargets("r1").isEmpty()) {
+            session.end("r1", Koro.refused(session.pendingTargets("r1").get(0)));
         }
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
     }
 
     /*
-     * Symptom: a booking goes to a model engine. Sequence: a draft and a booking carry the same prefix hashes. Cause: the
-     * memory of which target last saw a prefix did not know services.
+     * Guards against sending a request to a target of another service: requests for two services carry the same prefix
+     * hashes, and prefix affinity ignores the service.
      */
     @Test
-    void shouldChooseOwnServiceWhenAnotherServedThePrefix() {
+    void shouldChooseTargetOfOwnServiceWhenOtherServiceHadSamePrefix() {
         Session session = Koro.start();
-        session.ask("labasa-1", Koro.draft(session, "r1", "labasa"));
+        session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
         session.end("r1", Koro.whole("steps"));
-        session.ask("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
-        assertEquals(List.of("desk-labasa"), session.waitingAt("r2"));
+        session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
+        assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
@@ -14,22 +14,22 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * A session as text, to be compared with a golden file. Confined to one thread.
+ * The text form of a session, which is compared with a golden file. Confined to one thread.
  *
- * <p>It leaves out what every second repeats: ticks without effect, heartbeats, links, and reads of the store. Run with
- * {@code -Dgolden.write=true} to write the files anew, then read the difference before committing it.
+ * <p>It omits periodic events: ticks without effect, heartbeats, links and store reads. Run with
+ * {@code -Dgolden.write=true} to regenerate the files, and review the difference before committing it.
  */
 final class Transcript {
     private static final Pattern REQUEST =
             Pattern.compile("Request\\[id=([^,]*), account=([^,]*), service=([^,]*), .*?claimed=\\w+\\]");
     private static final Pattern ARRAY = Pattern.compile("\\[B@[0-9a-f]+");
     private static final int TAIL_LENGTH = 2_000;
-    private static final Path FOLDER = Path.of("src/test/resources/golden");
+    private static final Path GOLDEN_DIRECTORY = Path.of("src/test/resources/golden");
 
     private final StringBuilder text = new StringBuilder();
 
-    /** Writes down an event with what it led to. */
-    void add(long nowMillis, String host, Event event, List<Action> actions) {
+    /** Records an event with the resulting actions. */
+    void record(long nowMillis, String host, Event event, List<Action> actions) {
         List<Action> shown = actions.stream().filter(Transcript::isShown).toList();
         if (shown.isEmpty() && !isShown(event)) {
             return;
@@ -39,8 +39,8 @@
         shown.forEach(action -> text.append("    > ").append(brief(action)).append('\n'));
     }
 
-    /** Writes down something that the script did to a host. */
-    void note(long nowMillis, String host, String note) {
+    /** Records an operation of the script on a host. */
+    void recordNote(long nowMillis, String host, String note) {
         text.append(nowMillis)
                 .append(' ')
                 .append(host)
@@ -49,22 +49,22 @@
                 .append('\n');
     }
 
-    /** The newest part of what was written down. */
+    /** Returns the end of the transcript. */
     String tail() {
         return text.substring(Math.max(0, text.length() - TAIL_LENGTH));
     }
 
-    /** Forgets what was written down so far. */
+    /** Discards the transcript so far. */
     void clear() {
         text.setLength(0);
     }
 
-    /** Compares the session with its golden file. */
+    /** Asserts that the transcript equals its golden file. */
     void assertMatches(String name) {
-        Path file = FOLDER.resolve(name + ".txt");
+        Path file = GOLDEN_DIRECTORY.resolve(name + ".txt");
         try {
             if (Boolean.getBoolean("golden.write")) {
-                Files.createDirectories(FOLDER);
+                Files.createDirectories(GOLDEN_DIRECTORY);
                 Files.writeString(file, text);
             }
             assertEquals(Files.readString(file), text.toString());
