--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdapterNames.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdapterNames.java
@@ -7,12 +7,12 @@
 import org.rattanplank.gateway.store.StoreFormat;
 
 /**
- * All that an installation calls by its own names: headers, keys of the store, and the questions of its callers.
+ * The names and formats that an installation defines: headers, store keys and values, and the entry host directory.
  * Immutable and thread safe.
  *
  * @param headers the names of headers
- * @param storeFormat the names and formats of the store
- * @param directoryFormat how callers ask for entry hosts
+ * @param storeFormat the keys and value formats of the store
+ * @param directoryFormat the format of requests for entry hosts
  */
 public record AdapterNames(HeaderNames headers, StoreFormat storeFormat, DirectoryFormat directoryFormat) {
     public AdapterNames {
@@ -21,40 +21,40 @@
         Objects.requireNonNull(directoryFormat, "directoryFormat");
     }
 
-    /** How callers and the platform ask and are answered. Stateless and thread safe. */
+    /** The format of requests for entry hosts and of readiness probes. Stateless and thread safe. */
     public interface DirectoryFormat {
         /**
-         * Reads a question for entry hosts.
+         * Parses a request for entry hosts.
          *
          * @param uri the path with its query
-         * @return the question, or none if it is another one
+         * @return the query, or none if it is another request
          */
         Option<Question> read(String uri);
 
         /**
-         * Writes the answer.
+         * Formats the response to a request for entry hosts.
          *
-         * @param addresses the hosts' addresses
-         * @param seconds how long they may be used
-         * @return the answer
+         * @param addresses the addresses of the hosts
+         * @param seconds how long the list may be used
+         * @return the response
          */
         AdminAnswer write(List<String> addresses, int seconds);
 
         /**
-         * Tells whether a path asks for readiness.
+         * Returns whether a request is a readiness probe.
          *
          * @param uri the path with its query
-         * @return whether it does
+         * @return whether it is
          */
         boolean asksReadiness(String uri);
     }
 
     /**
-     * A caller's question.
+     * A caller's query for entry hosts.
      *
-     * @param hostName what it wants to reach
-     * @param region its region
-     * @param dataCentre its data centre
+     * @param hostName the host name the caller wants to reach
+     * @param region the caller's region
+     * @param dataCentre the caller's data centre
      */
     public record Question(String hostName, String region, String dataCentre) {}
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminAnswer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminAnswer.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * A small answer. Immutable and thread safe.
+ * A small HTTP response. Immutable and thread safe.
  *
- * @param status its status
- * @param contentType what the body is
+ * @param status the HTTP status
+ * @param contentType the content type of the body
  * @param body the body
  */
 public record AdminAnswer(int status, String contentType, String body) {
-    /** The status of requests that can't be understood. */
+    /** The status for malformed requests. */
     public static final int BAD_REQUEST = 400;
 
     private static final int OK = 200;
@@ -23,38 +23,38 @@
     }
 
     /**
-     * Makes an answer with text.
+     * Returns a plain text response.
      *
      * @param body the text
-     * @return the answer
+     * @return the response
      */
     public static AdminAnswer text(String body) {
         return new AdminAnswer(OK, "text/plain; charset=utf-8", body);
     }
 
     /**
-     * Makes an answer with JSON.
+     * Returns a JSON response.
      *
      * @param body the JSON
-     * @return the answer
+     * @return the response
      */
     public static AdminAnswer json(String body) {
         return new AdminAnswer(OK, "application/json", body);
     }
 
     /**
-     * Makes an answer to what nothing is known of.
+     * Returns a response with status 404.
      *
-     * @return the answer
+     * @return the response
      */
     public static AdminAnswer notFound() {
         return new AdminAnswer(NOT_FOUND, "text/plain; charset=utf-8", "not found\n");
     }
 
     /**
-     * Makes an answer that says "not now".
+     * Returns a response with status 503.
      *
-     * @return the answer
+     * @return the response
      */
     public static AdminAnswer unavailable() {
         return new AdminAnswer(UNAVAILABLE, "text/plain; charset=utf-8", "not ready\n");
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminServer.java
@@ -24,18 +24,18 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 
-/** Serves small answers that are at hand, such as readiness and metrics. Confined to the event loop. */
+/** Serves small in-memory responses such as readiness, entry hosts and metrics. Confined to the event loop. */
 public final class AdminServer {
     private static final int MAX_BODY_BYTES = 65_536;
 
     private AdminServer() {}
 
     /**
-     * Serves a port.
+     * Binds a port and serves requests on it.
      *
      * @param group the event loop
-     * @param address where
-     * @param answers makes the answer from a path with its query
+     * @param address the address to bind
+     * @param answers returns the response for a path with its query
      */
     public static void listen(EventLoopGroup group, InetSocketAddress address, Function<String, AdminAnswer> answers) {
         new ServerBootstrap()
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Beliefs.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
@@ -19,36 +19,36 @@
 import org.rattanplank.gateway.store.StoreFailure;
 import org.rattanplank.gateway.store.StoreItem;
 
-/** Turns what the store says into what this host believes, with a log line for each change. Confined to the event loop. */
-final class Beliefs implements FeedListener {
-    /** Keys and reasons told once are remembered, some 100 KB of them at most. */
-    private static final int MOST_UNREADABLE_TOLD = 1_000;
+/** Applies facts read from the store to this host's cluster state and logs each change. Confined to the event loop. */
+final class ClusterStateUpdater implements FeedListener {
+    /** Each key and reason is logged once; they take 100 KB of memory at most. */
+    private static final int MAX_REPORTED_UNREADABLE = 1_000;
 
-    /** An answer of so many bytes has a line of its own: it takes 50 ms of a link of 10 Mbit/s. */
-    private static final long LARGE_BYTES = 64 << 10;
+    /** Store responses of at least this size are logged: 64 KiB take 50 ms of a link of 10 Mbit/s. */
+    private static final long LARGE_RESPONSE_BYTES = 64 << 10;
 
     private final GatewayState state;
     private final PeerLinks links;
-    private final Runnable ownKeyLost;
-    private final Set<String> unreadableTold = new HashSet<>();
+    private final Runnable onOwnKeyLost;
+    private final Set<String> reportedUnreadable = new HashSet<>();
 
-    Beliefs(GatewayState state, PeerLinks links, Runnable ownKeyLost) {
+    ClusterStateUpdater(GatewayState state, PeerLinks links, Runnable onOwnKeyLost) {
         this.state = state;
         this.links = links;
-        this.ownKeyLost = ownKeyLost;
+        this.onOwnKeyLost = onOwnKeyLost;
     }
 
     @Override
     public void learnt(StoreItem item, ClusterFact fact) {
         if (fact instanceof ClusterFact.Configured configured) {
-            configured(configured.configuration());
+            applyConfiguration(configured.configuration());
         } else if (fact instanceof ClusterFact.IntentsApplied applied) {
-            intentsApplied(applied.document());
+            applyIntents(applied.document());
         } else if (fact instanceof ClusterFact.TargetEntered entered) {
-            entered(entered.entry());
+            applyTargetEntry(entered.entry());
         } else if (fact instanceof ClusterFact.TargetRemoved removed) {
             state.pool().removed(removed.id(), state.nowMillis());
-            gone(removed.id(), "no entry");
+            logTargetGone(removed.id(), "its entry was removed");
         } else if (fact instanceof ClusterFact.Evacuation evacuation) {
             state.pool().evacuate(evacuation.dataCentre(), evacuation.active(), state.nowMillis());
             state.log()
@@ -61,21 +61,21 @@
         } else if (fact instanceof ClusterFact.HostRemoved host) {
             links.removed(host.name());
             if (host.name().equals(state.self().name())) {
-                ownKeyLost.run();
+                onOwnKeyLost.run();
             }
         } else if (fact instanceof ClusterFact.Unreadable unreadable) {
-            unreadable(item, unreadable);
+            reportUnreadable(item, unreadable);
         }
     }
 
     @Override
     public void storeAnswered(long tookMillis) {
-        state.metrics().took(Latency.STORE_CALL, tookMillis);
+        state.metrics().record(Latency.STORE_CALL, tookMillis);
     }
 
     @Override
     public void read(FeedReading reading, long bytes, int items, long tookMillis) {
-        if (bytes >= LARGE_BYTES) {
+        if (bytes >= LARGE_RESPONSE_BYTES) {
             state.log()
                     .ordinary(LogLine.of(LogEvent.STORE_READ)
                             .with("reading", reading.name())
@@ -97,11 +97,13 @@
     }
 
     void tick(long nowMillis) {
-        state.pool().tick(nowMillis).forEach(id -> gone(id, "its entry did not come back"));
+        state.pool()
+                .tick(nowMillis)
+                .forEach(id -> logTargetGone(id, "its entry was not restored in time after the store returned"));
     }
 
-    private void configured(GatewayConfiguration configuration) {
-        if (state.configure(configuration)) {
+    private void applyConfiguration(GatewayConfiguration configuration) {
+        if (state.applyConfiguration(configuration)) {
             state.log()
                     .important(LogLine.of(LogEvent.CONFIGURED)
                             .with("configurationVersion", configuration.version())
@@ -109,25 +111,25 @@
         }
     }
 
-    private void intentsApplied(Document document) {
+    private void applyIntents(Document document) {
         Documents.read(document)
                 .onFailure(error -> state.log()
                         .important(LogLine.of(LogEvent.ITEM_UNREADABLE)
                                 .with("key", Configurations.KEY)
                                 .with("reason", String.valueOf(error.getMessage()))))
-                .filter(state::refine)
+                .filter(state::applyIntents)
                 .forEach(intents -> state.log()
                         .important(LogLine.of(LogEvent.CONFIGURED)
                                 .with("intentsGeneration", intents.generation())
                                 .with("retiring", String.join(",", intents.retiring()))));
     }
 
-    private void entered(TargetEntry entry) {
+    private void applyTargetEntry(TargetEntry entry) {
         EntryChange change = state.pool().entered(entry, state.nowMillis());
-        state.retireTargets();
-        change.ended().forEach(before -> {
-            state.connections().end(before);
-            gone(before.runText(), "it has started again");
+        state.markRetiringTargets();
+        change.ended().forEach(previous -> {
+            state.connections().end(previous);
+            logTargetGone(previous.runText(), "the target has restarted");
         });
         change.changed().forEach(target -> state.log()
                 .important(LogLine.of(LogEvent.TARGET_CHANGED)
@@ -137,23 +139,23 @@
                         .with("coldMillis", entry.coldMillis())));
     }
 
-    /** An entry that another writer left, or spoilt, is told once a key and reason; it may be written each second. */
-    private void unreadable(StoreItem item, ClusterFact.Unreadable unreadable) {
+    /** Logs an unreadable entry once per key and reason, as it may be rewritten every second. */
+    private void reportUnreadable(StoreItem item, ClusterFact.Unreadable unreadable) {
         unreadable.target().forEach(state.pool()::unreadable);
         state.metrics().unreadableItem();
-        if (unreadableTold.add(item.key() + ' ' + unreadable.reason())) {
+        if (reportedUnreadable.add(item.key() + ' ' + unreadable.reason())) {
             state.log()
                     .important(LogLine.of(LogEvent.ITEM_UNREADABLE)
                             .with("key", item.key())
                             .with("revision", item.revision())
                             .with("reason", unreadable.reason()));
         }
-        if (unreadableTold.size() > MOST_UNREADABLE_TOLD) {
-            unreadableTold.clear();
+        if (reportedUnreadable.size() > MAX_REPORTED_UNREADABLE) {
+            reportedUnreadable.clear();
         }
     }
 
-    private void gone(String id, String reason) {
+    private void logTargetGone(String id, String reason) {
         state.log()
                 .important(LogLine.of(LogEvent.TARGET_GONE).with("target", id).with("reason", reason));
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -27,10 +27,10 @@
 import org.rattanplank.gateway.log.EventLog;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
-import org.rattanplank.gateway.pass.CallerReply;
-import org.rattanplank.gateway.pass.ForwardedCall;
+import org.rattanplank.gateway.pass.CallerResponse;
+import org.rattanplank.gateway.pass.ForwardedRequest;
 import org.rattanplank.gateway.pass.GatewayState;
-import org.rattanplank.gateway.pass.PassThrough;
+import org.rattanplank.gateway.pass.ProxiedRequest;
 import org.rattanplank.gateway.peer.PeerFrame;
 import org.rattanplank.gateway.peer.PeerLink;
 import org.rattanplank.gateway.peer.PeerLinks;
@@ -43,28 +43,28 @@
 import org.rattanplank.gateway.target.TargetConnections;
 
 /**
- * One gateway process: its ports, what it believes, and its steps in time.
+ * One gateway process: its ports, its cluster state and its periodic tasks.
  *
- * <p>Invariant: everything but the log's writer runs on one event loop, so that what is believed needs no lock. Confined
- * to the event loop but for {@link #start} and {@link #stop}.
+ * <p>Invariant: everything but the log writer runs on one event loop, so the state needs no locks. Confined to the
+ * event loop except {@link #start} and {@link #stop}.
  */
 public final class Gateway implements PeerListener {
-    /** How exactly a request's end and a silent target are noticed. */
+    /** The resolution of request deadlines and of the detection of unresponsive targets. */
     private static final long TICK_MILLIS = 50;
 
-    /** A loop so late has a line of the log: the objectives of plain services are some 400 ms. */
-    private static final long LATE_MILLIS = 100;
+    /** Ticks with a delay of at least this are logged; the latency objectives of plain services are about 400 ms. */
+    private static final long LATE_TICK_MILLIS = 100;
 
-    /** Ticks between two looks at idle connections. */
-    private static final int SLOW_TICKS = 5;
+    /** The number of ticks between two checks for idle connections. */
+    private static final int IDLE_CHECK_TICKS = 5;
 
-    /** A link with so much waiting has a line of the log: its callers' requests wait behind it. */
-    private static final long FULL_BYTES = 32 << 10;
+    /** Links with at least this many bytes queued are logged: forwarded requests wait behind them. */
+    private static final long CONGESTED_LINK_BYTES = 32 << 10;
 
     private final GatewaySettings settings;
     private final AdapterNames names;
     private final SteadyClock clock = SteadyClock.ofProcess();
-    private final ReadHorizon horizon = ReadHorizon.of(clock.nowMillis(), LATE_MILLIS);
+    private final ReadWatermark readWatermark = ReadWatermark.of(clock.nowMillis(), LATE_TICK_MILLIS);
     private final EventLoopGroup group;
     private final EventLoop loop;
     private final EventLog log;
@@ -75,13 +75,13 @@
     private final CallerDirectory directory = CallerDirectory.of(clock.nowMillis());
     private final CallerServer callers;
     private final PeerLinks links;
-    private final PeerReports reports;
-    private final Beliefs beliefs;
+    private final PeerStateExchange stateExchange;
+    private final ClusterStateUpdater stateUpdater;
     private final StoreFeed feed;
     private final HostLease lease;
     private final RequestReader reader;
-    private final Set<PassThrough> requests = new HashSet<>();
-    private final Map<PeerLink, Map<Long, ForwardedCall>> forwarded = new HashMap<>();
+    private final Set<ProxiedRequest> requests = new HashSet<>();
+    private final Map<PeerLink, Map<Long, ForwardedRequest>> forwarded = new HashMap<>();
     private long ticks;
     private Option<GatewayStop> stop = Option.none();
 
@@ -98,30 +98,35 @@
         this.log = log;
         loop = group.next();
         self = new GatewayHost(
-                settings.name(), incarnation, settings.place(), text(settings.callers()), text(settings.peers()));
+                settings.name(),
+                incarnation,
+                settings.place(),
+                hostAndPort(settings.callers()),
+                hostAndPort(settings.peers()));
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
         reader = new RequestReader(names.headers());
         connections = new TargetConnections(group, names.headers(), clock);
         state = new GatewayState(settings, self, clock, random, connections, log, metrics);
-        links = new PeerLinks(self, group, clock, horizon::millis, this);
+        links = new PeerLinks(self, group, clock, readWatermark::millis, this);
 
-        callers = new CallerServer(group, clock, this::bounds, this::received, this::unsound);
-        beliefs = new Beliefs(state, links, this::keyLost);
-        feed = StoreFeed.of(store, names.storeFormat(), beliefs, loop, clock, random, settings.linkBytesPerMilli());
-        state.join(links, feed::isComplete);
+        callers = new CallerServer(group, clock, this::bounds, this::onRequest, this::onMalformedRequest);
+        stateUpdater = new ClusterStateUpdater(state, links, this::onKeyLost);
+        feed = StoreFeed.of(
+                store, names.storeFormat(), stateUpdater, loop, clock, random, settings.linkBytesPerMilli());
+        state.attach(links, feed::isComplete);
         lease = HostLease.of(
-                store, names.storeFormat(), self, loop, settings.limits().leaseMillis(), this::leaseTold);
-        reports =
-                new PeerReports(state, links, feed, settings.linkBytesPerMilli(), this::takesCallers, this::workMillis);
-        gauges(store.traffic());
+                store, names.storeFormat(), self, loop, settings.limits().leaseMillis(), this::onLeaseAnswer);
+        stateExchange = new PeerStateExchange(
+                state, links, feed, settings.linkBytesPerMilli(), this::acceptsCallers, this::workMillis);
+        registerGauges(store.traffic());
     }
 
     /**
-     * Makes a process's gateway; nothing is served yet.
+     * Creates the gateway of a process; nothing is served until {@link #start}.
      *
-     * @param settings its settings
-     * @param names what the installation calls by its own names
-     * @param group the event loop, which has one thread
+     * @param settings the settings of this process
+     * @param names the names and formats of the installation
+     * @param group the event loop group, which has one thread
      * @param store the platform's store
      * @param log the log
      * @param incarnation the identifier of this run of the process
@@ -137,11 +142,11 @@
         return new Gateway(settings, names, group, store, log, incarnation);
     }
 
-    /** Serves all ports and begins to follow the store. */
+    /** Binds all ports and starts to follow the store. */
     public void start() {
-        AdminServer.listen(group, settings.readiness(), this::admin);
-        AdminServer.listen(group, settings.directory(), this::admin);
-        AdminServer.listen(group, settings.metrics(), this::admin);
+        AdminServer.listen(group, settings.readiness(), this::handleAdmin);
+        AdminServer.listen(group, settings.directory(), this::handleAdmin);
+        AdminServer.listen(group, settings.metrics(), this::handleAdmin);
         links.listen(settings.peers());
         callers.listen(settings.callers());
         loop.execute(() -> {
@@ -149,14 +154,15 @@
             lease.start();
             log.important(LogLine.of(LogEvent.STARTED).with("incarnation", self.incarnation()));
         });
-        // Two ticks are never run in the same turn of the event loop, so that it reads between them.
+        // With a fixed delay two ticks never run in the same turn of the event loop, so it reads its sockets in
+        // between.
         loop.scheduleWithFixedDelay(this::tickSafely, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
      * Stops gracefully.
      *
-     * @param ended run when no caller waits any more, or the time for stopping is up
+     * @param ended run when no request or connection is left, or the grace period is over
      */
     public void stop(Runnable ended) {
         loop.execute(() -> {
@@ -167,19 +173,19 @@
                     state,
                     callers,
                     links,
-                    this::hasWork,
-                    this::cutAll,
+                    this::hasRequests,
+                    this::abortAll,
                     settings.limits().stopGraceMillis(),
                     ended));
             log.important(LogLine.of(LogEvent.STOPPING).with("requests", requests.size()));
             callers.stop();
             lease.leave();
-            reports.tellAll();
+            stateExchange.sendStateToAll();
             loop.scheduleAtFixedRate(stop.get()::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         });
     }
 
-    /** Notes that the settings were read again. */
+    /** Logs that the settings were reloaded. */
     public void reloaded() {
         log.important(LogLine.of(LogEvent.RELOADED));
     }
@@ -188,7 +194,7 @@
     public void connected(PeerLink link) {
         log.important(LogLine.of(LogEvent.PEER_CONNECTED)
                 .with("peer", link.host().get().name()));
-        reports.tell(link);
+        stateExchange.sendState(link);
     }
 
     @Override
@@ -197,141 +203,142 @@
                 .with("peer", link.host().map(GatewayHost::name).getOrElse(""))
                 .with("reason", reason));
         Option.of(forwarded.remove(link))
-                .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedCall::cancel));
-        reports.lost(link);
+                .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedRequest::cancel));
+        stateExchange.lost(link);
     }
 
     @Override
-    public void state(PeerLink link, PeerFrame.State said) {
-        reports.said(link, said);
+    public void state(PeerLink link, PeerFrame.State received) {
+        stateExchange.receiveState(link, received);
     }
 
     @Override
     public void largeRead(PeerLink link, PeerFrame.TargetWork work) {
-        reports.saidOfLargeRead(link, work);
+        stateExchange.receiveLargePrefillNotice(link, work);
     }
 
     @Override
-    public void storeItems(PeerFrame.StoreItems known) {
-        state.pool().beLenient(known.lenientMillis(), clock.nowMillis());
-        feed.takeFromPeer(known.base(), known.revision(), known.items());
+    public void storeItems(PeerFrame.StoreItems storeItems) {
+        state.pool().beLenient(storeItems.lenientMillis(), clock.nowMillis());
+        feed.takeFromPeer(storeItems.base(), storeItems.revision(), storeItems.items());
     }
 
     @Override
     public void asked(PeerLink link, PeerFrame.Ask ask) {
         GatewayRequest request =
                 reader.request(ask.method(), ask.uri(), ask.authority(), PeerLink.headers(ask.headers()), ask.body());
-        Map<Long, ForwardedCall> calls = forwarded.computeIfAbsent(link, each -> new HashMap<>());
-        ForwardedCall call = new ForwardedCall(state, link, ask, request, () -> calls.remove(ask.call()));
+        Map<Long, ForwardedRequest> calls = forwarded.computeIfAbsent(link, each -> new HashMap<>());
+        ForwardedRequest call = new ForwardedRequest(state, link, ask, request, () -> calls.remove(ask.call()));
         calls.put(ask.call(), call);
-        startLater(call::start);
+        startAfterPendingReads(call::start);
     }
 
     @Override
     public void cancelled(PeerLink link, long number) {
-        ForwardedCall call = forwarded.getOrDefault(link, Map.of()).get(number);
+        ForwardedRequest call = forwarded.getOrDefault(link, Map.of()).get(number);
         if (call != null) {
             call.cancel();
         }
     }
 
-    private void received(CallerConnection connection, HttpRequest head, byte[] body, Consumer<CallerCall> taker) {
+    private void onRequest(
+            CallerConnection connection, HttpRequest head, byte[] body, Consumer<CallerCall> callReceiver) {
         Option<GatewayRequest> request = reader.read(head, body);
-        metrics.took(Latency.REQUEST_READ, connection.readMillis());
-        CallerReply reply = new CallerReply(connection);
+        metrics.record(Latency.REQUEST_READ, connection.readMillis());
+        CallerResponse response = new CallerResponse(connection);
         if (request.isEmpty()) {
-            reply.badRequest();
-            unsound(AdminAnswer.BAD_REQUEST);
+            response.respondBadRequest();
+            onMalformedRequest(AdminAnswer.BAD_REQUEST);
             return;
         }
-        PassThrough[] made = new PassThrough[1];
-        made[0] = new PassThrough(state, request.get(), reply, () -> requests.remove(made[0]));
-        requests.add(made[0]);
-        taker.accept(made[0]);
-        startLater(() -> {
-            // A connection that has ended tells its call a moment later.
+        ProxiedRequest[] created = new ProxiedRequest[1];
+        created[0] = new ProxiedRequest(state, request.get(), response, () -> requests.remove(created[0]));
+        requests.add(created[0]);
+        callReceiver.accept(created[0]);
+        startAfterPendingReads(() -> {
+            // The disconnect of a closed connection is reported to its request a moment later.
             if (connection.isOpen()) {
-                made[0].start();
+                created[0].start();
             }
         });
     }
 
     /**
-     * Starts a request after all that has already come was read. A host that is behind with its work reads a request
-     * together with its caller's word that it left: started at once, it would reach a target for nobody. One would see
-     * targets at work on requests after their callers had left, most of all after a restart of all hosts.
+     * Starts a request after all data that has already arrived was read. A delayed host reads a request together with
+     * its caller's disconnect; started at once, the request would reach a target without a caller. Symptom: targets
+     * work on requests whose callers have disconnected, most of all after a restart of all hosts.
      */
-    private void startLater(Runnable start) {
+    private void startAfterPendingReads(Runnable start) {
         loop.execute(start);
     }
 
-    private void unsound(int status) {
+    private void onMalformedRequest(int status) {
         metrics.ended(Integer.toString(status));
-        log.ordinary(LogLine.of(LogEvent.REFUSED).with("status", status).with("reason", "the request is not sound"));
+        log.ordinary(LogLine.of(LogEvent.REFUSED).with("status", status).with("reason", "malformed request"));
     }
 
     private CallerBounds bounds() {
         return state.configuration().map(GatewayConfiguration::bounds).getOrElse(CallerBounds.DEFAULTS);
     }
 
-    private boolean takesCallers() {
-        return stop.isEmpty() && state.isInformed() && !state.isRetiring();
+    private boolean acceptsCallers() {
+        return stop.isEmpty() && state.isInitialized() && !state.isRetiring();
     }
 
     private long workMillis() {
-        if (takesCallers()) {
+        if (acceptsCallers()) {
             return PeerFrame.State.FOR_GOOD;
         }
-        return state.isInformed() ? stop.map(GatewayStop::workMillis).getOrElse(0L) : 0;
+        return state.isInitialized() ? stop.map(GatewayStop::workMillis).getOrElse(0L) : 0;
     }
 
-    private void leaseTold(Option<StoreFailure> failure) {
+    private void onLeaseAnswer(Option<StoreFailure> failure) {
         feed.leaseAnswered(failure.isEmpty());
         failure.forEach(
                 reason -> log.important(LogLine.of(LogEvent.LEASE_FAILED).with("reason", reason.name())));
     }
 
-    private void keyLost() {
+    private void onKeyLost() {
         lease.keyLost();
     }
 
-    private AdminAnswer admin(String uri) {
+    private AdminAnswer handleAdmin(String uri) {
         if (names.directoryFormat().asksReadiness(uri)) {
-            return takesCallers() ? AdminAnswer.text("ready\n") : AdminAnswer.unavailable();
+            return acceptsCallers() ? AdminAnswer.text("ready\n") : AdminAnswer.unavailable();
         }
-        Option<AdapterNames.Question> question = names.directoryFormat().read(uri);
-        if (question.isDefined()) {
-            List<String> hosts = callersHosts(question.get());
+        Option<AdapterNames.Question> query = names.directoryFormat().read(uri);
+        if (query.isDefined()) {
+            List<String> hosts = entryHosts(query.get());
             return hosts.isEmpty()
                     ? AdminAnswer.unavailable()
                     : names.directoryFormat().write(hosts, settings.limits().listSeconds());
         }
         if (uri.startsWith("/status")) {
             return AdminAnswer.json(
-                    GatewayStatus.of(state, requests.size(), !takesCallers()).toJson());
+                    GatewayStatus.of(state, requests.size(), !acceptsCallers()).toJson());
         }
         return uri.startsWith("/metrics") ? AdminAnswer.text(metrics.text()) : AdminAnswer.notFound();
     }
 
-    private List<String> callersHosts(AdapterNames.Question question) {
-        List<GatewayHost> takers = hosts(takesCallers(), PeerFrame.State::takesCallers);
-        List<GatewayHost> ending = hosts(workMillis() > 0 && !takesCallers(), PeerFrame.State::isLastOfItsRegion);
-        Option<CallerPlace> place = state.configuration()
+    private List<String> entryHosts(AdapterNames.Question query) {
+        List<GatewayHost> accepting = hosts(acceptsCallers(), PeerFrame.State::takesCallers);
+        List<GatewayHost> draining = hosts(workMillis() > 0 && !acceptsCallers(), PeerFrame.State::isLastOfItsRegion);
+        Option<CallerPlace> callerPlace = state.configuration()
                 .map(configuration -> new CallerPlace(
-                        question.region(),
-                        question.dataCentre(),
-                        configuration.homeRegions(question.hostName()),
-                        configuration.commonHomeRegions(question.hostName())));
-        return directory.list(takers, ending, place, clock.nowMillis());
+                        query.region(),
+                        query.dataCentre(),
+                        configuration.homeRegions(query.hostName()),
+                        configuration.commonHomeRegions(query.hostName())));
+        return directory.list(accepting, draining, callerPlace, clock.nowMillis());
     }
 
-    private List<GatewayHost> hosts(boolean withSelf, Predicate<PeerFrame.State> which) {
+    private List<GatewayHost> hosts(boolean withSelf, Predicate<PeerFrame.State> condition) {
         List<GatewayHost> hosts = new ArrayList<>();
         if (withSelf) {
             hosts.add(self);
         }
         for (PeerLink link : links.alive()) {
-            if (which.test(link.state())) {
+            if (condition.test(link.state())) {
                 hosts.add(link.host().get());
             }
         }
@@ -342,20 +349,20 @@
         try {
             tick();
         } catch (RuntimeException e) {
-            // A periodic task that throws is never run again: requests would no longer end at their time, and nothing
-            // would show it but their number.
-            org.tinylog.Logger.error(e, "gateway: a step failed");
+            // A periodic task that throws is not run again: requests would no longer end at their deadline, and only
+            // their growing number would show it.
+            org.tinylog.Logger.error(e, "gateway: the periodic tick failed");
         }
     }
 
     /**
-     * Takes note of how late the event loop is with its work. Whatever comes then waits as long, and nothing else would
-     * show it: times of requests begin when they are read.
+     * Records the delay of the event loop. All work is delayed as much, and no other metric shows it, as the time of a
+     * request starts when it is read.
      */
-    private void noteDelay(long now) {
-        long delayMillis = Math.max(0, horizon.ticked(now) - TICK_MILLIS);
-        metrics.took(Latency.LOOP_DELAY, delayMillis);
-        if (delayMillis >= LATE_MILLIS) {
+    private void recordLoopDelay(long now) {
+        long delayMillis = Math.max(0, readWatermark.recordTick(now) - TICK_MILLIS);
+        metrics.record(Latency.LOOP_DELAY, delayMillis);
+        if (delayMillis >= LATE_TICK_MILLIS) {
             log.ordinary(LogLine.of(LogEvent.LOOP_LATE)
                     .with("delayMillis", delayMillis)
                     .with("requests", requests.size()));
@@ -364,23 +371,23 @@
 
     private void tick() {
         long now = clock.nowMillis();
-        noteDelay(now);
+        recordLoopDelay(now);
         ticks++;
-        List.copyOf(requests).forEach(request -> request.tick(horizon.millis()));
+        List.copyOf(requests).forEach(request -> request.tick(readWatermark.millis()));
         links.tick();
-        reports.tick(now);
-        beliefs.tick(now);
-        if (ticks % SLOW_TICKS == 0) {
+        stateExchange.tick(now);
+        stateUpdater.tick(now);
+        if (ticks % IDLE_CHECK_TICKS == 0) {
             connections.tick();
             callers.tick();
-            noteFullLinks();
-            directory.saw(hosts(workMillis() > 0, said -> said.workMillis() > 0), now);
+            logCongestedLinks();
+            directory.saw(hosts(workMillis() > 0, received -> received.workMillis() > 0), now);
         }
     }
 
-    private void noteFullLinks() {
+    private void logCongestedLinks() {
         for (PeerLink link : links.alive()) {
-            if (link.waitingBytes() >= FULL_BYTES) {
+            if (link.waitingBytes() >= CONGESTED_LINK_BYTES) {
                 log.ordinary(LogLine.of(LogEvent.LINK_FULL)
                         .with("peer", link.host().get().name())
                         .with("waitingBytes", link.waitingBytes()));
@@ -388,18 +395,18 @@
         }
     }
 
-    private boolean hasWork() {
+    private boolean hasRequests() {
         return !requests.isEmpty() || forwarded.values().stream().anyMatch(calls -> !calls.isEmpty());
     }
 
-    /** Ends what is still under way: an answer that tells so is better than a connection that just ends. */
-    private void cutAll() {
-        List.copyOf(requests).forEach(PassThrough::cut);
+    /** Aborts all requests in progress: a response with the outcome is better than a closed connection. */
+    private void abortAll() {
+        List.copyOf(requests).forEach(ProxiedRequest::abort);
         List.copyOf(forwarded.values())
-                .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedCall::cut));
+                .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedRequest::abort));
     }
 
-    private void gauges(CallTraffic storeTraffic) {
+    private void registerGauges(CallTraffic storeTraffic) {
         metrics.gauge("configuration_version", state::configurationVersion);
         metrics.gauge("intents_generation", () -> state.intents().generation());
         metrics.gauge("store_age_millis", () -> feed.ageMillis());
@@ -420,7 +427,7 @@
         metrics.gauge("log_lines_dropped", log::dropped);
     }
 
-    private static String text(java.net.InetSocketAddress address) {
+    private static String hostAndPort(java.net.InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayMetrics.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayMetrics.java
@@ -10,57 +10,57 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.rattanplank.gateway.target.AttemptFailure;
 
-/** The numbers of one gateway process, by Dropwizard Metrics. Thread safe. */
+/** The metrics of one gateway process, based on Dropwizard Metrics. Thread safe. */
 public final class GatewayMetrics {
     private static final String PREFIX = "rattanplank_gateway_";
 
-    /** Two digits tell 1.00 s from 1.01 s, at some 10 KB a histogram. */
-    private static final int DIGITS = 2;
+    /** Two significant digits distinguish 1.00 s from 1.01 s, at about 10 KB per histogram. */
+    private static final int SIGNIFICANT_DIGITS = 2;
 
-    private static final long LONGEST_MILLIS = 120_000;
+    private static final long MAX_LATENCY_MILLIS = 120_000;
     private static final double[] QUANTILES = {0.5, 0.9, 0.99, 0.999};
     private static final double PERCENT = 100;
 
     private final MetricRegistry registry = new MetricRegistry();
     private final Map<Latency, ConcurrentHistogram> latencies = new EnumMap<>(Latency.class);
 
-    /** Makes empty metrics. */
+    /** Creates empty metrics. */
     public GatewayMetrics() {
         for (Latency latency : Latency.values()) {
-            latencies.put(latency, new ConcurrentHistogram(LONGEST_MILLIS, DIGITS));
+            latencies.put(latency, new ConcurrentHistogram(MAX_LATENCY_MILLIS, SIGNIFICANT_DIGITS));
         }
     }
 
     /**
-     * Takes a time.
+     * Records a duration.
      *
-     * @param latency what it is of
-     * @param millis the time
+     * @param latency the kind of duration
+     * @param millis the duration
      */
-    public void took(Latency latency, double millis) {
-        latencies.get(latency).recordValue(Math.max(0, Math.min(LONGEST_MILLIS, Math.round(millis))));
+    public void record(Latency latency, double millis) {
+        latencies.get(latency).recordValue(Math.max(0, Math.min(MAX_LATENCY_MILLIS, Math.round(millis))));
     }
 
     /**
      * Counts a send to a target or another region.
      *
-     * @param attempt which attempt of its request it is, 1 for the first
+     * @param attempt the number of the attempt, 1 for the first
      */
     public void sent(int attempt) {
         count("sends_total", "attempt=\"" + (attempt == 1 ? "first" : "repeat") + "\"");
     }
 
     /**
-     * Counts an attempt that failed.
+     * Counts a failed attempt.
      *
-     * @param failure what may have run
+     * @param failure the kind of failure
      */
     public void attemptFailed(AttemptFailure failure) {
         count("attempts_failed_total", "failure=\"" + failure.name().toLowerCase(Locale.ROOT) + "\"");
     }
 
     /**
-     * Counts a request that ended without a target's whole answer.
+     * Counts a request that ended without a complete response of a target.
      *
      * @param outcome how it ended
      */
@@ -68,30 +68,30 @@
         count("requests_total", "outcome=\"" + outcome + "\"");
     }
 
-    /** Counts a request that a target answered. */
+    /** Counts a request that was answered by a target. */
     public void answered() {
         count("requests_total", "outcome=\"answered\"");
     }
 
-    /** Counts an item of the store that can't be read. */
+    /** Counts an unreadable item of the store. */
     public void unreadableItem() {
         registry.counter(PREFIX + "unreadable_items_total").inc();
     }
 
     /**
-     * Shows a number that changes by itself.
+     * Registers a gauge.
      *
      * @param name its name
-     * @param value reads it
+     * @param value returns its current value
      */
     public void gauge(String name, LongSupplier value) {
         registry.register(PREFIX + name, (Gauge<Long>) value::getAsLong);
     }
 
     /**
-     * Writes all numbers.
+     * Returns all metrics as text.
      *
-     * @return Prometheus's text format
+     * @return the metrics in the Prometheus text format
      */
     public String text() {
         StringBuilder text = new StringBuilder(PrometheusText.of(registry));
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayRequest.java
@@ -7,17 +7,17 @@
 import org.rattanplank.core.gateway.Work;
 
 /**
- * A request to be passed through. Immutable by convention: nobody changes its headers or body.
+ * A request to be proxied. Immutable by convention: its headers and body are not modified.
  *
  * @param id its identifier, empty if the caller gave none
  * @param method its method
- * @param uri its path and query, byte for byte as they came
+ * @param uri its path and query, byte for byte as received
  * @param authority the host name that the caller addressed
- * @param headers what is passed on: no header of a connection and none that only this system sets
+ * @param headers the headers to forward, without hop-by-hop and reserved headers
  * @param body its whole body
- * @param timeoutMillis how long the caller waits, from its arrival; none if it didn't say
- * @param lastEventId the last event of the stream that the caller has; none if it begins
- * @param work what it asks of a target
+ * @param timeoutMillis how long the caller waits, from the arrival; none if not given
+ * @param lastEventId the last event of the stream that the caller has; none at the start of a stream
+ * @param work the work it requires of a target
  */
 public record GatewayRequest(
         String id,
@@ -36,7 +36,7 @@
     }
 
     /**
-     * The path that routes are matched with.
+     * Returns the path that routes are matched with.
      *
      * @return the path without its query
      */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
@@ -12,18 +12,18 @@
 /**
  * The settings of one gateway process. Immutable and thread safe.
  *
- * @param name this host's name
- * @param place where it stands
+ * @param name the name of this host
+ * @param place the location of this host
  * @param regionsByDataCentre the region of each data centre
- * @param callers where callers are served
- * @param readiness where the platform asks whether this host is ready
- * @param directory where callers ask which hosts to use
- * @param peers where other hosts reach this one
- * @param metrics where metrics are served
- * @param store where the platform's store is
- * @param linkBytesPerMilli what this host's link takes each way
- * @param limits the bounds that all hosts keep together
- * @param mechanisms which mechanisms decide; all but in experiments
+ * @param callers the address for callers
+ * @param readiness the address for readiness probes of the platform
+ * @param directory the address for requests for entry hosts
+ * @param peers the address for other hosts
+ * @param metrics the address for metrics
+ * @param store the address of the platform's store
+ * @param linkBytesPerMilli the bandwidth of this host's network link in each direction
+ * @param limits the limits that apply to all hosts
+ * @param mechanisms the enabled mechanisms; all except in experiments
  */
 public record GatewaySettings(
         String name,
@@ -43,14 +43,14 @@
         Objects.requireNonNull(place, "place");
         regionsByDataCentre = Map.copyOf(regionsByDataCentre);
         if (linkBytesPerMilli <= 0) {
-            throw new IllegalArgumentException("a link of " + linkBytesPerMilli + " bytes/ms");
+            throw new IllegalArgumentException("link bandwidth must be positive: " + linkBytesPerMilli + " bytes/ms");
         }
         Objects.requireNonNull(limits, "limits");
         Objects.requireNonNull(mechanisms, "mechanisms");
     }
 
     /**
-     * The data centres of this host's region.
+     * Returns the data centres of this host's region.
      *
      * @return their names
      */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStatus.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStatus.java
@@ -14,14 +14,15 @@
 import org.rattanplank.gateway.pass.GatewayState;
 
 /**
- * What a gateway process tells operators, in the shape that their tool reads. Immutable and thread safe.
+ * The status of a gateway process for operators, in the JSON format that the command line tool reads. Immutable and
+ * thread safe.
  *
  * @param host the host
- * @param generation the generation of intents in force
- * @param configurationVersion the version of the installation's configuration in force
- * @param inFlight the requests that callers wait for
- * @param draining whether it takes no callers
- * @param targets the targets that take work, by service
+ * @param generation the generation of the intents in force
+ * @param configurationVersion the version of the configuration in force
+ * @param inFlight the number of callers' requests in progress
+ * @param draining whether it accepts no callers
+ * @param targets the number of targets that accept requests, by service
  * @param leaving the hosts and targets that intents retire
  */
 record GatewayStatus(
@@ -82,7 +83,7 @@
             json.writeEndArray();
             json.writeEndObject();
         } catch (IOException e) {
-            throw new UncheckedIOException("writing into memory does not fail", e);
+            throw new UncheckedIOException("unexpected I/O error while writing to memory", e);
         }
         return text.toString();
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
@@ -13,126 +13,126 @@
 import org.rattanplank.gateway.peer.PeerLinks;
 
 /**
- * The steps by which a process ends after it was told to.
+ * The planned stop of a process.
  *
- * <p>Invariants: callers and other hosts are answered until their connections have ended; a connection ends only after a
- * read that found nothing on it, so whatever reached this host before has its answer. The time for stopping is never
- * passed. Confined to the event loop.
+ * <p>Invariants: callers and other hosts get responses until their connections have closed; a connection is closed only
+ * after a read that found no data on it, so every request that reached this host before has a response. The grace
+ * period is never exceeded. Confined to the event loop.
  */
 final class GatewayStop {
-    /** What is left of the time for stopping for the process to end in. */
-    private static final long END_MARGIN_MILLIS = 300;
+    /** The part of the grace period that is kept for the process to terminate. */
+    private static final long TERMINATION_MARGIN_MILLIS = 300;
 
     private final GatewayState state;
     private final CallerServer callers;
     private final PeerLinks links;
-    private final BooleanSupplier hasWork;
-    private final Runnable cut;
+    private final BooleanSupplier hasRequests;
+    private final Runnable abortRequests;
     private final long graceMillis;
     private final StopPlan plan;
-    private final Runnable ended;
-    private final long askedAtMillis;
+    private final Runnable onEnded;
+    private final long requestedAtMillis;
     private boolean portsClosed;
-    private boolean isCut;
-    private boolean over;
+    private boolean aborted;
+    private boolean finished;
 
     /**
-     * Begins a stop.
+     * Starts a stop.
      *
-     * @param state what all requests share
-     * @param callers the callers' connections
+     * @param state the state that all requests share
+     * @param callers the connections of callers
      * @param links the links to other hosts
-     * @param hasWork whether a request of a caller or another host is under way
-     * @param cut ends all that is under way
-     * @param graceMillis how long a stop may take
-     * @param ended run once when the process may end
+     * @param hasRequests returns whether a request of a caller or another host is in progress
+     * @param abortRequests aborts all requests in progress
+     * @param graceMillis the grace period of the stop
+     * @param onEnded run once when the process may terminate
      */
     GatewayStop(
             GatewayState state,
             CallerServer callers,
             PeerLinks links,
-            BooleanSupplier hasWork,
-            Runnable cut,
+            BooleanSupplier hasRequests,
+            Runnable abortRequests,
             long graceMillis,
-            Runnable ended) {
+            Runnable onEnded) {
         this.state = state;
         this.callers = callers;
         this.links = links;
-        this.hasWork = hasWork;
-        this.cut = cut;
+        this.hasRequests = hasRequests;
+        this.abortRequests = abortRequests;
         this.graceMillis = graceMillis;
         plan = StopPlan.within(graceMillis);
-        this.ended = ended;
-        askedAtMillis = state.nowMillis();
-        state.limitBegins(this::mayBegin);
+        this.onEnded = onEnded;
+        requestedAtMillis = state.nowMillis();
+        state.limitStarts(this::mayStart);
     }
 
-    /** How much longer work should be sent here though this host is about to end. */
+    /** Returns how much longer requests should be sent to this host while it stops. */
     long workMillis() {
-        return portsClosed ? 0 : plan.workMillis(stoppingMillis(), others());
+        return portsClosed ? 0 : plan.workMillis(stoppingMillis(), otherHosts());
     }
 
-    private boolean mayBegin(Option<Long> longestMillis) {
-        return !isCut && plan.mayBegin(stoppingMillis(), others(), longestMillis);
+    private boolean mayStart(Option<Long> longestMillis) {
+        return !aborted && plan.mayBegin(stoppingMillis(), otherHosts(), longestMillis);
     }
 
     private long stoppingMillis() {
-        return state.nowMillis() - askedAtMillis;
+        return state.nowMillis() - requestedAtMillis;
     }
 
-    private OtherHosts others() {
-        boolean oneTakesCallers = false;
+    private OtherHosts otherHosts() {
+        boolean anyAcceptsCallers = false;
         long longestMillis = 0;
         for (PeerLink link : links.alive()) {
             if (link.isOwnRegion()) {
-                oneTakesCallers |= link.state().takesCallers();
+                anyAcceptsCallers |= link.state().takesCallers();
                 longestMillis = Math.max(longestMillis, link.state().workMillis() - link.stateAgeMillis());
             }
         }
         long ownMillis = plan.workMillis(stoppingMillis(), OtherHosts.AWAY);
-        return OtherHosts.of(links.knowsOthersInOwnRegion(), oneTakesCallers, longestMillis, ownMillis);
+        return OtherHosts.of(links.knowsOthersInOwnRegion(), anyAcceptsCallers, longestMillis, ownMillis);
     }
 
-    /** Goes on. Called again and again until the process ends. */
+    /** Advances the stop; called periodically until the process terminates. */
     void tick() {
-        if (over) {
+        if (finished) {
             return;
         }
         long stoppingMillis = stoppingMillis();
-        if (portsClosed || plan.mayEnd(stoppingMillis, others(), hasWork.getAsBoolean())) {
-            endIdle();
+        if (portsClosed || plan.mayEnd(stoppingMillis, otherHosts(), hasRequests.getAsBoolean())) {
+            closeIdle();
         }
-        if (stoppingMillis >= plan.cutMillis() && !isCut) {
-            isCut = true;
-            endIdle();
-            cut.run();
+        if (stoppingMillis >= plan.cutMillis() && !aborted) {
+            aborted = true;
+            closeIdle();
+            abortRequests.run();
         }
-        boolean done = portsClosed && callers.connections() == 0 && !hasWork.getAsBoolean() && links.areEnded();
-        if (done || stoppingMillis >= graceMillis - END_MARGIN_MILLIS) {
-            end();
+        boolean complete = portsClosed && callers.connections() == 0 && !hasRequests.getAsBoolean() && links.areEnded();
+        if (complete || stoppingMillis >= graceMillis - TERMINATION_MARGIN_MILLIS) {
+            finish();
         }
     }
 
-    private void endIdle() {
+    private void closeIdle() {
         if (!portsClosed) {
             portsClosed = true;
             callers.closePort();
             links.closePort();
         }
         callers.endIdle();
-        if (callers.haveEnded() && !hasWork.getAsBoolean()) {
-            links.end(hasWork);
+        if (callers.haveEnded() && !hasRequests.getAsBoolean()) {
+            links.end(hasRequests);
         }
     }
 
-    private void end() {
-        over = true;
+    private void finish() {
+        finished = true;
         state.log()
                 .important(LogLine.of(LogEvent.STOPPED)
                         .with("tookMillis", stoppingMillis())
                         .with("connections", callers.connections())
                         .with("foundWaiting", callers.requestsFoundWaiting())
-                        .with("cut", isCut));
-        ended.run();
+                        .with("cut", aborted));
+        onEnded.run();
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/HeaderNames.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/HeaderNames.java
@@ -4,19 +4,19 @@
 import java.util.Set;
 
 /**
- * The names of the headers by which callers, targets and this host understand each other. Immutable and thread safe.
+ * The names of the headers shared with callers and targets. Immutable and thread safe.
  *
- * @param requestId a request's identifier, echoed in its answer
- * @param timeoutMillis how long the caller still waits, in milliseconds
+ * @param requestId the identifier of a request, echoed in its response
+ * @param timeoutMillis the time that the caller still waits, in milliseconds
  * @param lastEventId the last event of a stream that the caller has
- * @param expectedTarget the identifier of the target that alone may run the request
- * @param refused in an answer: the target did not run the request
- * @param copyFrom the address of the target that keeps parts of the prompt which the one that is asked lacks
- * @param urgency how urgent the request is, 0 first
- * @param tokens the prompt's tokens and the most tokens to generate, separated by a comma
+ * @param expectedTarget the identifier of the only target that may run the request
+ * @param refused in a response: the target did not run the request
+ * @param copyFrom the address of the target that has cached prompt parts which the receiving target lacks
+ * @param urgency the urgency of the request, 0 is the most urgent
+ * @param tokens the number of prompt tokens and the maximum number of tokens to generate, separated by a comma
  * @param promptParts the parts of the prompt as ID:TOKENS, separated by commas
- * @param outputHint the caller's estimate of the tokens to be generated
- * @param reserved names that only this system may set; they are taken out of callers' requests
+ * @param outputHint the caller's estimate of the number of generated tokens
+ * @param reserved headers that only this system may set; they are removed from callers' requests
  */
 public record HeaderNames(
         String requestId,
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Latency.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Latency.java
@@ -2,29 +2,29 @@
 
 import java.util.Locale;
 
-/** The times that are measured, each with a histogram of its own. Immutable and thread safe. */
+/** The measured durations, each with its own histogram. Immutable and thread safe. */
 public enum Latency {
-    /** From a request's arrival to the first part of its answer's body. */
+    /** From the arrival of a request to the first chunk of its response body. */
     FIRST_PART,
-    /** From a request's arrival to the end of its whole answer. */
+    /** From the arrival of a request to the end of its response. */
     WHOLE,
-    /** The longest pause between two parts of an answer. */
+    /** The longest time between two chunks of a response. */
     LONGEST_GAP,
-    /** From a request's first byte to its last. */
+    /** From the first byte of a request to its last. */
     REQUEST_READ,
-    /** How late a step of the event loop runs; all requests of the host wait as long. */
+    /** The delay of a tick of the event loop; all requests of the host are delayed as much. */
     LOOP_DELAY,
-    /** From a request's arrival to its first sending. */
+    /** From the arrival of a request to its first send. */
     BEFORE_SEND,
-    /** A question to another host and its answer, on the way alone. */
+    /** The network round trip to another host, without its processing time. */
     PEER_ROUND_TRIP,
-    /** A call to the store that is answered at once. */
+    /** A store call that is answered without waiting for changes. */
     STORE_CALL;
 
     /**
-     * How it is called in metrics.
+     * Returns the metric name.
      *
-     * @return its name
+     * @return the name without prefix
      */
     public String label() {
         return name().toLowerCase(Locale.ROOT) + "_millis";
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerReports.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
@@ -29,120 +29,134 @@
 import org.rattanplank.gateway.store.StoreFeed;
 
 /**
- * What hosts tell each other of their work and of the store.
+ * Exchanges state reports with other hosts: load at targets, load of regions, and progress in the store.
  *
- * <p>Invariant: what another host said of its work counts only while it is in touch. Confined to the event loop.
+ * <p>Invariant: the work reported by another host counts only while it is connected. Confined to the event loop.
  */
-final class PeerReports {
-    /** Hosts of one region share targets, and learn of each other's sends this fast; bytes inside a region are free. */
-    private static final long OWN_REGION_MILLIS = 100;
+final class PeerStateExchange {
+    /**
+     * The minimum interval between state reports inside a region. Its hosts share targets and need each other's sends
+     * quickly; traffic inside a region is free.
+     */
+    private static final long MIN_OWN_REGION_INTERVAL_MILLIS = 100;
 
-    /** Bytes between regions are dear; a region's load lasts longer than one request. */
-    private static final long OTHER_REGION_MILLIS = 400;
+    /**
+     * The minimum interval between state reports to other regions. Traffic between regions is expensive; the load of a
+     * region changes more slowly than single requests.
+     */
+    private static final long MIN_OTHER_REGION_INTERVAL_MILLIS = 400;
 
-    /** A state is sent so often also if nothing changed, as a sign of life. */
-    private static final long SIGN_OF_LIFE_MILLIS = 500;
+    /** The interval between state reports without a change, which serve as heartbeats. */
+    private static final long HEARTBEAT_MILLIS = 500;
 
-    /** How much further apart the states of hosts of one region are for each of them: twenty cost 0.1 s of a second. */
-    private static final long PER_LINK_MILLIS = 12;
+    /** Interval between state reports inside a region, per link: reports to twenty hosts take 0.1 s of each second. */
+    private static final long INTERVAL_PER_OWN_REGION_LINK_MILLIS = 12;
 
-    /** The same for links to other regions, whose bytes are dear: at sixty links each state is a second apart. */
-    private static final long PER_OTHER_LINK_MILLIS = 16;
+    /** The same for links to other regions, whose traffic is expensive: with sixty links the interval is one second. */
+    private static final long INTERVAL_PER_OTHER_REGION_LINK_MILLIS = 16;
 
-    /** Two words of large reads are at least so long apart: with thirty hosts they take a tenth of a link of 10 Mbit/s. */
-    private static final long LARGE_READ_APART_MILLIS = 20;
+    /**
+     * The minimum interval between two large prefill notices: with thirty hosts they take a tenth of a link of 10
+     * Mbit/s.
+     */
+    private static final long MIN_LARGE_PREFILL_INTERVAL_MILLIS = 20;
 
-    /** How old a report of this region's load may be when it is told; a quarter of the least time between two. */
-    private static final long LOADS_MILLIS = 100;
+    /**
+     * The maximum age of this region's load when it is reported; a quarter of the minimum interval to other regions.
+     */
+    private static final long REGION_LOADS_CACHE_MILLIS = 100;
 
     private final GatewayState state;
     private final PeerLinks links;
     private final StoreFeed feed;
-    private long largeReadAtMillis = Long.MIN_VALUE / 2;
+    private long largePrefillAtMillis = Long.MIN_VALUE / 2;
     private final RegionReplication replication;
     private final long linkBytesPerMilli;
-    private final BooleanSupplier takesCallers;
+    private final BooleanSupplier acceptsCallers;
     private final LongSupplier workMillis;
-    private boolean toldToTakeWork;
-    private long ownRegionMillis = OWN_REGION_MILLIS;
-    private long otherRegionMillis = OTHER_REGION_MILLIS;
+    private boolean reportedAcceptingWork;
+    private long ownRegionIntervalMillis = MIN_OWN_REGION_INTERVAL_MILLIS;
+    private long otherRegionIntervalMillis = MIN_OTHER_REGION_INTERVAL_MILLIS;
     private List<PeerFrame.RegionLoad> regionLoads = List.of();
-    private final Set<String> servicesSeen = new HashSet<>();
+    private final Set<String> knownServices = new HashSet<>();
     private long regionLoadsAtMillis = Long.MIN_VALUE / 2;
-    private final Map<PeerLink, Told> told = new HashMap<>();
+    private final Map<PeerLink, LastReport> lastReports = new HashMap<>();
     private final Map<String, Set<String>> targetsByHost = new HashMap<>();
 
-    PeerReports(
+    PeerStateExchange(
             GatewayState state,
             PeerLinks links,
             StoreFeed feed,
             long linkBytesPerMilli,
-            BooleanSupplier takesCallers,
+            BooleanSupplier acceptsCallers,
             LongSupplier workMillis) {
         this.state = state;
         this.links = links;
         this.feed = feed;
         this.linkBytesPerMilli = linkBytesPerMilli;
         replication = new RegionReplication(state, feed, linkBytesPerMilli);
-        this.takesCallers = takesCallers;
-        state.onLargeRead(this::tellOfLargeRead);
+        this.acceptsCallers = acceptsCallers;
+        state.onLargePrefill(this::sendLargePrefillNotice);
         this.workMillis = workMillis;
     }
 
     void tick(long nowMillis) {
-        if (workMillis.getAsLong() > 0 != toldToTakeWork) {
-            // Others go on sending work, or send none, by what they were told last.
-            toldToTakeWork = !toldToTakeWork;
-            tellAll();
+        if (workMillis.getAsLong() > 0 != reportedAcceptingWork) {
+            // Other hosts keep sending requests, or none, according to the last report.
+            reportedAcceptingWork = !reportedAcceptingWork;
+            sendStateToAll();
         }
         List<PeerLink> alive = links.alive();
         long ownRegionLinks = alive.stream().filter(PeerLink::isOwnRegion).count();
-        ownRegionMillis = Math.max(OWN_REGION_MILLIS, PER_LINK_MILLIS * ownRegionLinks);
-        otherRegionMillis = Math.max(OTHER_REGION_MILLIS, PER_OTHER_LINK_MILLIS * (alive.size() - ownRegionLinks));
-        List<PeerFrame.TargetWork> sent = null;
+        ownRegionIntervalMillis =
+                Math.max(MIN_OWN_REGION_INTERVAL_MILLIS, INTERVAL_PER_OWN_REGION_LINK_MILLIS * ownRegionLinks);
+        otherRegionIntervalMillis = Math.max(
+                MIN_OTHER_REGION_INTERVAL_MILLIS,
+                INTERVAL_PER_OTHER_REGION_LINK_MILLIS * (alive.size() - ownRegionLinks));
+        List<PeerFrame.TargetWork> work = null;
         for (PeerLink link : alive) {
-            Told last = told.computeIfAbsent(link, each -> new Told());
-            long age = nowMillis - last.atMillis;
+            LastReport lastReport = lastReports.computeIfAbsent(link, each -> new LastReport());
+            long age = nowMillis - lastReport.atMillis;
             boolean ownRegion = link.isOwnRegion();
-            if (ownRegion && age >= ownRegionMillis) {
-                sent = sent == null ? sent() : sent;
-                if (age >= periodMillis(true) || !isSame(sent, last.sent)) {
-                    tell(link, sent);
+            if (ownRegion && age >= ownRegionIntervalMillis) {
+                work = work == null ? ownWork() : work;
+                if (age >= periodMillis(true) || !isSameWork(work, lastReport.work)) {
+                    sendState(link, work);
                 }
             } else if (!ownRegion && age >= periodMillis(false)) {
-                tell(link, List.of());
+                sendState(link, List.of());
             }
         }
         replication.tick(alive, nowMillis);
     }
 
     private long periodMillis(boolean ownRegion) {
-        return ownRegion ? Math.max(SIGN_OF_LIFE_MILLIS, ownRegionMillis) : otherRegionMillis;
+        return ownRegion ? Math.max(HEARTBEAT_MILLIS, ownRegionIntervalMillis) : otherRegionIntervalMillis;
     }
 
-    void tellAll() {
-        links.alive().forEach(this::tell);
+    void sendStateToAll() {
+        links.alive().forEach(this::sendState);
     }
 
-    void tell(PeerLink link) {
-        tell(link, link.isOwnRegion() ? sent() : List.of());
+    void sendState(PeerLink link) {
+        sendState(link, link.isOwnRegion() ? ownWork() : List.of());
     }
 
-    private void tell(PeerLink link, List<PeerFrame.TargetWork> sent) {
-        Told last = told.computeIfAbsent(link, each -> new Told());
-        last.atMillis = state.nowMillis();
-        last.sent = sent;
+    private void sendState(PeerLink link, List<PeerFrame.TargetWork> work) {
+        LastReport lastReport = lastReports.computeIfAbsent(link, each -> new LastReport());
+        lastReport.atMillis = state.nowMillis();
+        lastReport.work = work;
         link.send(new PeerFrame.State(
-                last.atMillis,
+                lastReport.atMillis,
                 link.state().sentAtMillis(),
                 link.stateAgeMillis(),
                 periodMillis(link.isOwnRegion()),
-                takesCallers.getAsBoolean(),
+                acceptsCallers.getAsBoolean(),
                 state.configurationVersion(),
                 feed.copy().digest(),
                 feed.isFollowing(),
                 feed.isHealthy(),
-                sent,
+                work,
                 link.isOwnRegion() ? List.of() : regionLoads(),
                 Math.max(PeerFrame.State.KNOWS_NOTHING, feed.copy().newestRevision()),
                 workMillis.getAsLong(),
@@ -152,46 +166,47 @@
     }
 
     /**
-     * Tells the region's hosts of a prompt that takes long to read. Until their next word they would expect an idle engine
-     * there, and the more hosts there are, the later it comes: long prompts meet at one engine while others are idle.
+     * Notifies the hosts of this region of a prompt with a long prefill. Until the next state report they would take
+     * the engine for idle, and the interval of reports grows with the number of hosts: long prompts would queue at one
+     * engine while others are idle.
      */
-    private void tellOfLargeRead(GatewayTarget target) {
+    private void sendLargePrefillNotice(GatewayTarget target) {
         long now = state.nowMillis();
-        if (now - largeReadAtMillis < LARGE_READ_APART_MILLIS) {
+        if (now - largePrefillAtMillis < MIN_LARGE_PREFILL_INTERVAL_MILLIS) {
             return;
         }
-        largeReadAtMillis = now;
-        PeerFrame.LargeRead large = new PeerFrame.LargeRead(work(target, now));
-        byte[] bytes = PeerLink.written(large);
+        largePrefillAtMillis = now;
+        PeerFrame.LargeRead notice = new PeerFrame.LargeRead(work(target, now));
+        byte[] bytes = PeerLink.written(notice);
         for (PeerLink link : links.alive()) {
             if (link.isOwnRegion() && link.state().readsLargeReads() && link.waitingBytes() == 0) {
-                link.send(large, bytes);
+                link.send(notice, bytes);
             }
         }
     }
 
-    void saidOfLargeRead(PeerLink link, PeerFrame.TargetWork work) {
+    void receiveLargePrefillNotice(PeerLink link, PeerFrame.TargetWork work) {
         if (!link.isOwnRegion() || !state.uses(Mechanism.OTHERS_WORK)) {
             return;
         }
         String host = link.host().get().name();
         targetsByHost.computeIfAbsent(host, each -> new HashSet<>()).add(work.target());
-        takeWork(host, work);
+        updateTargetWork(host, work);
     }
 
-    void said(PeerLink link, PeerFrame.State said) {
+    void receiveState(PeerLink link, PeerFrame.State received) {
         GatewayHost host = link.host().get();
-        state.metrics().took(Latency.PEER_ROUND_TRIP, link.roundTripMillis());
+        state.metrics().record(Latency.PEER_ROUND_TRIP, link.roundTripMillis());
         if (link.isOwnRegion() && !state.uses(Mechanism.OTHERS_WORK)) {
             return;
         }
         if (link.isOwnRegion()) {
-            takeSent(host.name(), said.sent());
+            updateWorkOfHost(host.name(), received.sent());
             return;
         }
         String region = host.place().region();
-        long untilMillis = state.nowMillis() + RegionLoads.REPORT_MILLIS + said.periodMillis();
-        for (PeerFrame.RegionLoad load : said.regionLoads()) {
+        long untilMillis = state.nowMillis() + RegionLoads.REPORT_MILLIS + received.periodMillis();
+        for (PeerFrame.RegionLoad load : received.regionLoads()) {
             RegionLoads loads = state.regionLoads();
             loads.reported(
                     region, load.service(), load.urgency(), load.expectedMillis(), load.perTokenMillis(), untilMillis);
@@ -200,19 +215,19 @@
     }
 
     void lost(PeerLink link) {
-        told.remove(link);
+        lastReports.remove(link);
         replication.lost(link);
-        link.host().forEach(host -> takeSent(host.name(), List.of()));
+        link.host().forEach(host -> updateWorkOfHost(host.name(), List.of()));
     }
 
-    private void takeSent(String host, List<PeerFrame.TargetWork> sent) {
-        Set<String> before = targetsByHost.getOrDefault(host, Set.of());
+    private void updateWorkOfHost(String host, List<PeerFrame.TargetWork> work) {
+        Set<String> previous = targetsByHost.getOrDefault(host, Set.of());
         Set<String> now = new HashSet<>();
-        for (PeerFrame.TargetWork each : sent) {
+        for (PeerFrame.TargetWork each : work) {
             now.add(each.target());
-            takeWork(host, each);
+            updateTargetWork(host, each);
         }
-        for (String id : before) {
+        for (String id : previous) {
             if (!now.contains(id)) {
                 state.pool().findRun(id).forEach(target -> target.toldByOther(host, SentWork.NONE, StreamPace.NONE));
             }
@@ -220,7 +235,7 @@
         targetsByHost.put(host, now);
     }
 
-    private void takeWork(String host, PeerFrame.TargetWork work) {
+    private void updateTargetWork(String host, PeerFrame.TargetWork work) {
         state.pool().findRun(work.target()).forEach(target -> target.toldByOther(host, work.work(), work.pace()));
     }
 
@@ -229,46 +244,46 @@
                 target.runText(), target.own(), target.streams().own(nowMillis));
     }
 
-    private List<PeerFrame.TargetWork> sent() {
-        List<PeerFrame.TargetWork> sent = new ArrayList<>();
+    private List<PeerFrame.TargetWork> ownWork() {
+        List<PeerFrame.TargetWork> work = new ArrayList<>();
         for (GatewayTarget target : state.pool().all()) {
             if (target.own().requests() > 0) {
-                sent.add(work(target, state.nowMillis()));
+                work.add(work(target, state.nowMillis()));
             }
         }
-        return sent;
+        return work;
     }
 
     /**
-     * Whether the work at targets is the same as before. Work that changes is another object; comparing fields instead
-     * would have the run-time library make code for it, at the start of a host, when time is short.
+     * Returns whether the work at targets is unchanged. Changed work is always a new object. Comparing records by their
+     * fields would make the runtime generate code for it during the start of a host, when time is short.
      */
-    private static boolean isSame(List<PeerFrame.TargetWork> now, List<PeerFrame.TargetWork> before) {
-        if (now.size() != before.size()) {
+    private static boolean isSameWork(List<PeerFrame.TargetWork> now, List<PeerFrame.TargetWork> previous) {
+        if (now.size() != previous.size()) {
             return false;
         }
         for (int i = 0; i < now.size(); i++) {
-            if (now.get(i).work() != before.get(i).work()) {
+            if (now.get(i).work() != previous.get(i).work()) {
                 return false;
             }
         }
         return true;
     }
 
-    /** What this region is expected to take, worked out anew only now and then: it is told over many links. */
+    /** Returns the expected load of this region. It is cached for a short time, as it is reported over many links. */
     private List<PeerFrame.RegionLoad> regionLoads() {
         long now = state.nowMillis();
-        if (now - regionLoadsAtMillis >= LOADS_MILLIS) {
+        if (now - regionLoadsAtMillis >= REGION_LOADS_CACHE_MILLIS) {
             regionLoadsAtMillis = now;
-            regionLoads = newRegionLoads();
+            regionLoads = computeRegionLoads();
         }
         return regionLoads;
     }
 
-    private List<PeerFrame.RegionLoad> newRegionLoads() {
-        state.pool().all().forEach(target -> servicesSeen.add(target.entry().service()));
+    private List<PeerFrame.RegionLoad> computeRegionLoads() {
+        state.pool().all().forEach(target -> knownServices.add(target.entry().service()));
         List<PeerFrame.RegionLoad> loads = new ArrayList<>();
-        for (String name : servicesSeen) {
+        for (String name : knownServices) {
             Option<ServiceRule> rule = state.configuration().flatMap(now -> now.service(name));
             rule.forEach(service -> addLoads(service, loads));
         }
@@ -288,9 +303,9 @@
         Option<Choice> best = state.chooser()
                 .choose(service, Work.PLAIN.with(urgency), Set.of(), state.regionView(), state.nowMillis());
         LatencyModel model = state.chooser().model(service.name());
-        // A region that can't serve says so: others would believe its last report for seconds, send requests there and
-        // have each back two crossings later. One would see them end there as "no target may take it": 183 on a day on
-        // which a region was evacuated at its peak, 62 with this.
+        // A region without capacity reports it explicitly. Otherwise others would use its last report for seconds, send
+        // requests there and get each back after two crossings. Symptom: requests that end in this region because no
+        // target is available: 183 on a day with an evacuation of a region at its peak, 62 with the explicit report.
         return best.map(choice -> new PeerFrame.RegionLoad(
                         service.name(),
                         urgency,
@@ -305,8 +320,8 @@
                 .getOrElse(() -> new PeerFrame.RegionLoad(service.name(), urgency, Double.POSITIVE_INFINITY, 0));
     }
 
-    private static final class Told {
+    private static final class LastReport {
         private long atMillis;
-        private List<PeerFrame.TargetWork> sent = List.of();
+        private List<PeerFrame.TargetWork> work = List.of();
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PrometheusText.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PrometheusText.java
@@ -12,7 +12,7 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Writes a registry in Prometheus's text format; a metric's name in the registry carries its labels in braces.
+ * Formats a registry in the Prometheus text format. The name of a metric in the registry includes its labels in braces.
  * Confined to one thread.
  */
 public final class PrometheusText {
@@ -24,7 +24,7 @@
     private PrometheusText() {}
 
     /**
-     * Writes a registry.
+     * Formats a registry.
      *
      * @param registry the registry
      * @return the text
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
@@ -15,31 +15,34 @@
 import org.rattanplank.gateway.store.StoreFeed;
 
 /**
- * Decides whether this host follows the store, and to which hosts it replicates what it learns.
+ * Decides whether this host follows the store, and to which hosts it replicates store changes.
  *
- * <p>Invariant: a host that doesn't follow the store, or is turned away by it, replicates only to hosts that know nothing.
- * Confined to the event loop.
+ * <p>Invariant: a host that doesn't follow the store, or is rejected by it, replicates only to hosts without a
+ * configuration. Confined to the event loop.
  */
 final class RegionReplication implements ReplicationPolicy {
-    /** How often the hosts that ask the store are chosen anew. */
-    private static final long CHOOSE_MILLIS = 250;
+    /** How often the hosts that follow the store are selected. */
+    private static final long FOLLOWER_SELECTION_INTERVAL_MILLIS = 250;
 
-    /** Changes are on their way for a moment before another host knows the same. */
-    private static final long LACKS_MILLIS = 700;
+    /**
+     * The time that a change takes to reach the other hosts; a host that lacks a newer change for less time isn't
+     * behind.
+     */
+    private static final long PROPAGATION_MILLIS = 700;
 
-    /** A host's word of what it knows may be on its way for twice the longest time between two such words. */
-    private static final int PERIODS = 2;
+    /** A host's report of its revision may be in transit for up to twice its report interval. */
+    private static final int REPORT_PERIODS = 2;
 
-    /** A host that could help gives the one before it so long, in which the other host says that it was helped. */
-    private static final long TURN_MILLIS = 600;
+    /** The time between the turns of two catch-up senders, in which the receiver reports that it has caught up. */
+    private static final long CATCH_UP_TURN_MILLIS = 600;
 
     private final GatewayState state;
     private final StoreFeed feed;
     private final StoreReplicator replicator;
     private final long linkBytesPerMilli;
     private StoreFollowers followers = StoreFollowers.of(List.of());
-    private long followersSum = Long.MIN_VALUE;
-    private long followChosenAtMillis;
+    private long followersChecksum = Long.MIN_VALUE;
+    private long followersChosenAtMillis;
 
     RegionReplication(GatewayState state, StoreFeed feed, long linkBytesPerMilli) {
         this.state = state;
@@ -50,8 +53,8 @@
     }
 
     void tick(List<PeerLink> alive, long nowMillis) {
-        if (nowMillis - followChosenAtMillis >= CHOOSE_MILLIS) {
-            followChosenAtMillis = nowMillis;
+        if (nowMillis - followersChosenAtMillis >= FOLLOWER_SELECTION_INTERVAL_MILLIS) {
+            followersChosenAtMillis = nowMillis;
             chooseFollowers(alive);
             feed.follow(shouldFollow(alive));
         }
@@ -62,7 +65,7 @@
         replicator.lost(link);
     }
 
-    /** Whether this host asks the store itself: it is ranked among the followers, or nobody else follows. */
+    /** Returns whether this host follows the store: it is selected as a follower, or no other host follows. */
     private boolean shouldFollow(List<PeerLink> alive) {
         if (!feed.isComplete() || followers.follows(state.self().name())) {
             return true;
@@ -77,18 +80,21 @@
         return feed.isHealthy();
     }
 
-    /** Ranks the hosts of this region anew if one of them has come, gone or changed; a sum over them tells. */
+    /**
+     * Selects the followers again if a host of this region was added, removed or has changed, which a checksum over the
+     * hosts detects.
+     */
     private void chooseFollowers(List<PeerLink> alive) {
-        long sum = feed.isHealthy() ? 1 : 0;
+        long checksum = feed.isHealthy() ? 1 : 0;
         for (PeerLink link : alive) {
             if (link.isOwnRegion()) {
-                PeerFrame.State said = link.state();
-                long candidate = 2 * said.linkBytesPerMilli() + (said.storeHealthy() ? 1 : 0);
-                sum += Rendezvous.mix(Rendezvous.mix(link.name().hashCode()) ^ candidate);
+                PeerFrame.State peer = link.state();
+                long candidate = 2 * peer.linkBytesPerMilli() + (peer.storeHealthy() ? 1 : 0);
+                checksum += Rendezvous.mix(Rendezvous.mix(link.name().hashCode()) ^ candidate);
             }
         }
-        if (sum != followersSum) {
-            followersSum = sum;
+        if (checksum != followersChecksum) {
+            followersChecksum = checksum;
             followers = followers(alive);
         }
     }
@@ -98,9 +104,9 @@
         candidates.add(new StoreFollowers.Candidate(state.self().name(), feed.isHealthy(), linkBytesPerMilli));
         for (PeerLink link : alive) {
             if (link.isOwnRegion()) {
-                PeerFrame.State said = link.state();
+                PeerFrame.State peer = link.state();
                 candidates.add(
-                        new StoreFollowers.Candidate(link.name(), said.storeHealthy(), said.linkBytesPerMilli()));
+                        new StoreFollowers.Candidate(link.name(), peer.storeHealthy(), peer.linkBytesPerMilli()));
             }
         }
         return StoreFollowers.of(candidates);
@@ -121,18 +127,18 @@
         if (!needsRelay(peer)) {
             return NEVER;
         }
-        if (isUninformed(peer)) {
-            // A host that starts while the store is away would serve nobody until it is back: what others knew last is
-            // better, and is judged by own attempts.
-            return LACKS_MILLIS
+        if (hasNoConfiguration(peer)) {
+            // A host that starts while the store is unavailable would otherwise serve no requests until it is back. The
+            // last known state of other hosts is better, and its own attempts correct it.
+            return PROPAGATION_MILLIS
                     + HelpOrder.waitMillis(
                             state.regionView().hosts(), state.self().name(), receiver.name());
         }
-        if (!isHealthyFollower() || !lacks(receiver)) {
+        if (!isHealthyFollower() || !isBehind(receiver)) {
             return NEVER;
         }
-        long wait = Math.max(LACKS_MILLIS, PERIODS * peer.periodMillis());
-        return wait + TURN_MILLIS * followers.turn(state.self().name());
+        long delayMillis = Math.max(PROPAGATION_MILLIS, REPORT_PERIODS * peer.periodMillis());
+        return delayMillis + CATCH_UP_TURN_MILLIS * followers.turn(state.self().name());
     }
 
     private boolean isHealthyFollower() {
@@ -143,14 +149,14 @@
         return !peer.followsStore() || !peer.storeHealthy();
     }
 
-    private static boolean isUninformed(PeerFrame.State peer) {
+    private static boolean hasNoConfiguration(PeerFrame.State peer) {
         return peer.configurationVersion() == 0;
     }
 
-    private boolean lacks(StoreReceiver receiver) {
+    private boolean isBehind(StoreReceiver receiver) {
         PeerFrame.State peer = receiver.state();
         if (!receiver.isOwnRegion()) {
-            // Hosts of another region learn from each other while the store answers some of them.
+            // Hosts of another region update each other while the store answers some of them.
             return !peer.storeHealthy() && peer.configurationVersion() < state.configurationVersion();
         }
         return peer.knownRevision() != PeerFrame.State.UNTOLD
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
@@ -17,13 +17,13 @@
 import org.rattanplank.gateway.http.Headers;
 
 /**
- * Makes a request to be passed on out of what a caller sent.
+ * Converts received HTTP requests into requests to be proxied.
  *
- * <p>Invariants: headers of the connection and headers that only this system sets are taken out; everything else stays
- * byte for byte. Immutable and thread safe.
+ * <p>Invariants: hop-by-hop headers and headers that only this system sets are removed; everything else is kept byte
+ * for byte. Immutable and thread safe.
  */
 public final class RequestReader {
-    /** What a generation is taken to produce if its caller says nothing of it. */
+    /** The expected number of generated tokens if the caller gives no estimate. */
     private static final int DEFAULT_OUTPUT_TOKENS = 256;
 
     private static final Set<String> HOP_BY_HOP = Set.of(
@@ -41,17 +41,17 @@
 
     private final HeaderNames names;
     private final Set<String> reserved = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
-    private final Set<String> kept = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    private final Set<String> protectedNames = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
 
     /**
-     * Makes a reader.
+     * Creates a reader.
      *
      * @param names the names of headers
      */
     public RequestReader(HeaderNames names) {
         this.names = names;
         reserved.addAll(names.reserved());
-        kept.addAll(List.of(
+        protectedNames.addAll(List.of(
                 "host",
                 names.requestId(),
                 names.timeoutMillis(),
@@ -66,18 +66,19 @@
      *
      * @param head its head
      * @param body its body
-     * @return the request, or none if it names no host or several
+     * @return the request, or none if it has no host name or several
      */
     public Option<GatewayRequest> read(HttpRequest head, byte[] body) {
         List<String> hosts = head.headers().getAll(HttpHeaderNames.HOST);
         if (hosts.size() != 1 || hosts.get(0).isBlank()) {
             return Option.none();
         }
-        return Option.some(request(head.method().name(), head.uri(), hosts.get(0), clean(head.headers()), body));
+        return Option.some(
+                request(head.method().name(), head.uri(), hosts.get(0), forwardableHeaders(head.headers()), body));
     }
 
     /**
-     * Makes a request of cleaned headers, as another host passes it on.
+     * Creates a request from headers that were already filtered, as forwarded by another host.
      *
      * @param method its method
      * @param uri its path and query
@@ -99,26 +100,26 @@
                 work(headers));
     }
 
-    private HttpHeaders clean(HttpHeaders headers) {
-        Set<String> connection = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    private HttpHeaders forwardableHeaders(HttpHeaders headers) {
+        Set<String> connectionHeaders = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         for (String value : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String name : value.split(",")) {
-                connection.add(name.trim());
+                connectionHeaders.add(name.trim());
             }
         }
-        // A caller may not have a header taken out that says what the request is: without its identifier or its time
-        // left, a target would run it as another one.
-        connection.removeAll(kept);
-        HttpHeaders clean = Headers.unchecked();
+        // A caller must not have a header removed that identifies the request: without its identifier or its timeout, a
+        // target would run it as a different one.
+        connectionHeaders.removeAll(protectedNames);
+        HttpHeaders forwardable = Headers.unchecked();
         headers.iteratorAsString().forEachRemaining(entry -> {
             String name = entry.getKey();
             if (!HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT))
                     && !reserved.contains(name)
-                    && !connection.contains(name)) {
-                clean.add(name, entry.getValue());
+                    && !connectionHeaders.contains(name)) {
+                forwardable.add(name, entry.getValue());
             }
         });
-        return clean;
+        return forwardable;
     }
 
     private Work work(HttpHeaders headers) {
@@ -127,14 +128,19 @@
             return Work.PLAIN;
         }
         String[] counts = tokens.split(",");
-        int prompt = count(counts[0]);
-        int most = counts.length > 1 ? count(counts[1]) : DEFAULT_OUTPUT_TOKENS;
-        int hinted = number(headers.get(names.outputHint())).map(Long::intValue).getOrElse(DEFAULT_OUTPUT_TOKENS);
+        int promptTokens = count(counts[0]);
+        int maxTokens = counts.length > 1 ? count(counts[1]) : DEFAULT_OUTPUT_TOKENS;
+        int estimatedTokens =
+                number(headers.get(names.outputHint())).map(Long::intValue).getOrElse(DEFAULT_OUTPUT_TOKENS);
         return new Work(
-                prompt, Math.max(0, Math.min(most, hinted)), parts(headers.get(names.promptParts())), Urgency.FIRST, 0);
+                promptTokens,
+                Math.max(0, Math.min(maxTokens, estimatedTokens)),
+                promptParts(headers.get(names.promptParts())),
+                Urgency.FIRST,
+                0);
     }
 
-    private static List<PromptPart> parts(String text) {
+    private static List<PromptPart> promptParts(String text) {
         List<PromptPart> parts = new ArrayList<>();
         if (text == null) {
             return parts;
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/SharedLimits.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/SharedLimits.java
@@ -1,14 +1,14 @@
 package org.rattanplank.gateway;
 
 /**
- * Bounds that all hosts keep together or that the platform sets. Immutable and thread safe.
+ * Limits that apply to all hosts together or that the platform sets. Immutable and thread safe.
  *
- * @param stopGraceMillis how long a process may take to end after it was asked to
- * @param repeatRatio the repeats that each first send allows
- * @param repeatSlack the repeats allowed besides in a window, over all hosts
- * @param repeatWindowMillis the window
- * @param listSeconds how long callers may use the list of hosts
- * @param leaseMillis the shortest lease that the store grants
+ * @param stopGraceMillis how long a process may take to terminate after a stop request
+ * @param repeatRatio the retry budget per first send
+ * @param repeatSlack the additional retries allowed per window, over all hosts
+ * @param repeatWindowMillis the window of the retry budget
+ * @param listSeconds how long callers may use the list of entry hosts
+ * @param leaseMillis the minimum lease that the store grants
  */
 public record SharedLimits(
         long stopGraceMillis,
@@ -19,7 +19,7 @@
         long leaseMillis) {
     public SharedLimits {
         if (stopGraceMillis <= 0 || repeatWindowMillis <= 0 || listSeconds <= 0) {
-            throw new IllegalArgumentException("a limit is not positive");
+            throw new IllegalArgumentException("stop grace, retry budget window and list validity must be positive");
         }
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Signals.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Signals.java
@@ -6,10 +6,10 @@
 import org.tinylog.Logger;
 
 /**
- * Hears the signals that a process is sent. Stateless and thread safe.
+ * Installs handlers for the signals of a process. Stateless and thread safe.
  *
- * <p>A shutdown hook hears only the first signal, and cannot choose the exit code. The JDK's own class for signals is
- * called by name, since the compiler's warning of it cannot be suppressed.
+ * <p>A shutdown hook handles only the first signal and cannot choose the exit code. The JDK's signal class is accessed
+ * by reflection, since the compiler warning about it cannot be suppressed.
  */
 public final class Signals {
     private static final String SIGNAL = "sun.misc.Signal";
@@ -18,10 +18,10 @@
     private Signals() {}
 
     /**
-     * Hears a signal.
+     * Installs a handler for a signal.
      *
-     * @param name its name without SIG
-     * @param received run at each one, on a thread of its own
+     * @param name the name without SIG
+     * @param received run at each signal, on a separate thread
      */
     public static void listen(String name, Runnable received) {
         Try.run(() -> {
@@ -37,6 +37,6 @@
                     Object named = signal.getConstructor(String.class).newInstance(name);
                     signal.getMethod("handle", signal, handler).invoke(null, named, proxy);
                 })
-                .onFailure(error -> Logger.error(error, "the signal {} cannot be heard", name));
+                .onFailure(error -> Logger.error(error, "cannot install a handler for signal {}", name));
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/SteadyClock.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/SteadyClock.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Milliseconds of a clock that never falls and knows nothing of the time of day. Thread safe. */
+/** A monotonic clock in milliseconds, independent of the time of day. Thread safe. */
 public interface SteadyClock {
     /**
-     * Reads the clock.
+     * Returns the current time.
      *
-     * @return milliseconds since some fixed moment
+     * @return milliseconds since an arbitrary fixed moment
      */
     long nowMillis();
 
     /**
-     * The clock of this process, which a step of the time of day doesn't move.
+     * Returns the clock of this process, which adjustments of the time of day do not affect.
      *
      * @return the clock
      */
--- /dev/null
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/DecisionLog.java
@@ -0,0 +1,98 @@
+package org.rattanplank.gateway.pass;
+
+import org.rattanplank.core.gateway.Choice;
+import org.rattanplank.core.gateway.GatewayTarget;
+import org.rattanplank.core.gateway.Outlook;
+import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.Work;
+import org.rattanplank.gateway.log.LogEvent;
+import org.rattanplank.gateway.log.LogLine;
+import org.rattanplank.gateway.log.RequestLog;
+import org.rattanplank.gateway.peer.PeerLink;
+import org.rattanplank.gateway.target.AttemptFailure;
+
+/**
+ * Logs the routing decisions of a caller's request, each with its inputs.
+ *
+ * <p>Invariant: the lines of a request are in the order of its decisions. Confined to the event loop.
+ */
+final class DecisionLog {
+    private final RequestLog log;
+
+    DecisionLog(RequestLog log) {
+        this.log = log;
+    }
+
+    void sent(Choice choice, ServiceRule service, Work work, long nowMillis, long deadlineMillis, int attempt) {
+        GatewayTarget target = choice.target();
+        log.add(LogLine.of(LogEvent.SENT)
+                .with("target", target.runText())
+                .with("service", service.name())
+                .with("expectedMillis", choice.expectedMillis())
+                .with("candidates", choice.candidates())
+                .with("copyFrom", choice.source().map(GatewayTarget::runText).getOrElse(""))
+                .with("requestsThere", target.all().requests())
+                .with("tokensWaitingThere", target.all().waiting().ahead(work.urgency()))
+                .with("paceMillis", target.streams().all(nowMillis).millis())
+                .with("remainingMillis", deadlineMillis - nowMillis)
+                .with("attempt", attempt));
+    }
+
+    void forwarded(RoutingOptions options, String region, ServiceRule service, int attempt) {
+        PeerLink link = options.linksByRegion().get(region);
+        log.add(LogLine.of(LogEvent.FORWARDED)
+                .with("region", region)
+                .with("to", link.host().get().name())
+                .with("service", service.name())
+                .with("expectedMillis", options.placement().outlook(region).expectedMillis())
+                .with("localMillis", options.placement().localMillis())
+                .with("stateAgeMillis", link.stateAgeMillis())
+                .with("attempt", attempt));
+    }
+
+    void attemptFailed(AttemptFailure failure, String reason, long tookMillis) {
+        log.add(LogLine.of(LogEvent.ATTEMPT_FAILED)
+                .with("failure", failure.name())
+                .with("reason", reason)
+                .with("tookMillis", tookMillis));
+    }
+
+    void retried(CallerResponse response) {
+        log.add(LogLine.of(response.isStarted() ? LogEvent.RESUMED : LogEvent.REPEATED)
+                .with("lastEventId", response.lastEventId()));
+    }
+
+    /**
+     * Adds the service estimate of the place where a request was last sent, or would have been sent when it was
+     * rejected.
+     */
+    static void addEstimate(LogLine line, Outlook estimate) {
+        if (estimate != Outlook.NONE) {
+            line.with("region", estimate.region())
+                    .with("waitMillis", estimate.waitMillis())
+                    .with("expectedMillis", estimate.expectedMillis())
+                    .with("delayCostMillis", estimate.delayCostMillis())
+                    .with("overrunMillis", estimate.overrunMillis());
+        }
+    }
+
+    /** Adds the expected size of a generation and the number of events forwarded. */
+    static void addSize(LogLine line, Work work, CallerResponse response) {
+        if (work.promptTokens() > 0) {
+            line.with("promptTokens", work.promptTokens())
+                    .with("outputTokens", work.outputTokens())
+                    .with("events", response.events());
+        }
+    }
+
+    static void addLatencies(LogLine line, LatencyResult latencies) {
+        line.with("firstPartMillis", latencies.firstChunkMillis())
+                .with("longestGapMillis", latencies.longestGapMillis())
+                .with("firstPartLate", latencies.firstChunkLate())
+                .with("pauseTooLong", latencies.gapTooLong());
+    }
+
+    void ended(LogLine line, boolean ordinary) {
+        log.end(line, ordinary);
+    }
+}
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedCall.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
@@ -27,156 +27,156 @@
 import org.rattanplank.gateway.target.TargetCall;
 
 /**
- * Another host's request, served in this region or not at all.
+ * A request forwarded by another host, which is served in this region or rejected.
  *
- * <p>Invariants: it reaches one target at most and is never forwarded again; the other host alone decides on repeats, as
- * it alone knows all attempts. Confined to the event loop.
+ * <p>Invariants: it reaches at most one target and is never forwarded again; only the other host decides on retries, as
+ * only it knows all attempts. Confined to the event loop.
  */
-public final class ForwardedCall implements AttemptListener {
-    private static final int MAX_UNSENT = 3;
+public final class ForwardedRequest implements AttemptListener {
+    private static final int MAX_FAILED_BEFORE_SEND = 3;
 
     private final GatewayState state;
     private final PeerLink link;
-    private final PeerFrame.Ask ask;
+    private final PeerFrame.Ask frame;
     private final GatewayRequest request;
-    private final RequestLog lines;
-    private final Runnable onOver;
+    private final RequestLog requestLog;
+    private final Runnable onFinished;
     private final Work work;
     private final Set<String> tried;
-    private final long endsAtMillis;
-    private final long takenAtMillis;
+    private final long deadlineMillis;
+    private final long acceptedAtMillis;
     private Attempt attempt;
     private String target = "";
     private double expectedMillis;
-    private long firstPartAtMillis;
-    private int unsent;
-    private boolean over;
+    private long firstChunkAtMillis;
+    private int failedBeforeSend;
+    private boolean finished;
 
     /**
-     * Takes a request.
+     * Accepts a forwarded request.
      *
-     * @param state what all requests share
-     * @param link where it came from
-     * @param ask what was asked
-     * @param request the request as it goes to a target
-     * @param onOver run once when it is over
+     * @param state the state that all requests share
+     * @param link the link it arrived on
+     * @param frame the frame received
+     * @param request the request to send to a target
+     * @param onFinished run once when it is finished
      */
-    public ForwardedCall(
-            GatewayState state, PeerLink link, PeerFrame.Ask ask, GatewayRequest request, Runnable onOver) {
+    public ForwardedRequest(
+            GatewayState state, PeerLink link, PeerFrame.Ask frame, GatewayRequest request, Runnable onFinished) {
         this.state = state;
         this.link = link;
-        this.ask = ask;
+        this.frame = frame;
         this.request = request;
-        this.onOver = onOver;
-        tried = new HashSet<>(ask.excluded());
-        lines = new RequestLog(state.log(), ask.requestId());
-        takenAtMillis = state.nowMillis();
-        long delayMillis =
-                ForwardDelay.millis(takenAtMillis, ask.echoedMillis(), ask.echoAgeMillis(), link.roundTripMillis());
-        endsAtMillis = takenAtMillis + ask.remainingMillis() - delayMillis;
-        work = request.work().with(ask.urgency()).within(Math.max(0, remainingMillis()));
+        this.onFinished = onFinished;
+        tried = new HashSet<>(frame.excluded());
+        requestLog = new RequestLog(state.log(), frame.requestId());
+        acceptedAtMillis = state.nowMillis();
+        long delayMillis = ForwardDelay.millis(
+                acceptedAtMillis, frame.echoedMillis(), frame.echoAgeMillis(), link.roundTripMillis());
+        deadlineMillis = acceptedAtMillis + frame.remainingMillis() - delayMillis;
+        work = request.work().with(frame.urgency()).within(Math.max(0, remainingMillis()));
     }
 
-    /** Starts it. */
+    /** Sends the request to a target, or rejects it. */
     public void start() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (!isStillAllowed()) {
-            fail(AttemptFailure.NOT_SENT, "a newer configuration sends it elsewhere");
+            fail(AttemptFailure.NOT_SENT, "a newer configuration routes the request elsewhere");
             return;
         }
         if (remainingMillis() <= 0) {
-            fail(AttemptFailure.NOT_SENT, "its time was up before it came");
+            fail(AttemptFailure.NOT_SENT, "the deadline passed before the request arrived");
             return;
         }
         send();
     }
 
-    /** Ends it without an answer. */
+    /** Cancels it without a response. */
     public void cancel() {
-        if (over) {
+        if (finished) {
             return;
         }
         if (attempt != null) {
             attempt.cancel();
         }
-        end("cancelled");
+        finish("cancelled");
     }
 
-    /** Ends it because this process ends, with a word to the host that asked. */
-    public void cut() {
-        if (over) {
+    /** Aborts it because this process terminates, and notifies the host that forwarded it. */
+    public void abort() {
+        if (finished) {
             return;
         }
         AttemptFailure failure = attempt == null ? AttemptFailure.NOT_SENT : AttemptFailure.UNKNOWN;
         if (attempt != null) {
             attempt.cancel();
         }
-        fail(failure, "this host ends");
+        fail(failure, "this host is terminating");
     }
 
     @Override
     public void head(int status, HttpHeaders headers) {
-        link.send(new PeerFrame.AnswerHead(ask.call(), status, PeerLink.flat(headers), target));
+        link.send(new PeerFrame.AnswerHead(frame.call(), status, PeerLink.flat(headers), target));
     }
 
     @Override
     public void content(ByteBuf bytes) {
-        if (firstPartAtMillis == 0) {
-            firstPartAtMillis = state.nowMillis();
+        if (firstChunkAtMillis == 0) {
+            firstChunkAtMillis = state.nowMillis();
         }
-        link.send(new PeerFrame.AnswerContent(ask.call(), ByteBufUtil.getBytes(bytes)));
+        link.send(new PeerFrame.AnswerContent(frame.call(), ByteBufUtil.getBytes(bytes)));
     }
 
     @Override
     public void ended() {
-        link.send(new PeerFrame.AnswerEnd(ask.call()));
-        route().forEach(rule -> state.takes(rule, state.nowMillis() - takenAtMillis));
-        end("answered");
+        link.send(new PeerFrame.AnswerEnd(frame.call()));
+        route().forEach(rule -> state.recordDuration(rule, state.nowMillis() - acceptedAtMillis));
+        finish("answered");
     }
 
     @Override
     public void failed(AttemptFailure failure, String reason) {
         attempt = null;
-        if (!failure.reachedTarget() && ++unsent <= MAX_UNSENT) {
+        if (!failure.reachedTarget() && ++failedBeforeSend <= MAX_FAILED_BEFORE_SEND) {
             send();
             return;
         }
         fail(failure, reason);
     }
 
-    /** Checks the sender's choice of a service against a newer configuration, if this host has one. */
+    /** Checks the sender's choice of service against this host's configuration if that is newer. */
     private boolean isStillAllowed() {
-        if (state.configurationVersion() <= ask.configurationVersion()) {
+        if (state.configurationVersion() <= frame.configurationVersion()) {
             return true;
         }
         return route().exists(rule -> rule.allows(state.self().place().region())
                 && rule.services().stream()
                         .filter(service -> service.weight() > 0)
                         .map(WeightedService::service)
-                        .anyMatch(ask.service()::equals));
+                        .anyMatch(frame.service()::equals));
     }
 
     private void send() {
-        Option<ServiceRule> service = state.configuration().flatMap(now -> now.service(ask.service()));
+        Option<ServiceRule> service = state.configuration().flatMap(now -> now.service(frame.service()));
         Option<Choice> choice = service.flatMap(this::choose);
         if (choice.isEmpty()) {
-            fail(AttemptFailure.NOT_SENT, "no target of this region may take it");
+            fail(AttemptFailure.NOT_SENT, "no target is available in this region");
             return;
         }
-        if (isExpectedLate(service.get(), choice.get())) {
-            fail(AttemptFailure.NOT_SENT, "it would wait too long here");
+        if (isExpectedTooLate(service.get(), choice.get())) {
+            fail(AttemptFailure.NOT_SENT, "the expected queue wait in this region is too long");
             return;
         }
-        if (!route().forAll(state::mayBegin)) {
-            fail(AttemptFailure.NOT_SENT, "this host is about to end");
+        if (!route().forAll(state::mayStart)) {
+            fail(AttemptFailure.NOT_SENT, "this host is stopping");
             return;
         }
         target = choice.get().target().runText();
         expectedMillis = choice.get().expectedMillis();
         tried.add(target);
-        lines.add(LogLine.of(LogEvent.FORWARD_TAKEN)
+        requestLog.add(LogLine.of(LogEvent.FORWARD_TAKEN)
                 .with("from", link.host().map(host -> host.name()).getOrElse(""))
                 .with("target", target)
                 .with("expectedMillis", expectedMillis)
@@ -187,9 +187,9 @@
                         "paceMillis",
                         choice.get().target().streams().all(state.nowMillis()).millis())
                 .with("remainingMillis", remainingMillis()));
-        TargetCall call = new TargetCall(request, work, remainingMillis(), ask.lastEventId());
-        Attempt started = LocalSend.send(state, choice.get(), service.get(), call, ask.once(), this);
-        if (!over && attempt == null) {
+        TargetCall call = new TargetCall(request, work, remainingMillis(), frame.lastEventId());
+        Attempt started = LocalAttempt.send(state, choice.get(), service.get(), call, frame.once(), this);
+        if (!finished && attempt == null) {
             attempt = started;
         }
     }
@@ -202,43 +202,44 @@
     }
 
     /**
-     * Whether it would be late here for others' sake. Its sender chose this region by a report that is up to a second old,
-     * as did the other hosts there; only here is it known what all of them sent. Taken all the same, it would be read for
-     * nobody and delay those behind it; one would see requests of other regions begun seconds after they came.
+     * Returns whether the queue wait here is too long to accept the request. The sender chose this region by a report
+     * up to one second old, and so did other hosts; only this region knows the sum of their requests. If accepted, the
+     * request would be prefilled although its caller gives up, and would delay those behind it. Symptom: requests of
+     * other regions start seconds after they arrived.
      */
-    private boolean isExpectedLate(ServiceRule service, Choice choice) {
-        if (!ask.lastEventId().isEmpty() || !service.isModel() || !state.uses(Mechanism.REFUSE_LATE)) {
+    private boolean isExpectedTooLate(ServiceRule service, Choice choice) {
+        if (!frame.lastEventId().isEmpty() || !service.isModel() || !state.uses(Mechanism.REFUSE_LATE)) {
             return false;
         }
         return route().exists(rule -> choice.outlook().shouldRefuse(rule.objectiveMillis(), work.urgency()));
     }
 
     private Option<RouteRule> route() {
-        return state.configuration().flatMap(now -> now.route(ask.authority(), request.path()));
+        return state.configuration().flatMap(now -> now.route(frame.authority(), request.path()));
     }
 
     private long remainingMillis() {
-        return endsAtMillis - state.nowMillis();
+        return deadlineMillis - state.nowMillis();
     }
 
     private void fail(AttemptFailure failure, String reason) {
-        link.send(new PeerFrame.AnswerFailed(ask.call(), failure.name(), reason, target));
-        end(failure.name() + ": " + reason);
+        link.send(new PeerFrame.AnswerFailed(frame.call(), failure.name(), reason, target));
+        finish(failure.name() + ": " + reason);
     }
 
-    private void end(String outcome) {
-        over = true;
-        LogLine last = LogLine.of(LogEvent.ENDED)
+    private void finish(String outcome) {
+        finished = true;
+        LogLine endLine = LogLine.of(LogEvent.ENDED)
                 .with("outcome", outcome)
                 .with("forwardedBy", link.host().map(host -> host.name()).getOrElse(""))
                 .with("target", target)
                 .with("urgency", work.urgency().name())
                 .with("expectedMillis", expectedMillis)
-                .with("tookMillis", state.nowMillis() - takenAtMillis);
-        if (firstPartAtMillis > 0) {
-            last.with("firstPartMillis", firstPartAtMillis - takenAtMillis);
+                .with("tookMillis", state.nowMillis() - acceptedAtMillis);
+        if (firstChunkAtMillis > 0) {
+            endLine.with("firstPartMillis", firstChunkAtMillis - acceptedAtMillis);
         }
-        lines.end(last, outcome.equals("answered"));
-        onOver.run();
+        requestLog.end(endLine, outcome.equals("answered"));
+        onFinished.run();
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
@@ -40,25 +40,28 @@
 import org.rattanplank.gateway.target.TargetConnections;
 
 /**
- * What all requests of this host share.
+ * State shared by all requests of this host.
  *
- * <p>Invariant: the configuration's version never falls. Confined to the event loop.
+ * <p>Invariant: the configuration version never decreases. Confined to the event loop.
  */
 public final class GatewayState {
     /**
-     * The least number of parts that the slack of repeats is cut into. A small system may nearly triple its hosts before
-     * they know of each other; each takes its part from the ratio of its own sends besides.
+     * The minimum number of shares that the retry budget's slack is divided into. A small system may nearly triple its
+     * number of hosts before they know of each other; in addition each host has its ratio of its own sends.
      */
-    private static final int SLACK_HOSTS = 16;
+    private static final int MIN_SLACK_SHARES = 16;
 
-    /** A host has read the store and linked to the others of its region long before; all may have started at once. */
-    private static final long SETTLED_MILLIS = 3_000;
+    /**
+     * Time from start until the list of hosts is considered complete. Reading the store and connecting to the hosts of
+     * the region takes much less, also when all hosts start at once.
+     */
+    private static final long STARTUP_MILLIS = 3_000;
 
     /**
-     * How long the view of other hosts is used before it is made anew. Each request asks for it several times, and it
-     * takes a walk over all links; a host that is lost shows by its silence far later than this.
+     * How long a snapshot of the connected hosts is reused. Each request needs it several times and building it
+     * iterates over all links; the loss of a host is detected only much later than this.
      */
-    private static final long PEERS_MILLIS = 50;
+    private static final long PEERS_CACHE_MILLIS = 50;
 
     private final GatewayHost self;
     private final SteadyClock clock;
@@ -67,33 +70,33 @@
     private final TargetPool pool;
     private final TargetChooser chooser;
     private final RegionLoads regionLoads = new RegionLoads();
-    private final RepeatAllowance repeats;
-    private final ReturnQueue returns = new ReturnQueue();
+    private final RepeatAllowance retryBudget;
+    private final ReturnQueue retryAfterQueue = new ReturnQueue();
     private final TargetConnections connections;
     private final EventLog log;
     private final GatewayMetrics metrics;
-    private Option<GatewayConfiguration> base = Option.none();
+    private Option<GatewayConfiguration> baseConfiguration = Option.none();
     private Option<GatewayConfiguration> configuration = Option.none();
     private Configuration intents = Configuration.empty();
     private PeerLinks links;
-    private PeersInTouch peers = PeersInTouch.NONE;
-    private long peersAtMillis = Long.MIN_VALUE / 2;
+    private ConnectedPeers connectedPeers = ConnectedPeers.NONE;
+    private long connectedPeersAtMillis = Long.MIN_VALUE / 2;
     private final long startedAtMillis;
-    private final LongestTimes longestTimes = new LongestTimes();
-    private Predicate<Option<Long>> mayBegin = longestMillis -> true;
-    private BooleanSupplier complete = () -> false;
-    private Consumer<GatewayTarget> largeReads = target -> {};
+    private final LongestTimes recentDurations = new LongestTimes();
+    private Predicate<Option<Long>> mayStart = longestMillis -> true;
+    private BooleanSupplier isFeedComplete = () -> false;
+    private Consumer<GatewayTarget> largePrefillListener = target -> {};
 
     /**
-     * Makes the state of a host that knows nothing yet.
+     * Creates the state of a host without configuration, peers or targets.
      *
-     * @param settings its settings
+     * @param settings the settings of this process
      * @param self this host
      * @param clock the clock
      * @param random the source of random choices
      * @param connections the connections to targets
      * @param log the log
-     * @param metrics the counters
+     * @param metrics the metrics
      */
     public GatewayState(
             GatewaySettings settings,
@@ -112,115 +115,117 @@
         this.metrics = metrics;
         pool = TargetPool.of(settings.ownDataCentres());
         SharedLimits limits = settings.limits();
-        repeats = RepeatAllowance.of(
-                limits.repeatRatio(), limits.repeatSlack(), SLACK_HOSTS, limits.repeatWindowMillis());
+        retryBudget = RepeatAllowance.of(
+                limits.repeatRatio(), limits.repeatSlack(), MIN_SLACK_SHARES, limits.repeatWindowMillis());
         mechanisms = settings.mechanisms();
         chooser = TargetChooser.of(self.name(), pool, random, mechanisms);
     }
 
     /**
-     * Takes the links to other hosts and the feed of the store.
+     * Attaches the links to other hosts and the store feed.
      *
      * @param peerLinks the links
-     * @param feedComplete whether everything in the store was learnt at least once
+     * @param feedComplete returns whether all items of the store were received at least once
      */
-    public void join(PeerLinks peerLinks, BooleanSupplier feedComplete) {
+    public void attach(PeerLinks peerLinks, BooleanSupplier feedComplete) {
         links = peerLinks;
-        complete = feedComplete;
+        isFeedComplete = feedComplete;
     }
 
     /**
-     * Tells whether enough is known to serve requests.
+     * Returns whether this host can serve requests.
      *
      * @return whether a configuration and the targets are known
      */
-    public boolean isInformed() {
-        return configuration.isDefined() && complete.getAsBoolean();
+    public boolean isInitialized() {
+        return configuration.isDefined() && isFeedComplete.getAsBoolean();
     }
 
     /**
-     * Takes a configuration.
+     * Applies a configuration if it is newer than the one in force.
      *
      * @param newer the configuration
-     * @return whether it is newer than what was in force, and is in force now
+     * @return whether it was applied
      */
-    public boolean configure(GatewayConfiguration newer) {
-        // An older version may come late, from a host that was cut off or a page of the store read before a change:
-        // taking it would send requests where the operator no longer wants them.
+    public boolean applyConfiguration(GatewayConfiguration newer) {
+        // An older version may arrive late, from a host that was partitioned or from a page of the store that was read
+        // before a change. Applying it would send requests where the operator no longer wants them.
         if (newer.version() <= configurationVersion()) {
             return false;
         }
-        base = Option.some(newer);
-        refineAgain();
+        baseConfiguration = Option.some(newer);
+        rebuildConfiguration();
         return true;
     }
 
     /**
-     * Takes the operators' intents, which refine the configuration: regions that may serve a route or service, the share
-     * of a region, and hosts and targets that are to leave.
+     * Applies the operators' intents if they are newer than those in force. They refine the configuration: the regions
+     * that may serve a route or service, the share of a region, and the hosts and targets to retire.
      *
      * @param newer the intents
-     * @return whether they are newer than what was in force, and are in force now
+     * @return whether they were applied
      */
-    public boolean refine(Configuration newer) {
+    public boolean applyIntents(Configuration newer) {
         if (newer.generation() <= intents.generation()) {
             return false;
         }
         intents = newer;
-        refineAgain();
+        rebuildConfiguration();
         return true;
     }
 
     /**
-     * The intents in force.
+     * Returns the intents in force.
      *
-     * @return the intents; of generation zero if there are none
+     * @return the intents; generation zero if there are none
      */
     public Configuration intents() {
         return intents;
     }
 
     /**
-     * Tells whether this host is to leave.
+     * Returns whether an intent retires this host.
      *
-     * @return whether an intent retires it
+     * @return whether this host is to leave
      */
     public boolean isRetiring() {
         return intents.retiring().contains(self.name());
     }
 
-    private void refineAgain() {
-        configuration = base.map(known -> known.within(intents.residencies()));
-        retireTargets();
+    private void rebuildConfiguration() {
+        configuration = baseConfiguration.map(unrefined -> unrefined.within(intents.residencies()));
+        markRetiringTargets();
     }
 
-    /** Takes note of targets that an intent retires; a target that enters itself later is looked at as well. */
-    public void retireTargets() {
+    /** Marks targets that an intent retires as leaving. Called also after a target is added. */
+    public void markRetiringTargets() {
         intents.retiring().forEach(name -> pool.find(name).forEach(GatewayTarget::leave));
     }
 
-    /** Looks where a request could go now, and over which links. */
-    Reach reach(Demand demand) {
-        Map<String, PeerLink> hosts = uses(Mechanism.FORWARD) ? remoteHosts(demand.route()) : Map.of();
-        Map<String, Double> wayMillis = new HashMap<>();
-        hosts.forEach((region, link) -> wayMillis.put(region, link.roundTripMillis()));
-        Surroundings around = new Surroundings(self.place().region(), regionView(), wayMillis, drawBeyondShare());
-        return new Reach(Placement.of(demand, around, chooser, regionLoads, mechanisms, nowMillis()), hosts);
+    /** Returns where a request could be sent now, and over which links. */
+    RoutingOptions routingOptions(Demand demand) {
+        Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(demand.route()) : Map.of();
+        Map<String, Double> networkRoundTripMillis = new HashMap<>();
+        linksByRegion.forEach((region, link) -> networkRoundTripMillis.put(region, link.roundTripMillis()));
+        Surroundings surroundings =
+                new Surroundings(self.place().region(), regionView(), networkRoundTripMillis, drawRegionsOverShare());
+        return new RoutingOptions(
+                Placement.of(demand, surroundings, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
     }
 
-    /** Draws the regions that take no more requests within their shares. */
-    private Set<String> drawBeyondShare() {
-        Set<String> beyond = new HashSet<>();
+    /** Draws the regions that accept no further request, each with probability 1 minus its configured share. */
+    private Set<String> drawRegionsOverShare() {
+        Set<String> overShare = new HashSet<>();
         intents.shares().forEach((region, share) -> {
             if (random.nextDouble() >= share) {
-                beyond.add(region);
+                overShare.add(region);
             }
         });
-        return beyond;
+        return overShare;
     }
 
     /**
-     * The version in force.
+     * Returns the version of the configuration in force.
      *
      * @return the version, zero if there is none
      */
@@ -229,7 +234,7 @@
     }
 
     /**
-     * The configuration in force.
+     * Returns the configuration in force.
      *
      * @return the configuration, or none if none is known yet
      */
@@ -238,7 +243,7 @@
     }
 
     /**
-     * This host.
+     * Returns this host.
      *
      * @return its entry
      */
@@ -247,7 +252,7 @@
     }
 
     /**
-     * The targets of this region.
+     * Returns the targets of this region.
      *
      * @return the pool
      */
@@ -256,7 +261,7 @@
     }
 
     /**
-     * What chooses targets.
+     * Returns the target chooser.
      *
      * @return the chooser
      */
@@ -265,16 +270,16 @@
     }
 
     /**
-     * What other regions report.
+     * Returns the loads reported by other regions.
      *
-     * @return their loads
+     * @return the loads
      */
     public RegionLoads regionLoads() {
         return regionLoads;
     }
 
     /**
-     * The log.
+     * Returns the event log.
      *
      * @return the log
      */
@@ -283,84 +288,85 @@
     }
 
     /**
-     * The counters.
+     * Returns the metrics.
      *
-     * @return the counters
+     * @return the metrics
      */
     public GatewayMetrics metrics() {
         return metrics;
     }
 
     /**
-     * Reads the clock.
+     * Returns the current time.
      *
-     * @return the time
+     * @return the time of the monotonic clock
      */
     public long nowMillis() {
         return clock.nowMillis();
     }
 
     /**
-     * The hosts of this region.
+     * Returns the hosts of this region.
      *
      * @return the view
      */
     public RegionView regionView() {
-        return peers().region();
+        return connectedPeers().region();
     }
 
     /**
-     * Tells whether a mechanism is in use.
+     * Returns whether a mechanism is enabled.
      *
      * @param mechanism the mechanism
-     * @return whether it is
+     * @return whether it is enabled
      */
     public boolean uses(Mechanism mechanism) {
         return mechanisms.uses(mechanism);
     }
 
     /**
-     * Lets only some requests begin from now on.
+     * Restricts which requests may start from now on.
      *
-     * @param limit tells by the longest time in milliseconds that requests of a kind took of late whether another may begin
+     * @param limit decides whether a request may start, given the longest recent duration in milliseconds of requests
+     *     of its route
      */
-    public void limitBegins(Predicate<Option<Long>> limit) {
-        mayBegin = limit;
+    public void limitStarts(Predicate<Option<Long>> limit) {
+        mayStart = limit;
     }
 
     /**
-     * Has someone told of each target that this host gives much to read.
+     * Sets the listener for targets to which this host sends a large prefill.
      *
-     * @param listener hears of the target
+     * @param listener called with each such target
      */
-    public void onLargeRead(Consumer<GatewayTarget> listener) {
-        largeReads = listener;
+    public void onLargePrefill(Consumer<GatewayTarget> listener) {
+        largePrefillListener = listener;
     }
 
-    void tellOfLargeRead(GatewayTarget target) {
-        largeReads.accept(target);
+    void notifyLargePrefill(GatewayTarget target) {
+        largePrefillListener.accept(target);
     }
 
-    /** Whether requests of some kind may begin. */
-    boolean mayBeginAny() {
-        return mayBegin.test(Option.some(0L));
+    /** Returns whether a request of any route may start. */
+    boolean mayStartAny() {
+        return mayStart.test(Option.some(0L));
     }
 
-    boolean mayBegin(RouteRule route) {
-        return mayBegin.test(longestTimes.longestMillis(route.name(), nowMillis()));
+    boolean mayStart(RouteRule route) {
+        return mayStart.test(recentDurations.longestMillis(route.name(), nowMillis()));
     }
 
-    /** Takes note of how long a request takes, or has taken so far if it is still under way. */
-    void takes(RouteRule route, long millis) {
-        longestTimes.took(route.name(), millis, nowMillis());
+    /** Records the duration of a request, or its duration so far if it is still in progress. */
+    void recordDuration(RouteRule route, long millis) {
+        recentDurations.took(route.name(), millis, nowMillis());
     }
 
-    RepeatAllowance repeats() {
-        return repeats;
+    RepeatAllowance retryBudget() {
+        return retryBudget;
     }
 
     /**
-     * The connections to targets.
+     * Returns the connections to targets.
      *
      * @return the connections
      */
@@ -368,56 +374,59 @@
         return connections;
     }
 
-    double draw() {
+    double nextRandom() {
         return random.nextDouble();
     }
 
     /**
-     * When a refused caller should come back.
+     * Returns the delay after which a rejected caller should retry.
      *
      * @param service the service of its request, if it is known
-     * @param work its request
+     * @param work the work of its request
      * @param remainingMillis the time that the caller has left
-     * @return milliseconds
+     * @return the delay in milliseconds
      */
-    long returnAfter(Option<ServiceRule> service, Work work, long remainingMillis) {
-        double costMillis = service.filter(ServiceRule::isModel)
-                .map(rule -> costMillis(rule, work))
+    long retryAfterMillis(Option<ServiceRule> service, Work work, long remainingMillis) {
+        double prefillMillis = service.filter(ServiceRule::isModel)
+                .map(rule -> prefillShareMillis(rule, work))
                 .getOrElse(0.0);
         String name = service.map(ServiceRule::name).getOrElse("");
-        return returns.returnAfter(name, work.urgency(), costMillis, remainingMillis, draw(), nowMillis());
+        return retryAfterQueue.returnAfter(
+                name, work.urgency(), prefillMillis, remainingMillis, nextRandom(), nowMillis());
     }
 
-    /** The time that a request takes of this host's part of the region's engines. */
-    private double costMillis(ServiceRule service, Work work) {
+    /** Returns the prefill time of a request divided by this host's share of the region's engines. */
+    private double prefillShareMillis(ServiceRule service, Work work) {
         long engines = pool.all().stream()
                 .filter(target -> target.entry().service().equals(service.name()) && !target.isLeaving())
                 .count();
-        double readMillis =
+        double prefillMillis =
                 work.promptTokens() * chooser.model(service.name()).perUnitMillis(true, work.urgency(), 1, nowMillis());
-        return readMillis * regionView().hosts().size() / Math.max(1, engines);
+        return prefillMillis * regionView().hosts().size() / Math.max(1, engines);
     }
 
-    /** The hosts of other regions that may serve a route, one for each region, drawn at random. */
-    private Map<String, PeerLink> remoteHosts(RouteRule route) {
-        Map<String, PeerLink> drawn = new HashMap<>();
-        peers().takersByRegion().forEach((region, hosts) -> {
-            // A link may have ended since the view was made; a request sent over it would wait until its time is up.
-            List<PeerLink> alive = hosts.stream().filter(PeerLink::isAlive).toList();
+    /** Returns one link to a randomly drawn host for each other region that may serve a route. */
+    private Map<String, PeerLink> drawRemoteLinks(RouteRule route) {
+        Map<String, PeerLink> drawnLinks = new HashMap<>();
+        connectedPeers().acceptingLinksByRegion().forEach((region, regionLinks) -> {
+            // A link may have closed since the snapshot was taken; a request sent over it would wait until its
+            // deadline.
+            List<PeerLink> alive =
+                    regionLinks.stream().filter(PeerLink::isAlive).toList();
             if (route.allows(region) && !alive.isEmpty()) {
-                drawn.put(region, alive.get(random.nextInt(alive.size())));
+                drawnLinks.put(region, alive.get(random.nextInt(alive.size())));
             }
         });
-        return drawn;
+        return drawnLinks;
     }
 
-    private PeersInTouch peers() {
+    private ConnectedPeers connectedPeers() {
         long now = nowMillis();
-        if (now - peersAtMillis >= PEERS_MILLIS) {
-            peersAtMillis = now;
-            peers = PeersInTouch.of(self, links, now - startedAtMillis >= SETTLED_MILLIS);
-            repeats.hostsKnown(links.knownHosts());
+        if (now - connectedPeersAtMillis >= PEERS_CACHE_MILLIS) {
+            connectedPeersAtMillis = now;
+            connectedPeers = ConnectedPeers.of(self, links, now - startedAtMillis >= STARTUP_MILLIS);
+            retryBudget.hostsKnown(links.knownHosts());
         }
-        return peers;
+        return connectedPeers;
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalSend.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalAttempt.java
@@ -13,24 +13,24 @@
 import org.rattanplank.gateway.target.TargetCall;
 
 /**
- * A request at a target of the own region, accounted for from its sending to its end.
+ * An attempt at a target of this region, with its accounting from the send to its end.
  *
- * <p>Invariant: the account hears of each part and of one end. Confined to the event loop.
+ * <p>Invariant: the accounting records each chunk and exactly one end. Confined to the event loop.
  */
-final class LocalSend implements Attempt, AttemptListener {
+final class LocalAttempt implements Attempt, AttemptListener {
     private final GatewayState state;
     private final GatewayTarget target;
     private final AttemptListener listener;
-    private final SentRequest account;
+    private final SentRequest sentRequest;
     private boolean success;
     private Attempt attempt;
 
-    private LocalSend(
+    private LocalAttempt(
             GatewayState state, Choice choice, ServiceRule service, TargetCall call, AttemptListener listener) {
         this.state = state;
         this.target = choice.target();
         this.listener = listener;
-        account = SentRequest.of(state.chooser(), choice, service, call.work(), state.nowMillis());
+        sentRequest = SentRequest.of(state.chooser(), choice, service, call.work(), state.nowMillis());
     }
 
     static Attempt send(
@@ -40,12 +40,12 @@
             TargetCall call,
             boolean once,
             AttemptListener listener) {
-        LocalSend send = new LocalSend(state, choice, service, call, listener);
-        if (send.account.isLarge()) {
-            state.tellOfLargeRead(choice.target());
+        LocalAttempt localAttempt = new LocalAttempt(state, choice, service, call, listener);
+        if (localAttempt.sentRequest.isLarge()) {
+            state.notifyLargePrefill(choice.target());
         }
-        send.attempt = state.connections().send(choice, call, once, send);
-        return send;
+        localAttempt.attempt = state.connections().send(choice, call, once, localAttempt);
+        return localAttempt;
     }
 
     @Override
@@ -55,7 +55,7 @@
 
     @Override
     public void cancel() {
-        account.release();
+        sentRequest.release();
         attempt.cancel();
     }
 
@@ -67,19 +67,19 @@
 
     @Override
     public void content(ByteBuf bytes) {
-        account.part(success, state.nowMillis());
+        sentRequest.part(success, state.nowMillis());
         listener.content(bytes);
     }
 
     @Override
     public void ended() {
-        account.ended(success, state.nowMillis());
+        sentRequest.ended(success, state.nowMillis());
         listener.ended();
     }
 
     @Override
     public void failed(AttemptFailure failure, String reason) {
-        account.release();
+        sentRequest.release();
         listener.failed(failure, reason);
     }
 }
--- /dev/null
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -0,0 +1,515 @@
+package org.rattanplank.gateway.pass;
+
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import io.vavr.control.Option;
+import org.rattanplank.core.gateway.Choice;
+import org.rattanplank.core.gateway.Demand;
+import org.rattanplank.core.gateway.GatewayConfiguration;
+import org.rattanplank.core.gateway.GatewayTarget;
+import org.rattanplank.core.gateway.Mechanism;
+import org.rattanplank.core.gateway.Outlook;
+import org.rattanplank.core.gateway.Placement;
+import org.rattanplank.core.gateway.RouteKind;
+import org.rattanplank.core.gateway.RouteRule;
+import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.Urgency;
+import org.rattanplank.core.gateway.Work;
+import org.rattanplank.gateway.GatewayMetrics;
+import org.rattanplank.gateway.GatewayRequest;
+import org.rattanplank.gateway.Latency;
+import org.rattanplank.gateway.caller.CallerCall;
+import org.rattanplank.gateway.http.Headers;
+import org.rattanplank.gateway.log.LogEvent;
+import org.rattanplank.gateway.log.LogLine;
+import org.rattanplank.gateway.log.RequestLog;
+import org.rattanplank.gateway.peer.PeerFrame;
+import org.rattanplank.gateway.peer.PeerLink;
+import org.rattanplank.gateway.target.Attempt;
+import org.rattanplank.gateway.target.AttemptFailure;
+import org.rattanplank.gateway.target.AttemptListener;
+import org.rattanplank.gateway.target.TargetCall;
+
+/**
+ * Proxies one caller's request, from its arrival to the end of its response.
+ *
+ * <p>Invariants: the response says "not run" only if no attempt may have run; a request that is not idempotent is
+ * retried only after its target reported that it did not run; once part of a response was sent, the response either
+ * completes or is visibly truncated. Confined to the event loop.
+ */
+public final class ProxiedRequest implements CallerCall {
+    /**
+     * How long a request waits for the first configuration. A process that has just started receives it after some
+     * hundred milliseconds; a rejected caller would retry later than that.
+     */
+    private static final long CONFIGURATION_WAIT_MILLIS = 800;
+
+    /** The maximum number of attempts that fail before anything is sent. Such attempts are cheap, but need a limit. */
+    private static final int MAX_FAILED_BEFORE_SEND = 4;
+
+    /** An attempt is abandoned if its target sends no data to any request for this long and a retry is allowed. */
+    private static final long STALL_TIMEOUT_MILLIS = 1_500;
+
+    private static final double MILLIS_PER_SECOND = 1_000;
+
+    private static final String STOPPING_REASON = "this host is stopping";
+
+    private final GatewayState state;
+    private final GatewayRequest request;
+    private final CallerResponse response;
+    private final DecisionLog decisionLog;
+    private final long arrivedAtMillis;
+    private final Set<String> tried = new HashSet<>();
+    private final Runnable onFinished;
+    private RouteRule route;
+    private ServiceRule service;
+    private Work work = Work.PLAIN;
+    private long deadlineMillis = Long.MAX_VALUE;
+    private Attempt attempt;
+    private long attemptAtMillis;
+    private GatewayTarget localTarget;
+    private String lastTarget = "";
+    private int attemptsSent;
+    private int failedBeforeSend;
+    private boolean firstSendRecorded;
+    private boolean mayHaveRun;
+
+    /** The service estimate of the place where it was last sent, or would have been sent when it was rejected. */
+    private Outlook estimate = Outlook.NONE;
+
+    private boolean awaitingConfiguration;
+    private boolean finished;
+
+    /**
+     * Creates a request that is not yet started.
+     *
+     * @param state the state that all requests share
+     * @param request the request
+     * @param response where its response is written
+     * @param onFinished run once when it is finished
+     */
+    public ProxiedRequest(GatewayState state, GatewayRequest request, CallerResponse response, Runnable onFinished) {
+        this.state = state;
+        this.request = request;
+        this.response = response;
+        this.onFinished = onFinished;
+        decisionLog = new DecisionLog(new RequestLog(state.log(), request.id()));
+        arrivedAtMillis = state.nowMillis();
+    }
+
+    /** Starts it. */
+    public void start() {
+        if (finished) {
+            return;
+        }
+        if (!state.mayStartAny()) {
+            reject(STOPPING_REASON);
+            return;
+        }
+        if (!state.isInitialized()) {
+            awaitingConfiguration = true;
+            return;
+        }
+        routeAndSend();
+    }
+
+    private void routeAndSend() {
+        GatewayConfiguration configuration = state.configuration().get();
+        Option<RouteRule> found = configuration.route(request.authority(), request.path());
+        if (found.isEmpty()) {
+            respond(HttpResponseStatus.NOT_FOUND, "no route matches the request");
+            return;
+        }
+        route = found.get();
+        work = request.work().with(state.uses(Mechanism.RANK) ? Urgency.of(route.rank()) : Urgency.MIDDLE);
+        String name = route.service(state.nextRandom());
+        Option<ServiceRule> configured = configuration.service(name);
+        if (configured.isEmpty()) {
+            reject("the service of its route is not configured");
+            return;
+        }
+        service = configured.get();
+        deadlineMillis = arrivedAtMillis
+                + Math.min(route.timeoutMillis(), request.timeoutMillis().getOrElse(Long.MAX_VALUE));
+        work = work.within(deadlineMillis - arrivedAtMillis);
+        response.expectResponse(
+                route.kind() == RouteKind.STREAM, request.lastEventId().getOrElse(""));
+        send();
+    }
+
+    /**
+     * Ends it at its deadline, and abandons an attempt at an unresponsive target.
+     *
+     * @param nowMillis the time
+     */
+    public void tick(long nowMillis) {
+        if (finished) {
+            return;
+        }
+        if (awaitingConfiguration) {
+            waitForConfiguration(nowMillis);
+            return;
+        }
+        if (nowMillis >= deadlineMillis) {
+            onTimeout();
+            return;
+        }
+        state.recordDuration(route, nowMillis - arrivedAtMillis);
+        if (isStalled(nowMillis)) {
+            Attempt stalled = attempt;
+            localTarget.unreachable(nowMillis);
+            stalled.cancel();
+            attemptFailed(AttemptFailure.UNKNOWN, "the target is unresponsive");
+        }
+    }
+
+    /**
+     * Aborts it because this process terminates. The response tells the caller at least whether the request may have
+     * run, which a closed connection would leave open.
+     */
+    public void abort() {
+        if (finished) {
+            return;
+        }
+        if (attempt != null) {
+            attempt.cancel();
+            mayHaveRun = true;
+        }
+        fail("this host is terminating");
+    }
+
+    @Override
+    public void callerLeft() {
+        if (finished) {
+            return;
+        }
+        if (attempt != null) {
+            attempt.cancel();
+        }
+        state.metrics().ended("left");
+        complete("caller_left", "the caller closed its connection", false);
+    }
+
+    private void waitForConfiguration(long nowMillis) {
+        if (state.isInitialized()) {
+            awaitingConfiguration = false;
+            routeAndSend();
+        } else if (!state.uses(Mechanism.AWAIT_CONFIGURATION)
+                || nowMillis - arrivedAtMillis >= CONFIGURATION_WAIT_MILLIS) {
+            awaitingConfiguration = false;
+            reject("no configuration has been received yet");
+        }
+    }
+
+    private boolean isStalled(long nowMillis) {
+        return attempt != null
+                && localTarget != null
+                && state.uses(Mechanism.LEAVE_SILENT)
+                && route.isIdempotent()
+                && attemptsSent < route.maxAttempts()
+                && nowMillis - attemptAtMillis > STALL_TIMEOUT_MILLIS
+                && localTarget.isSilent(nowMillis)
+                && state.retryBudget().left(service.name(), nowMillis) > 0
+                && routingOptions().placement().local().isDefined();
+    }
+
+    private RoutingOptions routingOptions() {
+        return state.routingOptions(new Demand(route, service, remainingWork(), tried));
+    }
+
+    private void send() {
+        RoutingOptions options = routingOptions();
+        Placement placement = options.placement();
+        // Checked also before a retry: the remaining places are often full. Symptom: requests sent where the estimate
+        // is several times their latency objective, and callers that disconnect.
+        if (!mayHaveRun && !response.isStarted() && placement.shouldRefuse()) {
+            estimate = placement.outlook();
+            reject("the expected queue wait is too long");
+            return;
+        }
+        if (!mayHaveRun && !response.isStarted() && !state.mayStart(route)) {
+            reject(STOPPING_REASON);
+            return;
+        }
+        Option<String> region = placement.region();
+        if (region.isDefined()) {
+            estimate = placement.outlook(region.get());
+            forward(options, region.get());
+        } else if (placement.local().isDefined()) {
+            estimate = placement.localOutlook();
+            sendLocally(placement.local().get());
+        } else {
+            fail("no target is available");
+        }
+    }
+
+    private void sendLocally(Choice choice) {
+        attemptAtMillis = state.nowMillis();
+        localTarget = choice.target();
+        recordSend();
+        decisionLog.sent(choice, service, work, attemptAtMillis, deadlineMillis, attemptsSent);
+        AttemptHandler handler = new AttemptHandler(choice.target().runText());
+        Attempt started = LocalAttempt.send(state, choice, service, targetCall(), !route.isIdempotent(), handler);
+        setAttempt(handler, started);
+    }
+
+    private void forward(RoutingOptions options, String region) {
+        PeerLink link = options.linksByRegion().get(region);
+        attemptAtMillis = state.nowMillis();
+        localTarget = null;
+        recordSend();
+        int hosts = state.regionView().hosts().size();
+        state.regionLoads().sent(region, service.name(), work.urgency(), Placement.units(work), hosts);
+        decisionLog.forwarded(options, region, service, attemptsSent);
+        TargetCall call = targetCall();
+        AttemptHandler handler = new AttemptHandler(region);
+        Attempt started = link.ask(
+                number -> new PeerFrame.Ask(
+                        number,
+                        state.configurationVersion(),
+                        service.name(),
+                        request.id(),
+                        request.method(),
+                        request.uri(),
+                        request.authority(),
+                        PeerLink.flat(request.headers()),
+                        request.body(),
+                        call.remainingMillis(),
+                        link.state().sentAtMillis(),
+                        link.stateAgeMillis(),
+                        call.lastEventId(),
+                        work.urgency(),
+                        !route.isIdempotent(),
+                        List.copyOf(tried)),
+                handler);
+        setAttempt(handler, started);
+    }
+
+    private void setAttempt(AttemptHandler handler, Attempt started) {
+        if (handler.active) {
+            attempt = started;
+        }
+    }
+
+    private void recordSend() {
+        attemptsSent++;
+        if (!firstSendRecorded) {
+            firstSendRecorded = true;
+            state.metrics().record(Latency.BEFORE_SEND, state.nowMillis() - arrivedAtMillis);
+            state.retryBudget().first(service.name(), state.nowMillis());
+        }
+        state.metrics().sent(attemptsSent);
+    }
+
+    private TargetCall targetCall() {
+        return new TargetCall(request, remainingWork(), deadlineMillis - state.nowMillis(), response.lastEventId());
+    }
+
+    /** Returns its work, limited to the remaining time. */
+    private Work remainingWork() {
+        return work.within(Math.max(1, deadlineMillis - state.nowMillis()));
+    }
+
+    private void attemptFailed(AttemptFailure failure, String reason) {
+        attempt = null;
+        decisionLog.attemptFailed(failure, reason, state.nowMillis() - attemptAtMillis);
+        state.metrics().attemptFailed(failure);
+        if (!failure.reachedTarget()) {
+            attemptsSent--;
+            failedBeforeSend++;
+            if (failedBeforeSend <= MAX_FAILED_BEFORE_SEND) {
+                send();
+            } else {
+                fail(reason);
+            }
+            return;
+        }
+        boolean retryable = !failure.mayHaveRun() || route.isIdempotent();
+        mayHaveRun |= failure.mayHaveRun();
+        if (retryable && mayRetry()) {
+            decisionLog.retried(response);
+            response.discardPartial();
+            send();
+            return;
+        }
+        fail(reason);
+    }
+
+    private boolean mayRetry() {
+        return state.uses(Mechanism.REPEAT)
+                && attemptsSent < route.maxAttempts()
+                && response.canContinue()
+                && state.retryBudget().spend(service.name(), state.nowMillis());
+    }
+
+    private void fail(String reason) {
+        if (response.isStarted()) {
+            response.abort();
+            state.metrics().ended("broken");
+            complete("broken", reason, false);
+        } else if (mayHaveRun) {
+            respond(HttpResponseStatus.BAD_GATEWAY, reason);
+        } else {
+            reject(reason);
+        }
+    }
+
+    private void onTimeout() {
+        if (attempt != null) {
+            attempt.cancel();
+            // The attempt's outcome is unknown; the target may have run it.
+            mayHaveRun = true;
+        }
+        if (!response.isStarted() && mayHaveRun) {
+            respond(HttpResponseStatus.GATEWAY_TIMEOUT, "the deadline has passed");
+        } else {
+            fail("the deadline has passed");
+        }
+    }
+
+    private void reject(String reason) {
+        HttpHeaders headers = Headers.unchecked();
+        long retryAfterMillis = state.retryAfterMillis(Option.of(service), work, deadlineMillis - state.nowMillis());
+        headers.set(HttpHeaderNames.RETRY_AFTER, Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
+        response.respond(HttpResponseStatus.SERVICE_UNAVAILABLE.code(), headers, Unpooled.EMPTY_BUFFER);
+        state.metrics().ended("refused");
+        complete("refused", reason, false);
+    }
+
+    private void respond(HttpResponseStatus status, String reason) {
+        response.respond(status.code(), Headers.unchecked(), Unpooled.EMPTY_BUFFER);
+        state.metrics().ended(Integer.toString(status.code()));
+        complete(Integer.toString(status.code()), reason, false);
+    }
+
+    private void complete(String outcome, String reason, boolean ordinary) {
+        finished = true;
+        attempt = null;
+        LogLine endLine = LogLine.of(LogEvent.ENDED)
+                .with("outcome", outcome)
+                .with("status", response.status())
+                .with("target", lastTarget)
+                .with("route", route == null ? "" : route.name())
+                .with("configurationVersion", state.configurationVersion())
+                .with("urgency", work.urgency().name())
+                .with("attempts", attemptsSent)
+                .with("readMillis", response.requestReadMillis())
+                .with("tookMillis", state.nowMillis() - arrivedAtMillis);
+        if (!reason.isEmpty()) {
+            endLine.with("reason", reason);
+        }
+        DecisionLog.addSize(endLine, work, response);
+        DecisionLog.addEstimate(endLine, estimate);
+        if (response.firstChunkAtMillis() > 0) {
+            DecisionLog.addLatencies(endLine, latencyResult());
+        }
+        decisionLog.ended(endLine, ordinary);
+        onFinished.run();
+    }
+
+    private void recordAnswered() {
+        GatewayMetrics metrics = state.metrics();
+        metrics.answered();
+        metrics.record(Latency.WHOLE, state.nowMillis() - arrivedAtMillis);
+        state.recordDuration(route, state.nowMillis() - arrivedAtMillis);
+        metrics.record(Latency.FIRST_PART, latencyResult().firstChunkMillis());
+        metrics.record(Latency.LONGEST_GAP, latencyResult().longestGapMillis());
+        boolean targetFailed = response.status() >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
+        complete(
+                "answered",
+                "",
+                attemptsSent == 1 && failedBeforeSend == 0 && !latencyResult().isLate() && !targetFailed);
+    }
+
+    private LatencyResult latencyResult() {
+        return LatencyResult.of(response, arrivedAtMillis, route);
+    }
+
+    /** Handles the events of one attempt, as long as it is the current one. */
+    private final class AttemptHandler implements AttemptListener {
+        private final String destination;
+        private boolean active = true;
+        private boolean failing;
+
+        private AttemptHandler(String destination) {
+            this.destination = destination;
+        }
+
+        @Override
+        public void head(int status, HttpHeaders headers) {
+            if (!active || finished) {
+                return;
+            }
+            // For an idempotent request, the response of another target may be better than a failure.
+            failing = status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code() && route.isIdempotent()
+                    || response.isStarted() && status != HttpResponseStatus.OK.code();
+            if (failing && (response.isStarted() || mayRetryFailure())) {
+                abandon("the target responded with status " + status);
+                return;
+            }
+            failing = false;
+            response.head(status, headers);
+        }
+
+        @Override
+        public void content(ByteBuf bytes) {
+            if (active && !finished) {
+                response.content(bytes, state.nowMillis());
+            }
+        }
+
+        @Override
+        public void ended() {
+            if (!active || finished) {
+                return;
+            }
+            lastTarget = attempt == null ? destination : attempt.to();
+            active = false;
+            attempt = null;
+            response.complete();
+            recordAnswered();
+        }
+
+        @Override
+        public void failed(AttemptFailure failure, String reason) {
+            if (!active || finished) {
+                return;
+            }
+            active = false;
+            tried.add(destination);
+            lastTarget = attempt == null ? destination : attempt.to();
+            if (localTarget == null && !failure.mayHaveRun()) {
+                state.regionLoads().refused(destination, service.name(), work.urgency());
+            }
+            attemptFailed(failure, reason);
+        }
+
+        /** Returns whether another target is available; otherwise the failure is forwarded to the caller. */
+        private boolean mayRetryFailure() {
+            if (!state.uses(Mechanism.REPEAT)
+                    || attemptsSent >= route.maxAttempts()
+                    || state.retryBudget().left(service.name(), state.nowMillis()) < 1) {
+                return false;
+            }
+            tried.add(destination);
+            return routingOptions().placement().isPossible();
+        }
+
+        private void abandon(String reason) {
+            active = false;
+            tried.add(destination);
+            Attempt failed = attempt;
+            if (failed != null) {
+                failed.cancel();
+            }
+            attemptFailed(AttemptFailure.UNKNOWN, reason);
+        }
+    }
+}
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
@@ -19,8 +19,8 @@
 @Timeout(60)
 class GatewayFlowTest {
     private static final long LIMIT_SECONDS = 20;
-    private static final long UNDER_WAY_MILLIS = 2_000;
-    private static final long STOPPING_MILLIS = 1_000;
+    private static final long IN_PROGRESS_MILLIS = 2_000;
+    private static final long STOP_ELAPSED_MILLIS = 1_000;
 
     private TestGateway gateway;
 
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void shouldPassARequestThroughUnchangedWhenATargetAnswers() throws Exception {
+    void shouldProxyARequestUnchangedWhenATargetAnswers() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "done")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void shouldAnswerNotRunWhenNoConfigurationIsKnown() throws Exception {
+    void shouldAnswerServiceUnavailableWhenNoConfigurationIsKnown() throws Exception {
         assertTrue(
                 gateway.caller().send(request("q1", "")).readUntil("\r\n\r\n").startsWith("HTTP/1.1 503"));
     }
@@ -77,7 +77,7 @@
      * answers. Cause: what may have run was sent again, or was called "not run", which makes the caller send it again.
      */
     @Test
-    void shouldNeitherRepeatNorCallNotRunWhenABookingsTargetBreaksOff() throws Exception {
+    void shouldNeitherRetryNorReportNotRunWhenTheTargetOfAnUnsafeRequestCloses() throws Exception {
         try (TestTarget breaking = new TestTarget((request, out) -> {
                     throw new IOException("break off");
                 });
@@ -88,12 +88,12 @@
             String answer = gateway.caller().send(request("q1", "b")).readUntil("\r\n\r\n");
 
             assertTrue(answer.startsWith("HTTP/1.1 502"), answer);
-            assertEquals(0, other.requestsLeft());
+            assertEquals(0, other.unreadRequests());
         }
     }
 
     @Test
-    void shouldSayWhenToComeBackWhenTheOnlyTargetRefuses() throws Exception {
+    void shouldSendRetryAfterWhenTheOnlyTargetRejects() throws Exception {
         try (TestTarget full = new TestTarget(
                 (request, out) -> TestTarget.write(out, "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", full.port());
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void shouldAskAnotherTargetWhenASafeRequestFails() throws Exception {
+    void shouldRetryAtAnotherTargetWhenASafeRequestFails() throws Exception {
         TestTarget.Script script = (request, out) -> TestTarget.write(
                 out,
                 TestTarget.header(request, "expected").equals("bad")
@@ -131,7 +131,7 @@
      * with a failure; there is no other target. Cause: the answer was thrown away for another attempt that could not be.
      */
     @Test
-    void shouldPassAFailureOnWhenNoOtherTargetCouldAnswer() throws Exception {
+    void shouldForwardAFailureWhenNoOtherTargetIsAvailable() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 500, "no")))) {
             gateway.configure(RouteKind.SAFE, false, 2).target("t1", target.port());
@@ -148,7 +148,7 @@
      * another target goes on. Cause: half an event was passed on, or the second run began at another place.
      */
     @Test
-    void shouldGoOnBehindTheLastWholeEventWhenAResumableStreamBreaks() throws Exception {
+    void shouldResumeAfterTheLastWholeEventWhenAResumableStreamBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             String last = TestTarget.header(request, "last-event-id");
             TestTarget.write(out, TestTarget.streamHead(request));
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void shouldEndVisiblyBrokenWhenAStreamThatCannotResumeBreaks() throws Exception {
+    void shouldTruncateTheResponseWhenAStreamThatCannotResumeBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
             throw new IOException("break off");
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void shouldStopTheTargetWhenTheCallerLeaves() throws Exception {
+    void shouldCancelTheAttemptWhenTheCallerDisconnects() throws Exception {
         CountDownLatch leave = new CountDownLatch(1);
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
@@ -204,7 +204,7 @@
             caller.close();
 
             target.awaitClosed();
-            assertEquals(1, target.requestsLeft());
+            assertEquals(1, target.unreadRequests());
         }
     }
 
@@ -213,7 +213,7 @@
      * connection carries the next request. Cause: the first answer that comes was taken for the one that is waited for.
      */
     @Test
-    void shouldWaitForItsOwnAnswerWhenALateSecondAnswerComesFirst() throws Exception {
+    void shouldIgnoreAStaleResponseWhenItArrivesBeforeTheOwnOne() throws Exception {
         TestTarget.Script script = (request, out) -> TestTarget.write(
                 out,
                 TestTarget.answer(request, 200, "stale").replaceFirst("Request-Id: [^\r]*", "Request-Id: earlier")
@@ -232,7 +232,7 @@
      * between the two ends is a request of its own. Cause: two programs on the way read different lengths.
      */
     @Test
-    void shouldRefuseARequestWhenItStatesItsLengthTwice() throws Exception {
+    void shouldRejectARequestWhenItHasTwoLengths() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         String hidden = "GET /a/hidden HTTP/1.1\r\nHost: desk.example\r\n\r\n";
 
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void shouldNotRunWhatIsHiddenBehindABodyWhenTheFirstRequestIsStillWaiting() throws Exception {
+    void shouldNotRunAPipelinedRequestWhenTheFirstIsInProgress() throws Exception {
         TestTarget.Script script = (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one"));
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
@@ -257,14 +257,14 @@
 
             assertTrue(answer.contains("one"), answer);
             assertEquals("q1", TestTarget.header(target.nextRequest(), "request-id"));
-            assertEquals(0, target.requestsLeft());
+            assertEquals(0, target.unreadRequests());
         }
     }
 
     @Test
-    void shouldRefuseWhatIsTooLargeWhenHeadOrBodyPassTheirBounds() throws Exception {
+    void shouldRejectARequestWhenHeadOrBodyExceedsItsLimit() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        gateway.directory();
+        gateway.entryHosts();
 
         assertTrue(gateway.caller()
                 .send("GET /a/ HTTP/1.1\r\nHost: desk.example\r\nX: " + "x".repeat(5_000) + "\r\n\r\n")
@@ -282,7 +282,7 @@
      * port stays open.
      */
     @Test
-    void shouldServeOnAndLeaveTheListWhenAskedToStop() throws Exception {
+    void shouldKeepServingAndLeaveTheEntryHostListWhenStopped() throws Exception {
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         TestTarget.Script script = (request, out) -> {
@@ -305,7 +305,7 @@
 
             assertTrue(waiting.readAll().contains("whole"));
             assertTrue(late.send(request("q2", "b")).readAll().contains("whole"));
-            assertFalse(gateway.directory().contains("127."));
+            assertFalse(gateway.entryHosts().contains("127."));
             gateway.awaitEnded();
         }
     }
@@ -315,7 +315,7 @@
      * word to stop; the process ends before the answer does. Cause: what can't end in time was begun.
      */
     @Test
-    void shouldBeginNothingNewWhenTheTimeLeftIsShort() throws Exception {
+    void shouldStartNoRequestWhenTheRemainingStopTimeIsShort() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
@@ -326,13 +326,13 @@
             gateway.awaitEnded();
 
             assertEquals("", readOrReset(kept.send(request("q2", "b"))));
-            assertEquals(1, target.requestsLeft());
+            assertEquals(1, target.unreadRequests());
         }
     }
 
     /** Guards against an answer that is cut at a planned stop though others of its kind show that it takes too long. */
     @Test
-    void shouldBeginNothingWhenOneOfItsKindIsUnderWayForLongerThanTheTimeLeft() throws Exception {
+    void shouldStartNoRequestWhenOneOfItsRouteTakesLongerThanTheRemainingTime() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
         try (TestTarget target = new TestTarget((request, out) -> {
             if (request.contains("slow")) {
@@ -344,10 +344,10 @@
             TestCaller kept = gateway.caller().send(request("q1", "b"));
             kept.readUntil("one");
             TestCaller slow = gateway.caller().send(request("slow", "b"));
-            Thread.sleep(UNDER_WAY_MILLIS);
+            Thread.sleep(IN_PROGRESS_MILLIS);
 
             gateway.stop();
-            Thread.sleep(STOPPING_MILLIS);
+            Thread.sleep(STOP_ELAPSED_MILLIS);
             kept.send(request("q2", "b"));
 
             kept.readUntil("HTTP/1.1 503");
@@ -369,9 +369,9 @@
      * one comes late, from a host that was cut off. Cause: whatever came last was taken.
      */
     @Test
-    void shouldKeepTheNewerConfigurationWhenAnOlderOneComesLate() throws Exception {
+    void shouldKeepTheNewerConfigurationWhenAnOlderOneArrivesLate() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1).configure(RouteKind.SAFE, false, 1);
-        gateway.configureAgain(1);
+        gateway.putOlderConfiguration(1);
 
         gateway.configure(RouteKind.SAFE, false, 1);
 
@@ -379,13 +379,13 @@
     }
 
     @Test
-    void shouldLeaveTheListWhenAnIntentRetiresThisHost() throws Exception {
+    void shouldLeaveTheEntryHostListWhenAnIntentRetiresThisHost() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        assertTrue(gateway.directory().contains("127."));
+        assertTrue(gateway.entryHosts().contains("127."));
 
         gateway.retire("h1");
 
-        assertFalse(gateway.directory().contains("127."));
+        assertFalse(gateway.entryHosts().contains("127."));
     }
 
     /**
@@ -393,13 +393,13 @@
      * gives up; both are read together. Cause: the request was started before the rest was read.
      */
     @Test
-    void shouldSendNothingWhenACallerHasLeftBeforeItsRequestIsRead() throws Exception {
+    void shouldSendNothingWhenTheCallerDisconnectsBeforeItsRequestIsRead() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")))) {
             gateway.configure(RouteKind.SAFE, false, 1).target("t1", target.port());
             gateway.caller().send(request("q1", "b")).readUntil("one");
 
-            CountDownLatch held = gateway.hold();
+            CountDownLatch held = gateway.blockEventLoop();
             gateway.caller().send(request("q2", "b")).close();
             held.countDown();
             gateway.linesOf("q2");
@@ -424,17 +424,17 @@
      * and its connections were kept for the later one.
      */
     @Test
-    void shouldEndRequestsAsUnknownWhenTheirTargetHasStartedAgain() throws Exception {
+    void shouldFailRequestsAsUnknownWhenTheirTargetRestarts() throws Exception {
         try (TestTarget earlier = new TestTarget((request, out) -> {});
                 TestTarget later = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "later")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1);
-            gateway.enter(new TargetRun("t1", 1_000), earlier.port());
+            gateway.enterTarget(new TargetRun("t1", 1_000), earlier.port());
             gateway.awaitTargets(1);
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
             earlier.nextRequest();
 
-            gateway.enter(new TargetRun("t1", 2_000), later.port());
+            gateway.enterTarget(new TargetRun("t1", 2_000), later.port());
 
             assertTrue(waiting.readUntil("\r\n\r\n").startsWith("HTTP/1.1 502"));
             assertTrue(
@@ -448,19 +448,19 @@
      * the entry before was believed on.
      */
     @Test
-    void shouldTellAnEntryThatCanNotBeReadOnceAndUseTheNextSoundOne() throws Exception {
+    void shouldLogAnUnreadableEntryOnceAndUseTheNextReadableOne() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "done")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
-            gateway.spoil("t1");
-            gateway.spoil("t1");
+            gateway.putUnreadableTarget("t1");
+            gateway.putUnreadableTarget("t1");
             gateway.awaitUnreadable(2);
 
             assertTrue(gateway.caller()
                     .send(request("q1", "b"))
                     .readUntil("\r\n\r\n")
                     .startsWith("HTTP/1.1 503"));
-            gateway.enter(new TargetRun("t1", 0), target.port());
+            gateway.enterTarget(new TargetRun("t1", 0), target.port());
             gateway.target("t2", target.port());
             assertTrue(
                     gateway.caller().send(request("q2", "b")).readUntil("done").startsWith("HTTP/1.1 200"));
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
@@ -24,8 +24,8 @@
 @Timeout(60)
 class GatewayLogTest {
     private static final String TWO_EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-    private static final long PACE_NANOS = 50_000_000;
-    private static final Pattern PACE = Pattern.compile("\"paceMillis\":([0-9.]+)");
+    private static final long EVENT_GAP_NANOS = 50_000_000;
+    private static final Pattern INTER_TOKEN_LATENCY = Pattern.compile("\"paceMillis\":([0-9.]+)");
 
     private TestGateway gateway;
 
@@ -60,10 +60,10 @@
         }
     }
 
-    private static void assertPace(List<String> lines, String event) {
+    private static void assertInterTokenLatency(List<String> lines, String event) {
         double paceMillis = lines.stream()
                 .filter(line -> line.contains(event))
-                .map(PACE::matcher)
+                .map(INTER_TOKEN_LATENCY::matcher)
                 .filter(Matcher::find)
                 .mapToDouble(found -> Double.parseDouble(found.group(1)))
                 .findFirst()
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void shouldNameTheTargetAndTheBreakWhenAStreamBreaksMidway() throws Exception {
+    void shouldLogTheTargetAndTheCauseWhenAStreamBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
             throw new IOException("break off");
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void shouldSayThatItMayHaveRunWhenABookingsAnswerIsLost() throws Exception {
+    void shouldLogThatItMayHaveRunWhenAnUnsafeResponseIsLost() throws Exception {
         try (TestTarget target = new TestTarget((request, out) -> {
             throw new IOException("break off");
         })) {
@@ -105,15 +105,15 @@
     }
 
     @Test
-    void shouldNameTheReasonWhenARequestIsRefused() throws Exception {
+    void shouldLogTheReasonWhenARequestIsRejected() throws Exception {
         gateway.configure(RouteKind.UNSAFE, false, 1);
         gateway.caller().send(request("q1")).readUntil("\r\n\r\n");
 
-        assertLine(gateway.linesOf("q1"), "\"outcome\":\"refused\"", "no target may take it", "\"attempts\":0");
+        assertLine(gateway.linesOf("q1"), "\"outcome\":\"refused\"", "no target is available", "\"attempts\":0");
     }
 
     @Test
-    void shouldLeaveOneLineWhenARequestGoesWell() throws Exception {
+    void shouldLogOneLineWhenARequestSucceeds() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "ok")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
@@ -134,7 +134,7 @@
      * what a request was expected to make, and how much of it had come.
      */
     @Test
-    void shouldTellTheSizeAndTheEventsThatCameWhenACallerLeavesALongStream() throws Exception {
+    void shouldLogSizeAndEventCountWhenACallerDisconnectsFromALongStream() throws Exception {
         TestTarget.Script script = (request, out) ->
                 TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk(TWO_EVENTS + "id: 3\nda"));
         try (TestTarget target = new TestTarget(script)) {
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void shouldTellTheSizeWhenAGenerationIsRefused() throws Exception {
+    void shouldLogTheSizeWhenAGenerationIsRejected() throws Exception {
         gateway.configureModel();
         gateway.caller().send(generation("q1")).readUntil("\r\n\r\n");
 
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void shouldCountTheEventsOfAllAttemptsWhenAStreamGoesOnElsewhere() throws Exception {
+    void shouldCountTheEventsOfAllAttemptsWhenAStreamIsResumed() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         TestTarget.Script script = (request, out) -> {
             if (runs.incrementAndGet() == 1) {
@@ -190,7 +190,7 @@
 
     /** The pace is known from a stream before; the line of the request that came to grief tells it. */
     @Test
-    void shouldTellThePaceThatWasKnownWhenATargetIsChosen() throws Exception {
+    void shouldLogTheKnownInterTokenLatencyWhenATargetIsChosen() throws Exception {
         CountDownLatch firstCame = new CountDownLatch(1);
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
@@ -204,15 +204,15 @@
             PeerFrame.State heard = peer.await(PeerFrame.State.class);
             try (TestCaller caller = gateway.caller()) {
                 caller.send(generation("q1")).readUntil("data: a\n\n");
-                LockSupport.parkNanos(PACE_NANOS);
+                LockSupport.parkNanos(EVENT_GAP_NANOS);
                 firstCame.countDown();
                 caller.readAll();
             }
             gateway.caller().send(generation("q2")).readAll();
             peer.ask("q3", 20_000, heard, Urgency.FIRST, 120);
 
-            assertPace(gateway.linesOf("q2"), "\"event\":\"sent\"");
-            assertPace(gateway.linesOf("q3"), "\"event\":\"forward_taken\"");
+            assertInterTokenLatency(gateway.linesOf("q2"), "\"event\":\"sent\"");
+            assertInterTokenLatency(gateway.linesOf("q3"), "\"event\":\"forward_taken\"");
         }
     }
 
@@ -221,7 +221,7 @@
      * be asked, and its answer is passed on. Cause: the lines told neither the status nor where it came from.
      */
     @Test
-    void shouldTellTheStatusAndTheTargetWhenAFailureIsPassedOn() throws Exception {
+    void shouldLogTheStatusAndTheTargetWhenAFailureIsForwarded() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 500, "no")))) {
             gateway.configure(RouteKind.SAFE, false, 2).target("t1", target.port());
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
@@ -42,11 +42,11 @@
     }
 
     /** A target that takes what comes and says nothing. */
-    private static TestTarget busy() throws IOException {
+    private static TestTarget unresponsiveTarget() throws IOException {
         return new TestTarget((request, out) -> {});
     }
 
-    private void fill(TestTarget target) throws IOException, InterruptedException {
+    private void queueBacklog(TestTarget target) throws IOException, InterruptedException {
         gateway.caller().send(generation("backlog", BACKLOG_TOKENS));
         target.nextRequest();
     }
@@ -57,10 +57,10 @@
      * where, how long and what its own prompt takes.
      */
     @Test
-    void shouldTellWhatWasExpectedWhenARequestIsRefusedForItsWait() throws Exception {
-        try (TestTarget target = busy()) {
+    void shouldLogTheEstimateWhenARequestIsRejectedForItsQueueWait() throws Exception {
+        try (TestTarget target = unresponsiveTarget()) {
             gateway.target("t1", target.port());
-            fill(target);
+            queueBacklog(target);
 
             String answer =
                     gateway.caller().send(generation("q1", SMALL_TOKENS)).readUntil("\r\n\r\n");
@@ -86,17 +86,17 @@
      * it arrived, and not where the load is known.
      */
     @Test
-    void shouldSendARequestOfAnotherRegionBackWhenItWouldBeLateHere() throws Exception {
-        try (TestTarget target = busy();
+    void shouldRejectAForwardedRequestWhenItWouldBeLateHere() throws Exception {
+        try (TestTarget target = unresponsiveTarget();
                 TestPeer peer = gateway.peer()) {
             gateway.target("t1", target.port());
-            fill(target);
+            queueBacklog(target);
 
             peer.ask("q1", 10_000, peer.await(PeerFrame.State.class), Urgency.LAST, SMALL_TOKENS);
             PeerFrame.AnswerFailed answer = peer.await(PeerFrame.AnswerFailed.class);
 
             assertEquals(AttemptFailure.NOT_SENT.name(), answer.failure());
-            assertEquals(0, target.requestsLeft());
+            assertEquals(0, target.unreadRequests());
         }
     }
 
@@ -107,15 +107,15 @@
      * be late was asked before the first sending alone. It has not run, so its caller can be told at once.
      */
     @Test
-    void shouldRefuseARequestThatDidNotRunWhenItWouldBeLateAtEveryOtherPlace() throws Exception {
+    void shouldRejectARequestThatDidNotRunWhenItWouldBeLateEverywhereElse() throws Exception {
         TestTarget.Script refusing = (request, out) -> TestTarget.write(
                 out,
                 "HTTP/1.1 503 X\r\nRequest-Id: " + TestTarget.header(request, "request-id")
                         + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
-        try (TestTarget backlog = busy();
+        try (TestTarget backlog = unresponsiveTarget();
                 TestTarget full = new TestTarget(refusing)) {
             gateway.target("t1", backlog.port());
-            fill(backlog);
+            queueBacklog(backlog);
             gateway.target("t2", full.port());
 
             String answer =
@@ -123,7 +123,7 @@
 
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
             assertEquals("q1", TestTarget.header(full.nextRequest(), "request-id"));
-            assertEquals(0, backlog.requestsLeft());
+            assertEquals(0, backlog.unreadRequests());
         }
     }
 
@@ -133,8 +133,8 @@
      * read, so nothing showed what they had waited for it.
      */
     @Test
-    void shouldTellWhenAllItsWorkWasLate() throws Exception {
-        java.util.concurrent.CountDownLatch held = gateway.hold();
+    void shouldLogALateTickWhenTheEventLoopWasBlocked() throws Exception {
+        java.util.concurrent.CountDownLatch held = gateway.blockEventLoop();
         Thread.sleep(300);
         held.countDown();
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
@@ -19,10 +19,10 @@
 @Timeout(60)
 class PeerFlowTest {
     /** Longer than a link may be silent. */
-    private static final long LONG_SILENCE_MILLIS = 2_000;
+    private static final long LONG_PAUSE_MILLIS = 2_000;
 
     /** A stopping host serves callers for a shorter time. */
-    private static final long STOP_MILLIS = 2_000;
+    private static final long STOP_PAUSE_MILLIS = 2_000;
 
     private TestGateway gateway;
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void shouldServeARequestOfAnotherRegionWhenItHasTimeLeft() throws Exception {
+    void shouldServeAForwardedRequestWhenItHasTimeLeft() throws Exception {
         try (TestTarget target = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")));
                 TestPeer peer = gateway.peer()) {
@@ -55,7 +55,7 @@
      * the time left counted from the moment at which it was read.
      */
     @Test
-    void shouldSendNothingWhenARequestOfAnotherRegionComesAfterItsTime() throws Exception {
+    void shouldSendNothingWhenAForwardedRequestArrivesAfterItsDeadline() throws Exception {
         try (TestTarget target = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")));
                 TestPeer peer = gateway.peer()) {
@@ -69,7 +69,7 @@
             assertEquals(
                     AttemptFailure.NOT_SENT.name(),
                     peer.await(PeerFrame.AnswerFailed.class).failure());
-            assertEquals(0, target.requestsLeft());
+            assertEquals(0, target.unreadRequests());
         }
     }
 
@@ -79,12 +79,12 @@
      * to the last moment up to which everything was read.
      */
     @Test
-    void shouldKeepALinkWhenItsHostStoodStillAndHasNotReadYet() throws Exception {
+    void shouldKeepALinkWhenThisHostPausedAndHasNotReadYet() throws Exception {
         try (TestPeer peer = gateway.peer()) {
             peer.sayItKnows(0, 1);
             gateway.awaitLogged("\"event\":\"peer_connected\"");
-            CountDownLatch goOn = gateway.standStillBeforeItsSteps();
-            Thread.sleep(LONG_SILENCE_MILLIS);
+            CountDownLatch goOn = gateway.pauseBeforeTimers();
+            Thread.sleep(LONG_PAUSE_MILLIS);
             peer.sayItKnows(0, 1);
             goOn.countDown();
             gateway.awaitLogged("\"event\":\"loop_late\"");
@@ -98,7 +98,7 @@
      * link whose other end has just ended. Cause: the end of a link told nothing of what had been taken over it.
      */
     @Test
-    void shouldSayNotRunWhenTheOtherHostHadEndedBeforeItTookTheRequest() throws Exception {
+    void shouldAnswerServiceUnavailableWhenThePeerTerminatedBeforeAcceptingTheRequest() throws Exception {
         gateway.configure(RouteKind.UNSAFE, false, 1);
         try (TestPeer peer = gateway.peer()) {
             peer.sayItServes("desk");
@@ -121,16 +121,16 @@
      * which was the last that was taken.
      */
     @Test
-    void shouldAnswerWhatHasComeAndTellTheLastCallWhenItEnds() throws Exception {
+    void shouldAnswerReceivedRequestsAndReportTheLastCallWhenItStops() throws Exception {
         try (TestTarget target = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")));
                 TestPeer peer = gateway.peer()) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
             PeerFrame.State heard = peer.await(PeerFrame.State.class);
-            TestGateway.Standstill standstill = gateway.stopAndStandStill(STOP_MILLIS);
+            TestGateway.EventLoopPause standstill = gateway.stopAndPause(STOP_PAUSE_MILLIS);
             standstill.awaitLastRead();
             peer.ask("q1", 20_000, heard);
-            standstill.end();
+            standstill.resume();
 
             assertEquals(200, peer.await(PeerFrame.AnswerHead.class).status());
             assertEquals(1, peer.await(PeerFrame.Leaving.class).lastCall());
@@ -144,7 +144,7 @@
      * had lost the store as well, so none of two regions took requests until it was back.
      */
     @Test
-    void shouldTellAHostThatHasJustStartedWhatItKnowsWhenTheStoreIsAway() throws Exception {
+    void shouldSendStoreItemsToAStartingHostWhenTheStoreIsUnavailable() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         gateway.loseStore();
         gateway.awaitStoreLost();
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PlannedStopFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PlannedStopFlowTest.java
@@ -19,7 +19,7 @@
 @Timeout(60)
 class PlannedStopFlowTest {
     /** Longer than a stopping host serves at least, and shorter than it takes requests. */
-    private static final long STANDSTILL_MILLIS = 2_000;
+    private static final long PAUSE_MILLIS = 2_000;
 
     /** A stop may take so long. */
     private static final long GRACE_MILLIS = 12_000;
@@ -47,7 +47,7 @@
                 + "\r\nTime-Left: 8000\r\nContent-Length: 4\r\n\r\nseal";
     }
 
-    private List<TestCaller> keptConnections() throws IOException {
+    private List<TestCaller> persistentConnections() throws IOException {
         List<TestCaller> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             TestCaller caller = gateway.caller();
@@ -66,15 +66,15 @@
      * requests had come in that time.
      */
     @Test
-    void shouldAnswerWhatHasComeWhenTheHostStandsStillAtTheEndOfItsStop() throws Exception {
-        List<TestCaller> callers = keptConnections();
-        TestGateway.Standstill standstill = gateway.stopAndStandStill(STANDSTILL_MILLIS);
+    void shouldAnswerReceivedRequestsWhenTheHostPausesAtTheEndOfItsStop() throws Exception {
+        List<TestCaller> callers = persistentConnections();
+        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
 
         standstill.awaitLastRead();
         for (int i = 0; i < CALLERS; i++) {
             callers.get(i).send(request(CALLERS + i));
         }
-        standstill.end();
+        standstill.resume();
 
         for (TestCaller caller : callers) {
             String answer = caller.readUntil("\r\n\r\n").toLowerCase(Locale.ROOT);
@@ -90,15 +90,15 @@
      * port closes.
      */
     @Test
-    void shouldAnswerWhoeverHasConnectedWhenThePortCloses() throws Exception {
-        TestGateway.Standstill standstill = gateway.stopAndStandStill(STANDSTILL_MILLIS);
+    void shouldAnswerConnectedCallersWhenThePortCloses() throws Exception {
+        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
 
         standstill.awaitLastRead();
         List<TestCaller> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             callers.add(gateway.caller().send(request(i)));
         }
-        standstill.end();
+        standstill.resume();
 
         for (TestCaller caller : callers) {
             String answer = caller.readUntil("\r\n\r\n").toLowerCase(Locale.ROOT);
@@ -113,8 +113,8 @@
      * is done.
      */
     @Test
-    void shouldWaitForWhoeverHasJustConnectedWhenTheHostEndsWhatIsIdle() throws Exception {
-        TestGateway.Standstill standstill = gateway.stopAndStandStill(STANDSTILL_MILLIS);
+    void shouldWaitForNewConnectionsWhenTheHostClosesIdleOnes() throws Exception {
+        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
 
         standstill.awaitLastRead();
         List<TestCaller> callers = new ArrayList<>();
@@ -122,8 +122,8 @@
             callers.add(gateway.caller());
         }
         CountDownLatch lookedAtIdle = new CountDownLatch(1);
-        CountDownLatch goOn = gateway.hold(lookedAtIdle);
-        standstill.end();
+        CountDownLatch goOn = gateway.blockEventLoop(lookedAtIdle);
+        standstill.resume();
         lookedAtIdle.await();
         for (int i = 0; i < CALLERS; i++) {
             callers.get(i).send(request(i));
@@ -140,14 +140,14 @@
      * request when the time for callers is over. Cause: the process ended as soon as no whole request was in progress.
      */
     @Test
-    void shouldAnswerARequestWhoseRestComesWhenTheHostWouldEnd() throws Exception {
+    void shouldAnswerAPartlyReceivedRequestWhenTheStopTimeIsOver() throws Exception {
         TestCaller caller = gateway.caller();
         String whole = request(1);
         caller.send(whole.substring(0, whole.length() - 2));
-        TestGateway.Standstill standstill = gateway.stopAndStandStill(STANDSTILL_MILLIS);
+        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
 
         standstill.awaitLastRead();
-        standstill.end();
+        standstill.resume();
         gateway.awaitLogged("\"event\":\"loop_late\"");
         assertFalse(gateway.hasEnded());
         String answer = caller.send(whole.substring(whole.length() - 2))
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
@@ -41,7 +41,7 @@
      * this system sets. Cause: they were passed on.
      */
     @Test
-    void shouldTakeOutHeadersThatOnlyThisSystemSetsWhenACallerSendsThem() {
+    void shouldRemoveReservedHeadersWhenACallerSendsThem() {
         HttpRequest head = head();
         head.headers().set("expected", "t9").set("URGENCY", "0");
 
@@ -56,7 +56,7 @@
      * of its connection. Cause: all headers of the connection were taken out.
      */
     @Test
-    void shouldKeepTheIdentifierWhenItIsNamedAsAHeaderOfTheConnection() {
+    void shouldKeepTheRequestIdWhenTheConnectionHeaderNamesIt() {
         HttpRequest head = head();
         head.headers().set("Connection", "close, Request-Id, X-Own");
 
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void shouldReadNoRequestWhenItNamesNoHostOrTwo() {
+    void shouldReturnNoneWhenARequestHasNoHostOrTwo() {
         HttpRequest none = head();
         none.headers().remove("Host");
         HttpRequest two = head();
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void shouldReadWhatAGenerationAsksWhenItSaysSo() {
+    void shouldReadTokenCountsWhenAGenerationStatesThem() {
         HttpRequest head = head();
         head.headers()
                 .set("Tokens", "1460,80")
@@ -96,7 +96,7 @@
 
     /** Guards against each stream being taken for the longest, and refused for it, where callers give no estimate. */
     @Test
-    void shouldExpectAUsualAnswerWhenTheCallerGivesOnlyItsMost() {
+    void shouldExpectTheDefaultOutputWhenTheCallerGivesOnlyAMaximum() {
         HttpRequest head = head();
         head.headers().set("Tokens", "1460,4000");
 
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void shouldPassARequestOnWhenItsNumbersCannotBeRead() {
+    void shouldAcceptARequestWhenItsNumbersAreMalformed() {
         HttpRequest head = head();
         head.headers().set("Tokens", "many,x").set("Parts", ",:,a").set("Time-Left", "soon");
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreLinkFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -19,8 +19,8 @@
 
 /** What a host with a small link reads from the store and tells other hosts of it. */
 @Timeout(60)
-class StoreLinkFlowTest {
-    private static final int NEIGHBOURS = 27;
+class StoreBandwidthFlowTest {
+    private static final int PEERS = 27;
     private static final int FOLLOWERS = 3;
 
     /** A configuration of two thousand routes, packed. */
@@ -30,7 +30,7 @@
     private static final int LINK_HALF_BYTES_PER_MILLI = 625;
 
     /** The most that an item may have. */
-    private static final int LARGEST_BYTES = 1 << 20;
+    private static final int MAX_ITEM_BYTES = 1 << 20;
 
     private static final int VERSIONS = 12;
     private static final int ROUNDS = 30;
@@ -55,12 +55,12 @@
     /** Guards against requests that are late at a host that passes a large configuration on to its region. */
     @Test
     void shouldLeaveHalfOfItsLinkToCallersWhenALargeItemChanges() throws Exception {
-        List<TestPeer> neighbours = gateway.neighbours(NEIGHBOURS);
+        List<TestPeer> neighbours = gateway.sameRegionPeers(PEERS);
 
         long beganNanos = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
             if (i % ROUNDS_PER_VERSION == 0) {
-                gateway.putNoise("large", LARGE_BYTES);
+                gateway.putIncompressible("large", LARGE_BYTES);
             }
             for (TestPeer neighbour : neighbours) {
                 neighbour.sayItKnows(i, 1);
@@ -81,7 +81,7 @@
 
     /** Guards against a takeover that reads the whole store over the link of a host that knows nearly all of it. */
     @Test
-    void shouldAskOnlyForChangesWhenItBeginsToFollowTheStore() throws Exception {
+    void shouldRequestOnlyChangesWhenItStartsFollowingTheStore() throws Exception {
         List<TestPeer> followers = followers();
         awaitFollowing(followers.get(0), false);
         long lists = gateway.storeLists();
@@ -97,7 +97,7 @@
 
     /** Guards against hosts that read all of the store again and again while the store turns them away. */
     @Test
-    void shouldNotListTheStoreWhenItTurnsThisHostAwayAndOthersFollowIt() throws Exception {
+    void shouldNotListTheStoreWhenItRejectsThisHostAndOthersFollowIt() throws Exception {
         List<TestPeer> followers = followers();
         awaitFollowing(followers.get(0), false);
         long lists = gateway.storeLists();
@@ -119,18 +119,18 @@
 
     /** Guards against each host that the store turns away passing on to its region what it was told itself. */
     @Test
-    void shouldTellNobodyWhatAnotherHostToldItWhenTheStoreTurnsItAway() throws Exception {
+    void shouldNotRelayPeerUpdatesWhenTheStoreRejectsThisHost() throws Exception {
         List<TestPeer> followers = followers();
-        try (TestPeer neighbour = gateway.neighbour("n1")) {
+        try (TestPeer neighbour = gateway.sameRegionPeer("n1")) {
             neighbour.readOn();
             awaitFollowing(followers.get(0), false);
             gateway.loseStore();
-            goOnSaying(followers, neighbour);
+            keepReporting(followers, neighbour);
             gateway.awaitLogged("\"event\":\"lease_failed\"");
             long before = gateway.metric("peer_bytes_sent{kind=\"store\"}");
 
             followers.get(1).sendSlowly(LARGE_BYTES, 1, 0);
-            goOnSaying(followers, neighbour);
+            keepReporting(followers, neighbour);
 
             assertEquals(before, gateway.metric("peer_bytes_sent{kind=\"store\"}"));
         }
@@ -141,10 +141,10 @@
 
     /** Guards against a follower's link that is full of versions of an item that are replaced before they are read. */
     @Test
-    void shouldReadTheNewestVersionAloneWhenALargeItemIsWrittenAgainAndAgain() throws Exception {
+    void shouldReadOnlyTheNewestVersionWhenALargeItemIsWrittenRepeatedly() throws Exception {
         long lists = gateway.storeLists();
         for (int i = 0; i < VERSIONS; i++) {
-            gateway.putNoise("large", LARGEST_BYTES);
+            gateway.putIncompressible("large", MAX_ITEM_BYTES);
             Thread.sleep(ROUND_MILLIS);
         }
         while (gateway.storeLists() == lists) {
@@ -155,9 +155,9 @@
     }
 
     @Test
-    void shouldLearnAnItemWhenItComesInPartsWithOtherFramesBetween() throws Exception {
+    void shouldApplyAnItemWhenItsPartsAreInterleavedWithOtherFrames() throws Exception {
         long revision = 1_000_000;
-        try (TestPeer teller = gateway.neighbour("n1")) {
+        try (TestPeer teller = gateway.sameRegionPeer("n1")) {
             teller.sendInParts(revision, LARGE_BYTES, LARGE_BYTES / 7);
             while (teller.await(PeerFrame.State.class).newestRevision() < revision) {
                 teller.sayItKnows(0, 1);
@@ -166,7 +166,7 @@
     }
 
     /** Lets the others say for three seconds that the store answers them, and that one of them doesn't ask it. */
-    private static void goOnSaying(List<TestPeer> followers, TestPeer neighbour) throws Exception {
+    private static void keepReporting(List<TestPeer> followers, TestPeer neighbour) throws Exception {
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer follower : followers) {
                 follower.sayItFollows(1);
@@ -186,7 +186,7 @@
                 .toList();
         List<TestPeer> followers = new ArrayList<>();
         for (String name : names) {
-            TestPeer follower = gateway.neighbour(name);
+            TestPeer follower = gateway.sameRegionPeer(name);
             follower.sayItFollows(1);
             followers.add(follower);
         }
