--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreHelpFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
@@ -15,9 +15,9 @@
 
 /** A host that asks the store tells others of its region what they lack. */
 @Timeout(60)
-class StoreHelpFlowTest {
+class StoreCatchUpFlowTest {
     /** As many as there are beside the followers in a region of a large installation. */
-    private static final int NEIGHBOURS = 27;
+    private static final int PEERS = 27;
 
     /** Some 240 targets and hosts with their configuration. */
     private static final int STORE_BYTES = 100_000;
@@ -54,10 +54,10 @@
      * store by what its link bears.
      */
     @Test
-    void shouldLeaveMostOfItsLinkToCallersWhenManyHostsLackWhatItKnows() throws Exception {
+    void shouldLeaveMostOfItsLinkToCallersWhenManyHostsAreBehind() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         gateway.putBytes("targets", STORE_BYTES);
-        List<TestPeer> neighbours = gateway.neighbours(NEIGHBOURS);
+        List<TestPeer> neighbours = gateway.sameRegionPeers(PEERS);
 
         long beganNanos = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
@@ -86,14 +86,14 @@
      * requests wait behind it. Cause: each version was queued for each host, however much was waiting already.
      */
     @Test
-    void shouldQueueNoFurtherVersionsWhenAHostHasNotTakenTheLast() throws Exception {
+    void shouldQueueNoFurtherVersionsWhenAHostHasNotReceivedTheLast() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        try (TestPeer slow = gateway.neighbour("slow")) {
+        try (TestPeer slow = gateway.sameRegionPeer("slow")) {
             slow.sayItKnows(1, 1);
             gateway.awaitLogged("\"peer\":\"slow\"");
 
             for (int i = 0; i < ROUNDS; i++) {
-                gateway.putNoise("large", LARGE_BYTES);
+                gateway.putIncompressible("large", LARGE_BYTES);
                 slow.sayItKnows(1, Long.MAX_VALUE);
                 Thread.sleep(ROUND_MILLIS);
             }
@@ -110,9 +110,9 @@
      * counted as signs of life.
      */
     @Test
-    void shouldKeepALinkWhenALargeItemComesSlowly() throws Exception {
+    void shouldKeepALinkWhenALargeItemArrivesSlowly() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        try (TestPeer slow = gateway.neighbour("slow")) {
+        try (TestPeer slow = gateway.sameRegionPeer("slow")) {
             slow.readOn();
             slow.sayItKnows(1, 1);
             slow.sendSlowly(STORE_BYTES, ROUNDS, ROUND_MILLIS);
@@ -127,10 +127,10 @@
      * else was taken to lack something.
      */
     @Test
-    void shouldTellOnlyTheHostThatKnowsLessWhenBothKnowSomethingElse() throws Exception {
+    void shouldSendOnlyToTheHostThatIsBehindWhenBothDiffer() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        try (TestPeer ahead = gateway.neighbour("ahead");
-                TestPeer behind = gateway.neighbour("behind")) {
+        try (TestPeer ahead = gateway.sameRegionPeer("ahead");
+                TestPeer behind = gateway.sameRegionPeer("behind")) {
             ahead.readOn();
             behind.readOn();
             while (gateway.countLogged("\"peer\":\"behind\",\"items\"") == 0) {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestCaller.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestCaller.java
@@ -8,13 +8,13 @@
 
 /** A caller that sends bytes as they are and reads what comes. */
 final class TestCaller implements AutoCloseable {
-    private static final int LIMIT_MILLIS = 20_000;
+    private static final int TIMEOUT_MILLIS = 20_000;
 
     private final Socket socket = new Socket();
 
     TestCaller(InetSocketAddress address) throws IOException {
-        socket.connect(address, LIMIT_MILLIS);
-        socket.setSoTimeout(LIMIT_MILLIS);
+        socket.connect(address, TIMEOUT_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
     }
 
     TestCaller send(String bytes) throws IOException {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -53,34 +53,34 @@
             "Hint",
             Set.of("Expected", "Urgency"));
     private static final long LINK_BYTES_PER_MILLI = 1_250;
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final long GRACE_MILLIS = 4_000;
-    private static final long END_LIMIT_MILLIS = 20_000;
-    private static final long ENGINE_TOKENS = 400_000;
-    private static final int TRIES = 1_000;
+    private static final long END_TIMEOUT_MILLIS = 20_000;
+    private static final long KV_CACHE_TOKENS = 400_000;
+    private static final int MAX_POLLS = 1_000;
 
     /** Each periodic step of a gateway is due within this time. */
     private static final long TICKS_DUE_MILLIS = 400;
 
-    private static final long PAUSE_NANOS = 10_000_000;
+    private static final long POLL_INTERVAL_NANOS = 10_000_000;
 
-    private static final AtomicInteger COUNT = new AtomicInteger();
+    private static final AtomicInteger INSTANCES = new AtomicInteger();
     private static final int FIRST_PORT = 18_000;
     private static final int BYTE_VALUES = 250;
 
     private final String ip = "127." + (1 + ProcessHandle.current().pid() / BYTE_VALUES % BYTE_VALUES) + "."
-            + (1 + ProcessHandle.current().pid() % BYTE_VALUES) + "." + COUNT.incrementAndGet();
+            + (1 + ProcessHandle.current().pid() % BYTE_VALUES) + "." + INSTANCES.incrementAndGet();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private int nextPort = FIRST_PORT;
     private final EventLoopGroup group = new NioEventLoopGroup(1);
     private final TestStore store = new TestStore(group.next());
     private final CountDownLatch ended = new CountDownLatch(1);
     private final InetSocketAddress callers = ownAddress();
-    private final InetSocketAddress directory = ownAddress();
+    private final InetSocketAddress entryHosts = ownAddress();
     private final Gateway gateway;
     private final InetSocketAddress metrics = ownAddress();
     private final InetSocketAddress peers = ownAddress();
-    private final Queue<TestCaller> connected = new ConcurrentLinkedQueue<>();
+    private final Queue<TestCaller> openCallers = new ConcurrentLinkedQueue<>();
     private long version;
     private int targets;
 
@@ -92,11 +92,11 @@
     TestGateway(long graceMillis) throws IOException {
         GatewaySettings settings = new GatewaySettings(
                 "h1",
-                Place.of("suva", HALL),
-                Map.of(HALL, "suva"),
+                Place.of("suva", DATA_CENTRE),
+                Map.of(DATA_CENTRE, "suva"),
                 callers,
                 ownAddress(),
-                directory,
+                entryHosts,
                 peers,
                 metrics,
                 ownAddress(),
@@ -115,7 +115,7 @@
 
     /** Puts a configuration in force with one route, of streams of a model engine that may be resumed. */
     TestGateway configureModel() throws IOException {
-        return configure(RouteKind.STREAM, true, 2, ENGINE_TOKENS);
+        return configure(RouteKind.STREAM, true, 2, KV_CACHE_TOKENS);
     }
 
     private TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts, long memoryTokens)
@@ -148,7 +148,7 @@
 
     /** Enters a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
-        enter(new TargetRun(id, 0), port);
+        enterTarget(new TargetRun(id, 0), port);
         targets++;
         awaitMetric("targets " + targets);
         return this;
@@ -160,7 +160,7 @@
     }
 
     /** Puts what can't be read where a target enters itself. */
-    void spoil(String id) {
+    void putUnreadableTarget(String id) {
         store.put("targets/" + id, new ClusterFact.Unreadable(Option.some(id), "no address"), false);
     }
 
@@ -178,15 +178,15 @@
     }
 
     /** Enters a run of a target. */
-    void enter(TargetRun run, int port) {
-        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, HALL, 4, false, 0);
+    void enterTarget(TargetRun run, int port) {
+        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
         store.put("targets/" + run.id(), new ClusterFact.TargetEntered(entry), false);
     }
 
     /** Waits for the line that tells the end of a request, and returns all lines of it. */
     List<String> linesOf(String requestId) {
         String own = "\"requestId\":\"" + requestId + "\"";
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_POLLS; i++) {
             List<String> lines = logged.toString(StandardCharsets.UTF_8)
                     .lines()
                     .filter(line -> line.contains(own))
@@ -194,13 +194,13 @@
             if (lines.stream().anyMatch(line -> line.contains("\"event\":\"ended\""))) {
                 return lines;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
         throw new AssertionError("no end of " + requestId + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
     /** Puts an older version where the configuration is kept, as a host that was cut off would tell it. */
-    void configureAgain(long olderVersion) {
+    void putOlderConfiguration(long olderVersion) {
         GatewayConfiguration older = GatewayConfiguration.of(olderVersion, List.of(), List.of(), CallerBounds.DEFAULTS);
         store.put("configuration", new ClusterFact.Configured(older), false);
     }
@@ -226,7 +226,7 @@
     /** Connects a caller, which stays until it closes or the test ends: the collector closes one that nobody holds. */
     TestCaller caller() throws IOException {
         TestCaller caller = new TestCaller(callers);
-        connected.add(caller);
+        openCallers.add(caller);
         return caller;
     }
 
@@ -242,22 +242,22 @@
 
     /** Waits until the log holds a text. */
     void awaitLogged(String text) {
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_POLLS; i++) {
             if (logged.toString(StandardCharsets.UTF_8).contains(text)) {
                 return;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
         throw new AssertionError("never logged: " + text + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
     /** Keeps the event loop from all work until what is given back is counted down. */
-    CountDownLatch hold() {
-        return hold(new CountDownLatch(1));
+    CountDownLatch blockEventLoop() {
+        return blockEventLoop(new CountDownLatch(1));
     }
 
     /** The same; tells when it has begun. */
-    CountDownLatch hold(CountDownLatch begun) {
+    CountDownLatch blockEventLoop(CountDownLatch begun) {
         CountDownLatch released = new CountDownLatch(1);
         group.next().execute(() -> {
             begun.countDown();
@@ -276,15 +276,15 @@
     }
 
     /** Links to it as another host of its region. */
-    TestPeer neighbour(String name) throws IOException {
-        return new TestPeer(peers, name, Place.of("suva", HALL));
+    TestPeer sameRegionPeer(String name) throws IOException {
+        return new TestPeer(peers, name, Place.of("suva", DATA_CENTRE));
     }
 
     /** Links to it as many other hosts of its region, which read whatever comes. */
-    List<TestPeer> neighbours(int count) throws IOException {
+    List<TestPeer> sameRegionPeers(int count) throws IOException {
         List<TestPeer> neighbours = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            TestPeer neighbour = neighbour("n" + i);
+            TestPeer neighbour = sameRegionPeer("n" + i);
             neighbour.readOn();
             neighbours.add(neighbour);
         }
@@ -297,7 +297,7 @@
     }
 
     /** Puts bytes into the store that can't be packed. */
-    void putNoise(String key, int bytes) {
+    void putIncompressible(String key, int bytes) {
         byte[] noise = new byte[bytes];
         new Random(bytes).nextBytes(noise);
         store.put(key, noise, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
@@ -320,8 +320,8 @@
     }
 
     /** Asks for the hosts that callers should use. */
-    String directory() throws IOException {
-        try (TestCaller caller = new TestCaller(directory)) {
+    String entryHosts() throws IOException {
+        try (TestCaller caller = new TestCaller(entryHosts)) {
             return caller.send("GET /hosts HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                     .readAll();
         }
@@ -330,8 +330,8 @@
     /** Asks the gateway to stop and waits until it has heard it. */
     void stop() throws IOException {
         gateway.stop(ended::countDown);
-        while (directory().contains("127.")) {
-            LockSupport.parkNanos(PAUSE_NANOS);
+        while (entryHosts().contains("127.")) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
@@ -339,13 +339,13 @@
      * Asks the gateway to stop and lets its event loop stand still at once. It stands still once more between its next
      * look at its sockets and whatever was due meanwhile, as a process does that gets no time just then.
      */
-    Standstill stopAndStandStill(long standstillMillis) throws InterruptedException {
-        Standstill standstill = new Standstill();
+    EventLoopPause stopAndPause(long standstillMillis) throws InterruptedException {
+        EventLoopPause standstill = new EventLoopPause();
         CountDownLatch begun = new CountDownLatch(1);
         EventLoop loop = group.next();
         loop.execute(() -> {
             // Due before all that the stop has yet to do.
-            loop.schedule(standstill::standAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            loop.schedule(standstill::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             gateway.stop(ended::countDown);
             loop.execute(() -> {
                 begun.countDown();
@@ -360,21 +360,21 @@
      * Lets the event loop stand still from after a look at its sockets until what is given back is counted down, with its
      * periodic steps due right after.
      */
-    CountDownLatch standStillBeforeItsSteps() throws InterruptedException {
-        Standstill standstill = new Standstill();
+    CountDownLatch pauseBeforeTimers() throws InterruptedException {
+        EventLoopPause standstill = new EventLoopPause();
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(standstill::standAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            loop.schedule(standstill::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICKS_DUE_MILLIS));
         });
         standstill.awaitLastRead();
-        return standstill.over;
+        return standstill.resumed;
     }
 
     /** The second time for which the event loop stands still. */
-    static final class Standstill {
+    static final class EventLoopPause {
         private final CountDownLatch lastRead = new CountDownLatch(1);
-        private final CountDownLatch over = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
 
         /** Waits until the event loop has read for the last time before its timers run. */
         void awaitLastRead() throws InterruptedException {
@@ -382,14 +382,14 @@
         }
 
         /** Lets the event loop go on. */
-        void end() {
-            over.countDown();
+        void resume() {
+            resumed.countDown();
         }
 
-        private void standAfterLastRead() {
+        private void pauseAfterLastRead() {
             lastRead.countDown();
             try {
-                over.await();
+                resumed.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -402,7 +402,7 @@
     }
 
     void awaitEnded() throws InterruptedException {
-        if (!ended.await(END_LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
+        if (!ended.await(END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
             throw new AssertionError("the gateway did not end");
         }
     }
@@ -421,12 +421,12 @@
 
     private void awaitMetric(String line) throws IOException {
         String shown = "";
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_POLLS; i++) {
             shown = metrics();
             if (shown.contains("rattanplank_gateway_" + line + "\n")) {
                 return;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
         throw new AssertionError("never shown: " + line + " in " + shown);
     }
@@ -444,7 +444,7 @@
         @Override
         public Option<AdapterNames.Question> read(String uri) {
             return uri.startsWith("/hosts")
-                    ? Option.some(new AdapterNames.Question("desk.example", "suva", HALL))
+                    ? Option.some(new AdapterNames.Question("desk.example", "suva", DATA_CENTRE))
                     : Option.none();
         }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
@@ -15,13 +15,13 @@
 
 /** A target that answers each request by a script. */
 final class TestTarget implements AutoCloseable {
-    private static final long LIMIT_SECONDS = 20;
-    private static final String LENGTH = "content-length: ";
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final String CONTENT_LENGTH = "content-length: ";
 
     private final ServerSocket server;
     private final Script script;
     private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     TestTarget(Script script) throws IOException {
         this.script = script;
@@ -35,7 +35,7 @@
 
     /** Waits for the next request, as it came. */
     String nextRequest() throws InterruptedException {
-        String request = requests.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+        String request = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
             throw new AssertionError("no request came");
         }
@@ -44,12 +44,12 @@
 
     /** Waits until a connection was closed from the other end. */
     void awaitClosed() throws InterruptedException {
-        if (ends.poll(LIMIT_SECONDS, TimeUnit.SECONDS) == null) {
+        if (closedConnections.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection was closed");
         }
     }
 
-    int requestsLeft() {
+    int unreadRequests() {
         return requests.size();
     }
 
@@ -104,7 +104,7 @@
                 script.serve(request, socket.getOutputStream());
             }
         } finally {
-            ends.add("closed");
+            closedConnections.add("closed");
         }
     }
 
@@ -115,10 +115,11 @@
             bytes.write(each);
             String text = bytes.toString(StandardCharsets.ISO_8859_1);
             if (length < 0 && text.endsWith("\r\n\r\n")) {
-                int at = text.toLowerCase(java.util.Locale.ROOT).indexOf(LENGTH);
+                int at = text.toLowerCase(java.util.Locale.ROOT).indexOf(CONTENT_LENGTH);
                 length = at < 0
                         ? 0
-                        : Integer.parseInt(text.substring(at + LENGTH.length()).split("\r\n")[0]);
+                        : Integer.parseInt(
+                                text.substring(at + CONTENT_LENGTH.length()).split("\r\n")[0]);
                 bytes.write(in.readNBytes(length));
                 return bytes.toString(StandardCharsets.ISO_8859_1);
             }
