--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
@@ -73,13 +73,13 @@
     }
 
     /**
-     * Symptom: two bookings for one order. Sequence: the target takes the booking and its connection is reset before it
-     * answers. Cause: what may have run was sent again, or was called "not run", which makes the caller send it again.
+     * Guards against a duplicate booking: the target accepts the request and its connection is reset before the
+     * response. If the gateway retried it, or reported it as not run so that the caller retries, it would run twice.
      */
     @Test
     void shouldNeitherRetryNorReportNotRunWhenTheTargetOfAnUnsafeRequestCloses() throws Exception {
         try (TestTarget breaking = new TestTarget((request, out) -> {
-                    throw new IOException("break off");
+                    throw new IOException("connection closed by the test");
                 });
                 TestTarget other = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "again")))) {
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Symptom: callers get this system's own failure though a target answered. Sequence: a safe request's target answers
-     * with a failure; there is no other target. Cause: the answer was thrown away for another attempt that could not be.
+     * Guards against replacing a target's failure response by the gateway's own: the response must not be discarded for
+     * a retry if there is no other target.
      */
     @Test
     void shouldForwardAFailureWhenNoOtherTargetIsAvailable() throws Exception {
@@ -144,8 +144,8 @@
     }
 
     /**
-     * Symptom: a draft lacks a line, or has one twice. Sequence: its target breaks off in the middle of the third event;
-     * another target goes on. Cause: half an event was passed on, or the second run began at another place.
+     * Guards against missing or duplicate events when the target's connection closes in the middle of the third event
+     * and another target resumes: a partial event was forwarded, or the second attempt resumed at the wrong event.
      */
     @Test
     void shouldResumeAfterTheLastWholeEventWhenAResumableStreamBreaks() throws Exception {
@@ -154,7 +154,7 @@
             TestTarget.write(out, TestTarget.streamHead(request));
             if (last.isEmpty()) {
                 TestTarget.write(out, TestTarget.chunk("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"));
-                throw new IOException("break off");
+                throw new IOException("connection closed by the test");
             }
             TestTarget.write(out, TestTarget.chunk("id: 3\ndata: after " + last + "\n\n") + "0\r\n\r\n");
         };
@@ -175,7 +175,7 @@
     void shouldTruncateTheResponseWhenAStreamThatCannotResumeBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
-            throw new IOException("break off");
+            throw new IOException("connection closed by the test");
         };
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.STREAM, false, 3)
@@ -209,8 +209,9 @@
     }
 
     /**
-     * Symptom: a caller gets another one's answer. Sequence: a target answers twice; the second answer arrives after the
-     * connection carries the next request. Cause: the first answer that comes was taken for the one that is waited for.
+     * Guards against responses delivered to the wrong request: a target responds twice, and the second response arrives
+     * after the connection carries the next request. The first response read was taken as that of the request in
+     * progress.
      */
     @Test
     void shouldIgnoreAStaleResponseWhenItArrivesBeforeTheOwnOne() throws Exception {
@@ -228,8 +229,8 @@
     }
 
     /**
-     * Symptom: a target runs a request that no caller sent. Sequence: a request states its length twice, and what lies
-     * between the two ends is a request of its own. Cause: two programs on the way read different lengths.
+     * Guards against request smuggling: a request states its length twice, and the bytes between the two ends are a
+     * request of their own if two programs on its path use different lengths.
      */
     @Test
     void shouldRejectARequestWhenItHasTwoLengths() throws Exception {
@@ -277,16 +278,15 @@
     }
 
     /**
-     * Symptom: callers lose answers at a planned stop. Sequence: a request is on its way when the process is asked to
-     * stop, and another comes after it. Cause: the port closed at once. The list drops the host at once instead, and the
-     * port stays open.
+     * Guards against lost responses at a planned stop: one request is in progress when the stop begins, and another one
+     * arrives later. The host must leave the entry host list at once, but keep its port open.
      */
     @Test
     void shouldKeepServingAndLeaveTheEntryHostListWhenStopped() throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
+        CountDownLatch received = new CountDownLatch(1);
         CountDownLatch answer = new CountDownLatch(1);
         TestTarget.Script script = (request, out) -> {
-            asked.countDown();
+            received.countDown();
             try {
                 answer.await(LIMIT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
@@ -297,7 +297,7 @@
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
-            assertTrue(asked.await(LIMIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(received.await(LIMIT_SECONDS, TimeUnit.SECONDS));
 
             gateway.stop();
             TestCaller late = gateway.caller();
@@ -311,26 +311,29 @@
     }
 
     /**
-     * Symptom: answers are cut at a planned stop. Sequence: a caller with an old list sends a request seconds after the
-     * word to stop; the process ends before the answer does. Cause: what can't end in time was begun.
+     * Guards against responses truncated at a planned stop: a caller with an old entry host list sends a request
+     * seconds after the stop began, and the process terminates before its response is complete.
      */
     @Test
     void shouldStartNoRequestWhenTheRemainingStopTimeIsShort() throws Exception {
         try (TestTarget target =
                 new TestTarget((request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
-            TestCaller kept = gateway.caller().send(request("q1", "b"));
-            kept.readUntil("one");
+            TestCaller persistent = gateway.caller().send(request("q1", "b"));
+            persistent.readUntil("one");
 
             gateway.stop();
             gateway.awaitEnded();
 
-            assertEquals("", readOrReset(kept.send(request("q2", "b"))));
+            assertEquals("", readOrReset(persistent.send(request("q2", "b"))));
             assertEquals(1, target.unreadRequests());
         }
     }
 
-    /** Guards against an answer that is cut at a planned stop though others of its kind show that it takes too long. */
+    /**
+     * Guards against a response truncated at a planned stop although other requests of its route show that it takes too
+     * long.
+     */
     @Test
     void shouldStartNoRequestWhenOneOfItsRouteTakesLongerThanTheRemainingTime() throws Exception {
         CountDownLatch released = new CountDownLatch(1);
@@ -341,16 +344,16 @@
             TestTarget.write(out, TestTarget.answer(request, 200, "one"));
         })) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
-            TestCaller kept = gateway.caller().send(request("q1", "b"));
-            kept.readUntil("one");
+            TestCaller persistent = gateway.caller().send(request("q1", "b"));
+            persistent.readUntil("one");
             TestCaller slow = gateway.caller().send(request("slow", "b"));
             Thread.sleep(IN_PROGRESS_MILLIS);
 
             gateway.stop();
             Thread.sleep(STOP_ELAPSED_MILLIS);
-            kept.send(request("q2", "b"));
+            persistent.send(request("q2", "b"));
 
-            kept.readUntil("HTTP/1.1 503");
+            persistent.readUntil("HTTP/1.1 503");
             released.countDown();
             slow.readUntil("one");
         }
@@ -365,8 +368,8 @@
     }
 
     /**
-     * Symptom: requests go where the operator no longer wants them. Sequence: a newer configuration is in force; an older
-     * one comes late, from a host that was cut off. Cause: whatever came last was taken.
+     * Guards against requests sent where the operator no longer wants them: a newer configuration is in force, and an
+     * older one arrives late from a host that was partitioned.
      */
     @Test
     void shouldKeepTheNewerConfigurationWhenAnOlderOneArrivesLate() throws Exception {
@@ -389,8 +392,8 @@
     }
 
     /**
-     * Symptom: targets work for callers that left. Sequence: a host is behind with its work; a caller sends a request and
-     * gives up; both are read together. Cause: the request was started before the rest was read.
+     * Guards against targets that work without a caller: on a delayed host a request and its caller's disconnect are
+     * read together, and the request was started before the disconnect was read.
      */
     @Test
     void shouldSendNothingWhenTheCallerDisconnectsBeforeItsRequestIsRead() throws Exception {
@@ -399,9 +402,9 @@
             gateway.configure(RouteKind.SAFE, false, 1).target("t1", target.port());
             gateway.caller().send(request("q1", "b")).readUntil("one");
 
-            CountDownLatch held = gateway.blockEventLoop();
+            CountDownLatch blocked = gateway.blockEventLoop();
             gateway.caller().send(request("q2", "b")).close();
-            held.countDown();
+            blocked.countDown();
             gateway.linesOf("q2");
             gateway.caller().send(request("q3", "b")).readUntil("one");
 
@@ -419,22 +422,22 @@
     }
 
     /**
-     * Symptom: a caller waits until its time is up for a target that has crashed. Sequence: the target crashes behind a
-     * cut, so that nothing is reset, and starts again under its identifier. Cause: requests at the earlier run waited on,
-     * and its connections were kept for the later one.
+     * Guards against callers that wait for a crashed target until their deadline: the target crashes without a
+     * connection reset and restarts under the same identifier. Requests at the previous incarnation kept waiting, and
+     * its connections were reused for the new one.
      */
     @Test
     void shouldFailRequestsAsUnknownWhenTheirTargetRestarts() throws Exception {
-        try (TestTarget earlier = new TestTarget((request, out) -> {});
-                TestTarget later = new TestTarget(
+        try (TestTarget previous = new TestTarget((request, out) -> {});
+                TestTarget restarted = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "later")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1);
-            gateway.enterTarget(new TargetRun("t1", 1_000), earlier.port());
+            gateway.enterTarget(new TargetRun("t1", 1_000), previous.port());
             gateway.awaitTargets(1);
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
-            earlier.nextRequest();
+            previous.nextRequest();
 
-            gateway.enterTarget(new TargetRun("t1", 2_000), later.port());
+            gateway.enterTarget(new TargetRun("t1", 2_000), restarted.port());
 
             assertTrue(waiting.readUntil("\r\n\r\n").startsWith("HTTP/1.1 502"));
             assertTrue(
@@ -443,9 +446,9 @@
     }
 
     /**
-     * Symptom: the log grows by a line a second, and a target that nobody meant gets requests. Sequence: somebody else
-     * writes an entry that can't be read, again and again; the target's own next entry is sound. Cause: each was told, or
-     * the entry before was believed on.
+     * Guards against a log line per second and requests to a wrong target: another writer repeatedly writes an
+     * unreadable entry, and the target's own next entry is readable. Each unreadable entry was logged, or the previous
+     * entry stayed in use.
      */
     @Test
     void shouldLogAnUnreadableEntryOnceAndUseTheNextReadableOne() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
@@ -20,7 +20,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What the log tells of a request that failed names the true cause. */
+/** Tests that the log lines of a failed request name its cause. */
 @Timeout(60)
 class GatewayLogTest {
     private static final String TWO_EVENTS = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
@@ -61,21 +61,21 @@
     }
 
     private static void assertInterTokenLatency(List<String> lines, String event) {
-        double paceMillis = lines.stream()
+        double interTokenLatencyMillis = lines.stream()
                 .filter(line -> line.contains(event))
                 .map(INTER_TOKEN_LATENCY::matcher)
                 .filter(Matcher::find)
                 .mapToDouble(found -> Double.parseDouble(found.group(1)))
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no pace in " + lines));
-        assertTrue(paceMillis > 0, lines::toString);
+                .orElseThrow(() -> new AssertionError("no inter-token latency in " + lines));
+        assertTrue(interTokenLatencyMillis > 0, lines::toString);
     }
 
     @Test
     void shouldLogTheTargetAndTheCauseWhenAStreamBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
-            throw new IOException("break off");
+            throw new IOException("connection closed by the test");
         };
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.STREAM, false, 1).target("t1", target.port());
@@ -92,7 +92,7 @@
     @Test
     void shouldLogThatItMayHaveRunWhenAnUnsafeResponseIsLost() throws Exception {
         try (TestTarget target = new TestTarget((request, out) -> {
-            throw new IOException("break off");
+            throw new IOException("connection closed by the test");
         })) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
             gateway.caller().send(request("q1")).readUntil("\r\n\r\n");
@@ -129,9 +129,9 @@
     }
 
     /**
-     * Symptom: the largest generations are left by their callers, and a log in which they can't be told from the small
-     * ones. Sequence: a stream begins at once and runs slowly; its caller leaves after some events. Cause: no line told
-     * what a request was expected to make, and how much of it had come.
+     * Guards against a log in which large generations can't be distinguished from small ones: a stream starts at once
+     * and is slow, and its caller disconnects after some events. The log must contain the expected size and the number
+     * of events forwarded.
      */
     @Test
     void shouldLogSizeAndEventCountWhenACallerDisconnectsFromALongStream() throws Exception {
@@ -174,7 +174,7 @@
         TestTarget.Script script = (request, out) -> {
             if (runs.incrementAndGet() == 1) {
                 TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk(TWO_EVENTS));
-                throw new IOException("break off");
+                throw new IOException("connection closed by the test");
             }
             TestTarget.write(
                     out, TestTarget.streamHead(request) + TestTarget.chunk("id: 3\ndata: c\n\n") + "0\r\n\r\n");
@@ -188,28 +188,28 @@
         }
     }
 
-    /** The pace is known from a stream before; the line of the request that came to grief tells it. */
+    /** The inter-token latency is known from a previous stream; the lines of a later failed request must contain it. */
     @Test
     void shouldLogTheKnownInterTokenLatencyWhenATargetIsChosen() throws Exception {
-        CountDownLatch firstCame = new CountDownLatch(1);
+        CountDownLatch firstEventReceived = new CountDownLatch(1);
         TestTarget.Script script = (request, out) -> {
             TestTarget.write(out, TestTarget.streamHead(request) + TestTarget.chunk("id: 1\ndata: a\n\n"));
-            await(firstCame);
+            await(firstEventReceived);
             TestTarget.write(out, TestTarget.chunk("id: 2\ndata: b\n\n"));
-            throw new IOException("break off");
+            throw new IOException("connection closed by the test");
         };
         try (TestTarget target = new TestTarget(script);
                 TestPeer peer = gateway.peer()) {
             gateway.configureModel().target("t1", target.port());
-            PeerFrame.State heard = peer.await(PeerFrame.State.class);
+            PeerFrame.State state = peer.await(PeerFrame.State.class);
             try (TestCaller caller = gateway.caller()) {
                 caller.send(generation("q1")).readUntil("data: a\n\n");
                 LockSupport.parkNanos(EVENT_GAP_NANOS);
-                firstCame.countDown();
+                firstEventReceived.countDown();
                 caller.readAll();
             }
             gateway.caller().send(generation("q2")).readAll();
-            peer.ask("q3", 20_000, heard, Urgency.FIRST, 120);
+            peer.ask("q3", 20_000, state, Urgency.FIRST, 120);
 
             assertInterTokenLatency(gateway.linesOf("q2"), "\"event\":\"sent\"");
             assertInterTokenLatency(gateway.linesOf("q3"), "\"event\":\"forward_taken\"");
@@ -217,8 +217,8 @@
     }
 
     /**
-     * Symptom: a caller got a failure and the log shows an ordinary answer. Sequence: a target answers 500, no other can
-     * be asked, and its answer is passed on. Cause: the lines told neither the status nor where it came from.
+     * Guards against a failure that the log shows as an ordinary response: a target answers 500, no other is available,
+     * and its response is forwarded. The log must contain the status and the target.
      */
     @Test
     void shouldLogTheStatusAndTheTargetWhenAFailureIsForwarded() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
@@ -16,7 +16,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What hosts of a region tell each other of prompts that take long to read, before their next states. */
+/** Tests the notices about long prompts that hosts of a region send each other ahead of their next state reports. */
 @Timeout(60)
 class LargePrefillFlowTest {
     private static final int LARGE_TOKENS = 12_000;
@@ -42,25 +42,30 @@
                         + ",10\r\nTime-Left: 20000\r\nContent-Length: 1\r\n\r\nx");
     }
 
-    /** A target that takes what comes and says nothing. */
+    /** Returns a target that accepts requests and never responds. */
     private static TestTarget unresponsiveTarget() throws IOException {
         return new TestTarget((request, out) -> {});
     }
 
-    /** A target that breaks off each request, so that the lines of it are written. */
+    /**
+     * Returns a target that closes the connection on each request, so that the log lines of the request are written.
+     */
     private static TestTarget closingTarget() throws IOException {
         return new TestTarget((request, out) -> {
-            throw new IOException("break off");
+            throw new IOException("connection closed by the test");
         });
     }
 
-    /** Has a peer say its state, and waits for the answer. */
+    /** Sends a peer's state report and waits for the gateway's. */
     private static PeerFrame.State exchangeStates(TestPeer peer, boolean readsLargeReads) throws IOException {
         List<PeerFrame> frames = unreadFrames(peer, readsLargeReads);
         return (PeerFrame.State) frames.get(frames.size() - 1);
     }
 
-    /** All that a peer was told and hasn't read yet: it says its state again, and reads up to the answer. */
+    /**
+     * Returns all frames sent to a peer that it hasn't read yet: the peer reports its state again and reads up to the
+     * reply.
+     */
     private static List<PeerFrame> unreadFrames(TestPeer peer, boolean readsLargeReads) throws IOException {
         peer.sayItIsIdle(readsLargeReads);
         return peer.framesUntilHeard();
@@ -76,13 +81,13 @@
                 || frame instanceof PeerFrame.State state && !state.sent().isEmpty();
     }
 
-    /** Waits until all that a peer has said was read: a request whose time is up is sent back at once. */
-    private static void awaitProcessed(TestPeer peer, PeerFrame.State heard) throws IOException {
-        peer.ask("late", 0, heard);
+    /** Waits until all frames sent by a peer were processed: a request after its deadline is rejected at once. */
+    private static void awaitProcessed(TestPeer peer, PeerFrame.State gatewayState) throws IOException {
+        peer.ask("late", 0, gatewayState);
         peer.await(PeerFrame.AnswerFailed.class);
     }
 
-    /** Asks for a small generation and checks what the line of its sending tells. */
+    /** Sends a small generation and checks the number of queued tokens in its log line. */
     private void assertQueuedTokens(int tokens) throws IOException {
         sendRequest("q1", SMALL_TOKENS);
         List<String> lines = gateway.linesOf("q1");
@@ -93,7 +98,7 @@
                 lines::toString);
     }
 
-    /** Guards against long prompts of two hosts that meet at one engine, as neither has heard of the other's. */
+    /** Guards against long prompts of two hosts that queue at one engine because neither knows of the other's. */
     @Test
     void shouldNotifyAHostOfItsRegionAtOnceWhenItSendsALongPrompt() throws Exception {
         try (TestTarget target = unresponsiveTarget();
@@ -108,45 +113,45 @@
                     .findFirst()
                     .orElseThrow();
 
-            PeerFrame.TargetWork told =
+            PeerFrame.TargetWork reported =
                     assertInstanceOf(PeerFrame.LargeRead.class, first).work();
-            assertEquals(TARGET, told.target());
-            assertEquals(1, told.work().requests());
-            assertEquals(LARGE_TOKENS, told.work().waiting().ahead(Urgency.MIDDLE));
+            assertEquals(TARGET, reported.target());
+            assertEquals(1, reported.work().requests());
+            assertEquals(LARGE_TOKENS, reported.work().waiting().ahead(Urgency.MIDDLE));
         }
     }
 
-    /** Guards against links that end while hosts are updated, as an earlier version can't read the frame. */
+    /** Guards against links that close during a rolling update, as an earlier version can't decode the frame. */
     @Test
     void shouldNotNotifyAHostOfALongPromptWhenItDoesNotSupportTheNotice() throws Exception {
         try (TestTarget target = unresponsiveTarget();
-                TestPeer older = gateway.sameRegionPeer("n1")) {
+                TestPeer olderPeer = gateway.sameRegionPeer("n1")) {
             gateway.target("t1", target.port());
-            exchangeStates(older, false);
+            exchangeStates(olderPeer, false);
 
             sendRequest("q1", LARGE_TOKENS);
             target.nextRequest();
 
-            assertNoLargePrefillNotice(older, false);
+            assertNoLargePrefillNotice(olderPeer, false);
         }
     }
 
-    /** Guards against dear bytes between regions for what says nothing there. */
+    /** Guards against traffic between regions, which is expensive, for a notice that is of no use there. */
     @Test
     void shouldNotNotifyAHostOfAnotherRegionWhenItSendsALongPrompt() throws Exception {
         try (TestTarget target = unresponsiveTarget();
-                TestPeer far = gateway.peer()) {
+                TestPeer remotePeer = gateway.peer()) {
             gateway.target("t1", target.port());
-            exchangeStates(far, true);
+            exchangeStates(remotePeer, true);
 
             sendRequest("q1", LARGE_TOKENS);
             target.nextRequest();
 
-            assertNoLargePrefillNotice(far, true);
+            assertNoLargePrefillNotice(remotePeer, true);
         }
     }
 
-    /** Guards against a frame for each small prompt, of which there are many a second. */
+    /** Guards against one frame for each small prompt, of which there are many per second. */
     @Test
     void shouldNotNotifyAHostOfItsRegionWhenItSendsAShortPrompt() throws Exception {
         try (TestTarget target = unresponsiveTarget();
@@ -161,47 +166,53 @@
         }
     }
 
-    /** Guards against a prompt sent behind a long one of another host, which has told of it before its next state. */
+    /**
+     * Guards against a prompt sent to an engine that is busy with a long prompt of another host, which has reported it
+     * ahead of its next state report.
+     */
     @Test
     void shouldCountALongPromptAtOnceWhenAHostOfItsRegionReportsIt() throws Exception {
         try (TestTarget target = closingTarget();
                 TestPeer peer = gateway.sameRegionPeer("n1")) {
             gateway.target("t1", target.port());
-            PeerFrame.State heard = exchangeStates(peer, true);
+            PeerFrame.State gatewayState = exchangeStates(peer, true);
 
             peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
-            awaitProcessed(peer, heard);
+            awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(LARGE_TOKENS);
         }
     }
 
-    /** Guards against a prompt that counts for good, as the host's next state doesn't name the target any more. */
+    /**
+     * Guards against a prompt that is counted indefinitely although the host's next state report no longer contains the
+     * target.
+     */
     @Test
     void shouldStopCountingALongPromptWhenTheNextStateReportOmitsIt() throws Exception {
         try (TestTarget target = closingTarget();
                 TestPeer peer = gateway.sameRegionPeer("n1")) {
             gateway.target("t1", target.port());
-            PeerFrame.State heard = exchangeStates(peer, true);
+            PeerFrame.State gatewayState = exchangeStates(peer, true);
 
             peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
             peer.sayItIsIdle(true);
-            awaitProcessed(peer, heard);
+            awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(0);
         }
     }
 
-    /** Guards against work at this region's targets believed of a host that can't send there. */
+    /** Guards against accepting work at this region's targets from a host that can't send requests there. */
     @Test
     void shouldNotCountALongPromptWhenAHostOfAnotherRegionReportsIt() throws Exception {
         try (TestTarget target = closingTarget();
                 TestPeer peer = gateway.peer()) {
             gateway.target("t1", target.port());
-            PeerFrame.State heard = exchangeStates(peer, true);
+            PeerFrame.State gatewayState = exchangeStates(peer, true);
 
             peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
-            awaitProcessed(peer, heard);
+            awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(0);
         }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
@@ -15,10 +15,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Engines that have more to read than they can in time. */
+/** Tests requests to engines that have more prefill queued than they can process in time. */
 @Timeout(60)
 class OverloadFlowTest {
-    /** An engine that has told nothing yet is taken to read 50 tokens a millisecond: four times the objective. */
+    /**
+     * An engine without statistics is estimated to prefill 50 tokens per millisecond, so this takes four times the
+     * objective.
+     */
     private static final int BACKLOG_TOKENS = 200_000;
 
     private static final int SMALL_TOKENS = 100;
@@ -41,7 +44,7 @@
                 + ",10\r\nTime-Left: 20000\r\nContent-Length: 1\r\n\r\nx";
     }
 
-    /** A target that takes what comes and says nothing. */
+    /** Returns a target that accepts requests and never responds. */
     private static TestTarget unresponsiveTarget() throws IOException {
         return new TestTarget((request, out) -> {});
     }
@@ -52,9 +55,8 @@
     }
 
     /**
-     * Symptom: a log full of refusals in which nobody can tell a true overload from a wrong estimate. Sequence: an
-     * engine has much to read; a request is refused. Cause: the line told that it would wait too long, and nothing of
-     * where, how long and what its own prompt takes.
+     * Guards against rejections in the log that don't show whether they are due to overload or to a wrong estimate: the
+     * line must contain the place, the queue wait and the prefill time of the request.
      */
     @Test
     void shouldLogTheEstimateWhenARequestIsRejectedForItsQueueWait() throws Exception {
@@ -78,12 +80,10 @@
     }
 
     /**
-     * Symptom: too little of the least urgent kind is served in time on a large installation; its requests reach an engine
-     * of another region within 0.2 s, are begun there seconds later, and their callers leave. Sequence: at a peak thirty
-     * hosts of one region forward to the same other one, each by a report of its load that is up to a second old and knows
-     * of its own sends alone; the host that is asked expects several times the objective, and sends the request to an
-     * engine all the same, where it delays those behind it. Cause: whether a request would be late was asked once, where
-     * it arrived, and not where the load is known.
+     * Guards against forwarded requests that start seconds late and whose callers disconnect. At a peak thirty hosts of
+     * one region forward to the same other region, each by a load report that is up to one second old and without the
+     * sends of the others. The receiving host must check again whether the request would be late, as only it knows the
+     * load; accepted, the request would delay those behind it.
      */
     @Test
     void shouldRejectAForwardedRequestWhenItWouldBeLateHere() throws Exception {
@@ -101,42 +101,42 @@
     }
 
     /**
-     * Symptom: as above; a third of the requests that were late or left by their callers had been sent once more, to a
-     * place that was expected to take up to seven times the objective. Sequence: an engine says that it does not run a
-     * request (another target has its address, or it is full); every other place has much to read. Cause: whether it would
-     * be late was asked before the first sending alone. It has not run, so its caller can be told at once.
+     * Guards against retries at a place that is expected to take several times the objective: a target reports that it
+     * did not run a request (another target has its address, or it is full), and every other target has a long queue.
+     * The estimate must be checked before each send, not only the first. The request has not run, so its caller can be
+     * told at once. A third of the requests that were late or left by their callers had been sent again to a place
+     * expected to take up to seven times the objective.
      */
     @Test
     void shouldRejectARequestThatDidNotRunWhenItWouldBeLateEverywhereElse() throws Exception {
-        TestTarget.Script refusing = (request, out) -> TestTarget.write(
+        TestTarget.Script rejectingScript = (request, out) -> TestTarget.write(
                 out,
                 "HTTP/1.1 503 X\r\nRequest-Id: " + TestTarget.header(request, "request-id")
                         + "\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
         try (TestTarget backlog = unresponsiveTarget();
-                TestTarget full = new TestTarget(refusing)) {
+                TestTarget rejecting = new TestTarget(rejectingScript)) {
             gateway.target("t1", backlog.port());
             queueBacklog(backlog);
-            gateway.target("t2", full.port());
+            gateway.target("t2", rejecting.port());
 
             String answer =
                     gateway.caller().send(generation("q1", SMALL_TOKENS)).readUntil("\r\n\r\n");
 
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
-            assertEquals("q1", TestTarget.header(full.nextRequest(), "request-id"));
+            assertEquals("q1", TestTarget.header(rejecting.nextRequest(), "request-id"));
             assertEquals(0, backlog.unreadRequests());
         }
     }
 
     /**
-     * Symptom: all kinds of requests are late at once, and no line tells whether hosts, links or engines were slow.
-     * Sequence: the event loop is held up; requests are read when it goes on. Cause: their times begin when they are
-     * read, so nothing showed what they had waited for it.
+     * Guards against delays without a log line: the event loop is blocked, and requests are read when it continues.
+     * Their durations start at the read, so they don't include the delay.
      */
     @Test
     void shouldLogALateTickWhenTheEventLoopWasBlocked() throws Exception {
-        java.util.concurrent.CountDownLatch held = gateway.blockEventLoop();
+        java.util.concurrent.CountDownLatch blocked = gateway.blockEventLoop();
         Thread.sleep(300);
-        held.countDown();
+        blocked.countDown();
 
         gateway.awaitLogged("\"event\":\"loop_late\"");
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
@@ -15,13 +15,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What a host does for hosts of other regions. */
+/** Tests how a host serves hosts of other regions. */
 @Timeout(60)
 class PeerFlowTest {
-    /** Longer than a link may be silent. */
+    /** Longer than the time-out of a silent link. */
     private static final long LONG_PAUSE_MILLIS = 2_000;
 
-    /** A stopping host serves callers for a shorter time. */
+    /** Longer than a stopping host keeps serving callers. */
     private static final long STOP_PAUSE_MILLIS = 2_000;
 
     private TestGateway gateway;
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Symptom: a target runs a request seconds after its caller's time was up. Sequence: another region forwards it with
-     * little time left, and it is read after that time: the link is crowded, or this host is behind with its work. Cause:
-     * the time left counted from the moment at which it was read.
+     * Guards against targets that run a request after its deadline: another region forwards it with little time left,
+     * and it is read later, as the link is congested or this host is delayed. The remaining time must not be counted
+     * from the read.
      */
     @Test
     void shouldSendNothingWhenAForwardedRequestArrivesAfterItsDeadline() throws Exception {
@@ -60,11 +60,11 @@
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")));
                 TestPeer peer = gateway.peer()) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
-            PeerFrame.State heard = peer.await(PeerFrame.State.class);
+            PeerFrame.State state = peer.await(PeerFrame.State.class);
             long timeLeftMillis = 300;
             Thread.sleep(2 * timeLeftMillis);
 
-            peer.ask("q1", timeLeftMillis, heard);
+            peer.ask("q1", timeLeftMillis, state);
 
             assertEquals(
                     AttemptFailure.NOT_SENT.name(),
@@ -74,19 +74,18 @@
     }
 
     /**
-     * Symptom: a host that stood still for two seconds drops its links and ends the calls on them. Sequence: it goes on
-     * with its steps in time before it reads what the other hosts sent meanwhile. Cause: silence was counted to now, not
-     * to the last moment up to which everything was read.
+     * Guards against links closed by a host that was paused for two seconds: it runs its timers before it reads what
+     * other hosts sent meanwhile. Silence must be measured up to the last time at which everything was read.
      */
     @Test
     void shouldKeepALinkWhenThisHostPausedAndHasNotReadYet() throws Exception {
         try (TestPeer peer = gateway.peer()) {
             peer.sayItKnows(0, 1);
             gateway.awaitLogged("\"event\":\"peer_connected\"");
-            CountDownLatch goOn = gateway.pauseBeforeTimers();
+            CountDownLatch resume = gateway.pauseBeforeTimers();
             Thread.sleep(LONG_PAUSE_MILLIS);
             peer.sayItKnows(0, 1);
-            goOn.countDown();
+            resume.countDown();
             gateway.awaitLogged("\"event\":\"loop_late\"");
 
             assertEquals(0, gateway.countLogged("\"event\":\"peer_lost\""));
@@ -94,8 +93,9 @@
     }
 
     /**
-     * Symptom: a booking's outcome is unknown when a host of another region is replaced. Sequence: it is forwarded over a
-     * link whose other end has just ended. Cause: the end of a link told nothing of what had been taken over it.
+     * Guards against an unknown outcome of a booking when a host of another region is replaced: the booking is
+     * forwarded over a link whose other end has just terminated. The end of a link must include the last call that was
+     * accepted.
      */
     @Test
     void shouldAnswerServiceUnavailableWhenThePeerTerminatedBeforeAcceptingTheRequest() throws Exception {
@@ -117,8 +117,8 @@
     }
 
     /**
-     * The same seen from the host that ends: requests of other hosts that have come are answered, and the last frame tells
-     * which was the last that was taken.
+     * The same on the host that stops: requests received from other hosts are answered, and the last frame contains the
+     * last call that was accepted.
      */
     @Test
     void shouldAnswerReceivedRequestsAndReportTheLastCallWhenItStops() throws Exception {
@@ -126,11 +126,11 @@
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "one")));
                 TestPeer peer = gateway.peer()) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
-            PeerFrame.State heard = peer.await(PeerFrame.State.class);
-            TestGateway.EventLoopPause standstill = gateway.stopAndPause(STOP_PAUSE_MILLIS);
-            standstill.awaitLastRead();
-            peer.ask("q1", 20_000, heard);
-            standstill.resume();
+            PeerFrame.State state = peer.await(PeerFrame.State.class);
+            TestGateway.EventLoopPause pause = gateway.stopAndPause(STOP_PAUSE_MILLIS);
+            pause.awaitLastRead();
+            peer.ask("q1", 20_000, state);
+            pause.resume();
 
             assertEquals(200, peer.await(PeerFrame.AnswerHead.class).status());
             assertEquals(1, peer.await(PeerFrame.Leaving.class).lastCall());
@@ -139,9 +139,10 @@
     }
 
     /**
-     * Symptom: callers are refused while targets are idle. Sequence: the store is away; hosts of two regions are restarted
-     * in turn; the third region's data centre is being evacuated. Cause: a host that starts learnt nothing from hosts that
-     * had lost the store as well, so none of two regions took requests until it was back.
+     * Guards against callers rejected while targets are idle: the store is unavailable, hosts of two regions are
+     * restarted one after the other, and the data centre of the third region is evacuated. A starting host must receive
+     * the store items also from hosts that can't reach the store; otherwise two regions accept no requests until it is
+     * back.
      */
     @Test
     void shouldSendStoreItemsToAStartingHostWhenTheStoreIsUnavailable() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PlannedStopFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PlannedStopFlowTest.java
@@ -15,13 +15,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What callers see of a planned stop when their requests come in its last moments. */
+/** Tests the responses to requests that arrive in the last moments of a planned stop. */
 @Timeout(60)
 class PlannedStopFlowTest {
-    /** Longer than a stopping host serves at least, and shorter than it takes requests. */
+    /** Longer than the minimum time for which a stopping host serves, and shorter than it accepts requests. */
     private static final long PAUSE_MILLIS = 2_000;
 
-    /** A stop may take so long. */
+    /** The grace period of the stop. */
     private static final long GRACE_MILLIS = 12_000;
 
     private static final int CALLERS = 10;
@@ -58,23 +58,22 @@
     }
 
     /**
-     * Symptom: bookings on kept connections end without a byte when a host is replaced; the caller can't tell whether they
-     * ran. Sequence: the host is told to stop and stands still for half a second near the end of that; requests come
-     * meanwhile; when it goes on, it ends. Cause: "no request is in progress" was taken for "none has come". An event
-     * loop that stood still runs its timers before it has read its sockets. The log showed it: {@code stopping}, then
-     * 2.1 s later {@code stopped} with no request, 0.4 s after the time for callers and with no line between, though ten
-     * requests had come in that time.
+     * Guards against persistent connections that close without a response when a host is replaced, so that the caller
+     * can't tell whether its request ran. The stopping host is paused for half a second near the end of its stop and
+     * requests arrive meanwhile. An event loop that was paused runs its timers before it reads its sockets, so "no
+     * request is in progress" doesn't mean that none has arrived. In the log of such a case {@code stopped} follows
+     * {@code stopping} after 2.1 s, 0.4 s after the time for callers, without a request, though ten had arrived.
      */
     @Test
     void shouldAnswerReceivedRequestsWhenTheHostPausesAtTheEndOfItsStop() throws Exception {
         List<TestCaller> callers = persistentConnections();
-        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
+        TestGateway.EventLoopPause pause = gateway.stopAndPause(PAUSE_MILLIS);
 
-        standstill.awaitLastRead();
+        pause.awaitLastRead();
         for (int i = 0; i < CALLERS; i++) {
             callers.get(i).send(request(CALLERS + i));
         }
-        standstill.resume();
+        pause.resume();
 
         for (TestCaller caller : callers) {
             String answer = caller.readUntil("\r\n\r\n").toLowerCase(Locale.ROOT);
@@ -85,20 +84,19 @@
     }
 
     /**
-     * Symptom: connections are reset while a host stops. Sequence: callers connect and send while the host stands still;
-     * when it goes on, it closes its port. Cause: the system resets connections that nobody has accepted yet when their
-     * port closes.
+     * Guards against connection resets while a host stops: callers connect and send while the host is paused, and then
+     * it closes its port. The operating system resets connections that are not yet accepted when their port closes.
      */
     @Test
     void shouldAnswerConnectedCallersWhenThePortCloses() throws Exception {
-        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
+        TestGateway.EventLoopPause pause = gateway.stopAndPause(PAUSE_MILLIS);
 
-        standstill.awaitLastRead();
+        pause.awaitLastRead();
         List<TestCaller> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             callers.add(gateway.caller().send(request(i)));
         }
-        standstill.resume();
+        pause.resume();
 
         for (TestCaller caller : callers) {
             String answer = caller.readUntil("\r\n\r\n").toLowerCase(Locale.ROOT);
@@ -108,27 +106,26 @@
     }
 
     /**
-     * Symptom: new connections end without an answer while a host stops. Sequence: callers connect just before the host
-     * ends what is idle, and send a moment later. Cause: a connection that has carried nothing yet was taken for one that
-     * is done.
+     * Guards against new connections that close without a response while a host stops: callers connect just before the
+     * host closes idle connections, and send a moment later. A connection without any request yet isn't idle.
      */
     @Test
     void shouldWaitForNewConnectionsWhenTheHostClosesIdleOnes() throws Exception {
-        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
+        TestGateway.EventLoopPause pause = gateway.stopAndPause(PAUSE_MILLIS);
 
-        standstill.awaitLastRead();
+        pause.awaitLastRead();
         List<TestCaller> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             callers.add(gateway.caller());
         }
-        CountDownLatch lookedAtIdle = new CountDownLatch(1);
-        CountDownLatch goOn = gateway.blockEventLoop(lookedAtIdle);
-        standstill.resume();
-        lookedAtIdle.await();
+        CountDownLatch idleChecked = new CountDownLatch(1);
+        CountDownLatch resume = gateway.blockEventLoop(idleChecked);
+        pause.resume();
+        idleChecked.await();
         for (int i = 0; i < CALLERS; i++) {
             callers.get(i).send(request(i));
         }
-        goOn.countDown();
+        resume.countDown();
         for (TestCaller caller : callers) {
             String answer = caller.readUntil("\r\n\r\n").toLowerCase(Locale.ROOT);
             assertTrue(answer.startsWith("http/1.1 200") || answer.startsWith("http/1.1 503"), answer);
@@ -136,21 +133,21 @@
     }
 
     /**
-     * Symptom: a request is cut in the middle of its body when a host is replaced. Sequence: a caller has sent half of a
-     * request when the time for callers is over. Cause: the process ended as soon as no whole request was in progress.
+     * Guards against a request truncated in its body when a host is replaced: a caller has sent half of a request when
+     * the time for callers ends. The process must not terminate although no complete request is in progress.
      */
     @Test
     void shouldAnswerAPartlyReceivedRequestWhenTheStopTimeIsOver() throws Exception {
         TestCaller caller = gateway.caller();
-        String whole = request(1);
-        caller.send(whole.substring(0, whole.length() - 2));
-        TestGateway.EventLoopPause standstill = gateway.stopAndPause(PAUSE_MILLIS);
+        String wholeRequest = request(1);
+        caller.send(wholeRequest.substring(0, wholeRequest.length() - 2));
+        TestGateway.EventLoopPause pause = gateway.stopAndPause(PAUSE_MILLIS);
 
-        standstill.awaitLastRead();
-        standstill.resume();
+        pause.awaitLastRead();
+        pause.resume();
         gateway.awaitLogged("\"event\":\"loop_late\"");
         assertFalse(gateway.hasEnded());
-        String answer = caller.send(whole.substring(whole.length() - 2))
+        String answer = caller.send(wholeRequest.substring(wholeRequest.length() - 2))
                 .readUntil("\r\n\r\n")
                 .toLowerCase(Locale.ROOT);
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
@@ -36,10 +36,7 @@
         assertEquals("q1", request.id());
     }
 
-    /**
-     * Symptom: a caller decides which target runs its request, or how urgent it is. Sequence: it sends headers that only
-     * this system sets. Cause: they were passed on.
-     */
+    /** Guards against callers that select their target or urgency by sending headers that only this system may set. */
     @Test
     void shouldRemoveReservedHeadersWhenACallerSendsThem() {
         HttpRequest head = head();
@@ -52,8 +49,8 @@
     }
 
     /**
-     * Symptom: a target runs a request without its identifier. Sequence: a caller names the identifier among the headers
-     * of its connection. Cause: all headers of the connection were taken out.
+     * Guards against requests that reach a target without their identifier: a caller names the identifier in the
+     * Connection header, whose listed headers are removed.
      */
     @Test
     void shouldKeepTheRequestIdWhenTheConnectionHeaderNamesIt() {
@@ -94,7 +91,10 @@
         assertEquals(270, request.work().ownTokens());
     }
 
-    /** Guards against each stream being taken for the longest, and refused for it, where callers give no estimate. */
+    /**
+     * Guards against rejecting streams as too long where callers give no estimate: the maximum must not be taken for
+     * the expected number of tokens.
+     */
     @Test
     void shouldExpectTheDefaultOutputWhenTheCallerGivesOnlyAMaximum() {
         HttpRequest head = head();
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -17,19 +17,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What a host with a small link reads from the store and tells other hosts of it. */
+/** Tests what a host with a small link reads from the store and sends to other hosts. */
 @Timeout(60)
 class StoreBandwidthFlowTest {
     private static final int PEERS = 27;
     private static final int FOLLOWERS = 3;
 
-    /** A configuration of two thousand routes, packed. */
+    /** A compressed configuration of two thousand routes. */
     private static final int LARGE_BYTES = 60_000;
 
     /** Half of the link of the smallest hosts, 10 Mbit/s. */
     private static final int LINK_HALF_BYTES_PER_MILLI = 625;
 
-    /** The most that an item may have. */
+    /** The maximum size of an item. */
     private static final int MAX_ITEM_BYTES = 1 << 20;
 
     private static final int VERSIONS = 12;
@@ -52,34 +52,36 @@
         gateway.close();
     }
 
-    /** Guards against requests that are late at a host that passes a large configuration on to its region. */
+    /** Guards against late requests at a host that relays a large configuration to its region. */
     @Test
     void shouldLeaveHalfOfItsLinkToCallersWhenALargeItemChanges() throws Exception {
-        List<TestPeer> neighbours = gateway.sameRegionPeers(PEERS);
+        List<TestPeer> peers = gateway.sameRegionPeers(PEERS);
 
-        long beganNanos = System.nanoTime();
+        long startedNanos = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
             if (i % ROUNDS_PER_VERSION == 0) {
                 gateway.putIncompressible("large", LARGE_BYTES);
             }
-            for (TestPeer neighbour : neighbours) {
-                neighbour.sayItKnows(i, 1);
+            for (TestPeer peer : peers) {
+                peer.sayItKnows(i, 1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
         long bytes = gateway.metric("peer_bytes_sent{kind=\"store\"}");
-        double tookMillis = (System.nanoTime() - beganNanos) / NANOS_PER_MILLI;
+        double tookMillis = (System.nanoTime() - startedNanos) / NANOS_PER_MILLI;
 
-        assertTrue(bytes > LARGE_BYTES, "nobody was told");
+        assertTrue(bytes > LARGE_BYTES, "no store item was sent");
         assertTrue(
                 bytes <= 2 * LARGE_BYTES + LINK_HALF_BYTES_PER_MILLI * tookMillis,
                 bytes + " bytes in " + tookMillis + " ms");
-        for (TestPeer neighbour : neighbours) {
-            neighbour.close();
+        for (TestPeer peer : peers) {
+            peer.close();
         }
     }
 
-    /** Guards against a takeover that reads the whole store over the link of a host that knows nearly all of it. */
+    /**
+     * Guards against a follower change that reads the whole store over the link of a host that has nearly all of it.
+     */
     @Test
     void shouldRequestOnlyChangesWhenItStartsFollowingTheStore() throws Exception {
         List<TestPeer> followers = followers();
@@ -95,7 +97,7 @@
         assertEquals(lists, gateway.storeLists());
     }
 
-    /** Guards against hosts that read all of the store again and again while the store turns them away. */
+    /** Guards against hosts that list the store repeatedly while the store rejects them. */
     @Test
     void shouldNotListTheStoreWhenItRejectsThisHostAndOthersFollowIt() throws Exception {
         List<TestPeer> followers = followers();
@@ -117,29 +119,32 @@
         }
     }
 
-    /** Guards against each host that the store turns away passing on to its region what it was told itself. */
+    /**
+     * Guards against hosts that relay to their region, while the store rejects them, what they received from another
+     * host.
+     */
     @Test
     void shouldNotRelayPeerUpdatesWhenTheStoreRejectsThisHost() throws Exception {
         List<TestPeer> followers = followers();
-        try (TestPeer neighbour = gateway.sameRegionPeer("n1")) {
-            neighbour.readOn();
+        try (TestPeer peer = gateway.sameRegionPeer("n1")) {
+            peer.readOn();
             awaitFollowing(followers.get(0), false);
             gateway.loseStore();
-            keepReporting(followers, neighbour);
+            keepReporting(followers, peer);
             gateway.awaitLogged("\"event\":\"lease_failed\"");
-            long before = gateway.metric("peer_bytes_sent{kind=\"store\"}");
+            long bytesBefore = gateway.metric("peer_bytes_sent{kind=\"store\"}");
 
             followers.get(1).sendSlowly(LARGE_BYTES, 1, 0);
-            keepReporting(followers, neighbour);
+            keepReporting(followers, peer);
 
-            assertEquals(before, gateway.metric("peer_bytes_sent{kind=\"store\"}"));
+            assertEquals(bytesBefore, gateway.metric("peer_bytes_sent{kind=\"store\"}"));
         }
         for (TestPeer follower : followers) {
             follower.close();
         }
     }
 
-    /** Guards against a follower's link that is full of versions of an item that are replaced before they are read. */
+    /** Guards against a follower whose link is full of versions of an item that are replaced before they are read. */
     @Test
     void shouldReadOnlyTheNewestVersionWhenALargeItemIsWrittenRepeatedly() throws Exception {
         long lists = gateway.storeLists();
@@ -157,26 +162,26 @@
     @Test
     void shouldApplyAnItemWhenItsPartsAreInterleavedWithOtherFrames() throws Exception {
         long revision = 1_000_000;
-        try (TestPeer teller = gateway.sameRegionPeer("n1")) {
-            teller.sendInParts(revision, LARGE_BYTES, LARGE_BYTES / 7);
-            while (teller.await(PeerFrame.State.class).newestRevision() < revision) {
-                teller.sayItKnows(0, 1);
+        try (TestPeer sender = gateway.sameRegionPeer("n1")) {
+            sender.sendInParts(revision, LARGE_BYTES, LARGE_BYTES / 7);
+            while (sender.await(PeerFrame.State.class).newestRevision() < revision) {
+                sender.sayItKnows(0, 1);
             }
         }
     }
 
-    /** Lets the others say for three seconds that the store answers them, and that one of them doesn't ask it. */
-    private static void keepReporting(List<TestPeer> followers, TestPeer neighbour) throws Exception {
+    /** Reports for three seconds that the store answers the followers, and that the peer doesn't follow it. */
+    private static void keepReporting(List<TestPeer> followers, TestPeer peer) throws Exception {
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer follower : followers) {
                 follower.sayItFollows(1);
             }
-            neighbour.sayItKnows(0, Long.MAX_VALUE);
+            peer.sayItKnows(0, Long.MAX_VALUE);
             Thread.sleep(ROUND_MILLIS);
         }
     }
 
-    /** As many hosts as follow the store for a region, each of which goes before the gateway's own. */
+    /** Returns as many followers as a region has, each ranked before the gateway's own host. */
     private List<TestPeer> followers() throws IOException {
         List<String> names = IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "f" + i)
@@ -193,9 +198,9 @@
         return followers;
     }
 
-    private static void awaitFollowing(TestPeer other, boolean following) throws IOException {
-        while (other.await(PeerFrame.State.class).followsStore() != following) {
-            other.sayItFollows(1);
+    private static void awaitFollowing(TestPeer peer, boolean following) throws IOException {
+        while (peer.await(PeerFrame.State.class).followsStore() != following) {
+            peer.sayItFollows(1);
         }
     }
 }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
@@ -13,19 +13,19 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** A host that asks the store tells others of its region what they lack. */
+/** Tests that a host that follows the store sends other hosts of its region the changes they lack. */
 @Timeout(60)
 class StoreCatchUpFlowTest {
-    /** As many as there are beside the followers in a region of a large installation. */
+    /** The number of hosts that don't follow the store in a region of a large installation. */
     private static final int PEERS = 27;
 
-    /** Some 240 targets and hosts with their configuration. */
+    /** About 240 targets and hosts with their configuration. */
     private static final int STORE_BYTES = 100_000;
 
-    /** A tenth of the link of the smallest hosts, 10 Mbit/s: the rest is for callers. */
+    /** A tenth of the link of the smallest hosts, 10 Mbit/s; the rest is for callers. */
     private static final int LINK_TENTH_BYTES_PER_MILLI = 125;
 
-    /** So large that the system's own buffers hold only some of them. */
+    /** Larger than the socket buffers, so that only some of the items fit into them. */
     private static final int LARGE_BYTES = 2_000_000;
 
     private static final int ROUNDS = 30;
@@ -45,45 +45,43 @@
     }
 
     /**
-     * Symptom: requests reach targets of an evacuated data centre seven seconds after the evacuation was confirmed, all
-     * from one host; its connections time out, and its requests arrive 2.5 s after they were sent. Sequence: the store's
-     * history is cut while an evacuation and other changes are written; one of the three hosts that follow the store for
-     * their region learns them later than the others. It finds that what the 27 others know is not what it knows, and
-     * tells all of it to each of them, once a second. Its link of 10 Mbit/s is full; its own calls to the store wait
-     * behind what it tells, so that it stays behind and goes on telling. Cause: nothing bounded what a host tells of the
-     * store by what its link bears.
+     * Guards against a link full of store changes. Symptom: one host sends requests to targets of an evacuated data
+     * centre seven seconds after the evacuation was confirmed, its connections time out, and its requests arrive 2.5 s
+     * after they were sent. The store's history is compacted during an evacuation and other changes, and one of three
+     * followers of its region receives them later than the others. It sees that the 27 other hosts differ and sends
+     * each of them everything once per second. Its link of 10 Mbit/s is full, so its own store calls are delayed behind
+     * and it stays late. Catch-up traffic must be limited by the bandwidth of the link.
      */
     @Test
     void shouldLeaveMostOfItsLinkToCallersWhenManyHostsAreBehind() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         gateway.putBytes("targets", STORE_BYTES);
-        List<TestPeer> neighbours = gateway.sameRegionPeers(PEERS);
+        List<TestPeer> peers = gateway.sameRegionPeers(PEERS);
 
-        long beganNanos = System.nanoTime();
+        long startedNanos = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
-            for (TestPeer neighbour : neighbours) {
-                neighbour.sayItKnows(i, 1);
+            for (TestPeer peer : peers) {
+                peer.sayItKnows(i, 1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
         long bytes = gateway.metric("peer_bytes_sent{kind=\"store\"}");
-        double tookMillis = (System.nanoTime() - beganNanos) / NANOS_PER_MILLI;
+        double tookMillis = (System.nanoTime() - startedNanos) / NANOS_PER_MILLI;
 
-        assertTrue(bytes > 0, "nobody was told");
+        assertTrue(bytes > 0, "no store item was sent");
         assertTrue(
                 bytes <= 2 * STORE_BYTES + LINK_TENTH_BYTES_PER_MILLI * tookMillis,
                 bytes + " bytes in " + tookMillis + " ms");
-        for (TestPeer neighbour : neighbours) {
-            neighbour.close();
+        for (TestPeer peer : peers) {
+            peer.close();
         }
     }
 
     /**
-     * Symptom: from the moment at which a configuration of 1,300 routes is written, and written anew three times a second,
-     * hosts of all regions lose each other again and again, all kinds of requests are late, and of the least urgent kind
-     * hardly any is in time, until the end of the day. Sequence: three hosts of each region learn each version, 0.4 MB, and
-     * send it to each of twenty others; their links of 10 Mbit/s take six seconds for what comes in 0.3; signs of life and
-     * requests wait behind it. Cause: each version was queued for each host, however much was waiting already.
+     * Guards against versions queued for a host that has not received the last. Symptom: while a configuration of 1,300
+     * routes is rewritten three times per second, hosts of all regions lose each other repeatedly and all requests are
+     * late, the least urgent almost always. Three hosts of each region send each version, 0.4 MB, to twenty others; a
+     * link of 10 Mbit/s takes six seconds for the data of 0.3 s, and heartbeats and requests wait behind it.
      */
     @Test
     void shouldQueueNoFurtherVersionsWhenAHostHasNotReceivedTheLast() throws Exception {
@@ -98,16 +96,15 @@
                 Thread.sleep(ROUND_MILLIS);
             }
 
-            // The system's own buffers of both ends take some megabytes.
+            // The socket buffers of both ends hold some megabytes.
             long bytes = gateway.metric("peer_bytes_sent{kind=\"store\"}");
             assertTrue(bytes < ROUNDS / 2 * LARGE_BYTES, "bytes: " + bytes);
         }
     }
 
     /**
-     * Symptom: hosts take each other for dead while they talk, end their links, and begin anew with what they were telling.
-     * Sequence: a large item comes over a crowded link for longer than a link may be silent. Cause: only whole frames
-     * counted as signs of life.
+     * Guards against links closed during a transfer, which starts again each time: a large item arrives over a
+     * congested link for longer than the time-out of a silent link. Not only whole frames count as heartbeats.
      */
     @Test
     void shouldKeepALinkWhenALargeItemArrivesSlowly() throws Exception {
@@ -122,9 +119,9 @@
     }
 
     /**
-     * Symptom: a host that is behind tells others what they know already, once a second. Sequence: it learns changes of
-     * the store later than the other hosts of its region; their sums differ from its own. Cause: whoever knew something
-     * else was taken to lack something.
+     * Guards against a delayed host that sends others what they know already, once per second: it receives store
+     * changes later than the other hosts of its region, and their digests differ from its own. A host that differs
+     * doesn't necessarily lack anything.
      */
     @Test
     void shouldSendOnlyToTheHostThatIsBehindWhenBothDiffer() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestCaller.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestCaller.java
@@ -6,7 +6,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A caller that sends bytes as they are and reads what comes. */
+/** A caller that sends raw bytes and reads raw responses. */
 final class TestCaller implements AutoCloseable {
     private static final int TIMEOUT_MILLIS = 20_000;
 
@@ -23,7 +23,7 @@
         return this;
     }
 
-    /** Reads until the text comes. */
+    /** Reads until the text arrives. */
     String readUntil(String text) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(StandardCharsets.ISO_8859_1).contains(text)) {
@@ -36,7 +36,7 @@
         return bytes.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads until the connection ends. */
+    /** Reads until the connection closes. */
     String readAll() throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -38,7 +38,7 @@
 import org.rattanplank.gateway.peer.TestPeer;
 import org.rattanplank.gateway.store.ClusterFact;
 
-/** A gateway of one region with a store in memory. */
+/** A gateway of one region with an in-memory store. */
 final class TestGateway implements AutoCloseable {
     static final HeaderNames NAMES = new HeaderNames(
             "Request-Id",
@@ -59,7 +59,7 @@
     private static final long KV_CACHE_TOKENS = 400_000;
     private static final int MAX_POLLS = 1_000;
 
-    /** Each periodic step of a gateway is due within this time. */
+    /** The maximum interval of each periodic task of a gateway. */
     private static final long TICKS_DUE_MILLIS = 400;
 
     private static final long POLL_INTERVAL_NANOS = 10_000_000;
@@ -88,7 +88,7 @@
         this(GRACE_MILLIS);
     }
 
-    /** Makes a gateway whose stop may take so long. */
+    /** Starts a gateway with the given grace period for its stop. */
     TestGateway(long graceMillis) throws IOException {
         GatewaySettings settings = new GatewaySettings(
                 "h1",
@@ -108,12 +108,12 @@
         gateway.start();
     }
 
-    /** Puts a configuration in force with one route, of the path /a/, and waits for it. */
+    /** Applies a configuration with one route for the path /a/ and waits until it is in force. */
     TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts) throws IOException {
         return configure(kind, resumable, maxAttempts, 0);
     }
 
-    /** Puts a configuration in force with one route, of streams of a model engine that may be resumed. */
+    /** Applies a configuration with one route for resumable streams of a model engine. */
     TestGateway configureModel() throws IOException {
         return configure(RouteKind.STREAM, true, 2, KV_CACHE_TOKENS);
     }
@@ -146,7 +146,7 @@
         return this;
     }
 
-    /** Enters a target and waits until the gateway knows it. */
+    /** Adds a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
         enterTarget(new TargetRun(id, 0), port);
         targets++;
@@ -154,22 +154,22 @@
         return this;
     }
 
-    /** Waits until the gateway knows so many targets. */
+    /** Waits until the gateway knows that many targets. */
     void awaitTargets(int count) throws IOException {
         awaitMetric("targets " + count);
     }
 
-    /** Puts what can't be read where a target enters itself. */
+    /** Puts an unreadable entry under the key of a target. */
     void putUnreadableTarget(String id) {
         store.put("targets/" + id, new ClusterFact.Unreadable(Option.some(id), "no address"), false);
     }
 
-    /** Waits until so many items could not be read. */
+    /** Waits until that many unreadable items were counted. */
     void awaitUnreadable(int count) throws IOException {
         awaitMetric("unreadable_items_total " + count);
     }
 
-    /** Counts the lines of the log that hold a text. */
+    /** Counts the log lines that contain a text. */
     long countLogged(String text) {
         return logged.toString(StandardCharsets.UTF_8)
                 .lines()
@@ -177,29 +177,30 @@
                 .count();
     }
 
-    /** Enters a run of a target. */
+    /** Adds an incarnation of a target. */
     void enterTarget(TargetRun run, int port) {
         TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
         store.put("targets/" + run.id(), new ClusterFact.TargetEntered(entry), false);
     }
 
-    /** Waits for the line that tells the end of a request, and returns all lines of it. */
+    /** Waits for the final log line of a request, and returns all its lines. */
     List<String> linesOf(String requestId) {
-        String own = "\"requestId\":\"" + requestId + "\"";
+        String requestIdField = "\"requestId\":\"" + requestId + "\"";
         for (int i = 0; i < MAX_POLLS; i++) {
             List<String> lines = logged.toString(StandardCharsets.UTF_8)
                     .lines()
-                    .filter(line -> line.contains(own))
+                    .filter(line -> line.contains(requestIdField))
                     .toList();
             if (lines.stream().anyMatch(line -> line.contains("\"event\":\"ended\""))) {
                 return lines;
             }
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("no end of " + requestId + " in " + logged.toString(StandardCharsets.UTF_8));
+        throw new AssertionError(
+                "no final line of request " + requestId + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
-    /** Puts an older version where the configuration is kept, as a host that was cut off would tell it. */
+    /** Puts an older version under the key of the configuration, as a host that was partitioned would do. */
     void putOlderConfiguration(long olderVersion) {
         GatewayConfiguration older = GatewayConfiguration.of(olderVersion, List.of(), List.of(), CallerBounds.DEFAULTS);
         store.put("configuration", new ClusterFact.Configured(older), false);
@@ -213,7 +214,7 @@
         }
     }
 
-    /** Applies a folder whose one intent retires a host, and waits until it is in force. */
+    /** Applies intents that retire a host, and waits until they are in force. */
     void retire(String host) throws IOException {
         TreeMap<String, JsonNode> files = new TreeMap<>();
         files.put(
@@ -223,24 +224,27 @@
         awaitMetric("intents_generation 1");
     }
 
-    /** Connects a caller, which stays until it closes or the test ends: the collector closes one that nobody holds. */
+    /**
+     * Connects a caller. It is kept until the end of the test, as the garbage collector would close an unreferenced
+     * socket.
+     */
     TestCaller caller() throws IOException {
         TestCaller caller = new TestCaller(callers);
         openCallers.add(caller);
         return caller;
     }
 
-    /** Lets the store answer nothing from now on. */
+    /** Makes the store answer no further call. */
     void loseStore() {
         store.down(true);
     }
 
-    /** Waits until the gateway has noticed that the store does not answer. */
+    /** Waits until the gateway has detected that the store does not answer. */
     void awaitStoreLost() {
         awaitLogged("\"event\":\"store_lost\"");
     }
 
-    /** Waits until the log holds a text. */
+    /** Waits until the log contains a text. */
     void awaitLogged(String text) {
         for (int i = 0; i < MAX_POLLS; i++) {
             if (logged.toString(StandardCharsets.UTF_8).contains(text)) {
@@ -248,19 +252,19 @@
             }
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("never logged: " + text + " in " + logged.toString(StandardCharsets.UTF_8));
+        throw new AssertionError("not logged: " + text + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
-    /** Keeps the event loop from all work until what is given back is counted down. */
+    /** Blocks the event loop until the returned latch is counted down. */
     CountDownLatch blockEventLoop() {
         return blockEventLoop(new CountDownLatch(1));
     }
 
-    /** The same; tells when it has begun. */
-    CountDownLatch blockEventLoop(CountDownLatch begun) {
+    /** Blocks the event loop likewise, and counts down the given latch when it has begun. */
+    CountDownLatch blockEventLoop(CountDownLatch started) {
         CountDownLatch released = new CountDownLatch(1);
         group.next().execute(() -> {
-            begun.countDown();
+            started.countDown();
             try {
                 released.await();
             } catch (InterruptedException e) {
@@ -270,45 +274,45 @@
         return released;
     }
 
-    /** Links to it as a host of another region. */
+    /** Connects a host of another region. */
     TestPeer peer() throws IOException {
         return new TestPeer(peers);
     }
 
-    /** Links to it as another host of its region. */
+    /** Connects another host of the gateway's region. */
     TestPeer sameRegionPeer(String name) throws IOException {
         return new TestPeer(peers, name, Place.of("suva", DATA_CENTRE));
     }
 
-    /** Links to it as many other hosts of its region, which read whatever comes. */
+    /** Connects that many other hosts of the gateway's region, which read all frames. */
     List<TestPeer> sameRegionPeers(int count) throws IOException {
-        List<TestPeer> neighbours = new ArrayList<>();
+        List<TestPeer> connectedPeers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            TestPeer neighbour = sameRegionPeer("n" + i);
-            neighbour.readOn();
-            neighbours.add(neighbour);
+            TestPeer peer = sameRegionPeer("n" + i);
+            peer.readOn();
+            connectedPeers.add(peer);
         }
-        return neighbours;
+        return connectedPeers;
     }
 
-    /** Puts something of a size into the store that says nothing to a gateway. */
+    /** Puts an item of the given size into the store that a gateway can't interpret. */
     void putBytes(String key, int bytes) {
         store.put(key, new byte[bytes], new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
-    /** Puts bytes into the store that can't be packed. */
+    /** Puts incompressible bytes into the store. */
     void putIncompressible(String key, int bytes) {
-        byte[] noise = new byte[bytes];
-        new Random(bytes).nextBytes(noise);
-        store.put(key, noise, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
+        byte[] incompressible = new byte[bytes];
+        new Random(bytes).nextBytes(incompressible);
+        store.put(key, incompressible, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
-    /** How often the store was asked for all that it holds. */
+    /** Returns how often all items of the store were listed. */
     long storeLists() {
         return store.lists();
     }
 
-    /** Reads a metric. */
+    /** Returns the value of a metric. */
     long metric(String name) throws IOException {
         String start = "rattanplank_gateway_" + name + " ";
         return metrics()
@@ -319,7 +323,7 @@
                 .orElseThrow(() -> new AssertionError("no metric " + name));
     }
 
-    /** Asks for the hosts that callers should use. */
+    /** Requests the entry hosts for callers. */
     String entryHosts() throws IOException {
         try (TestCaller caller = new TestCaller(entryHosts)) {
             return caller.send("GET /hosts HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -327,7 +331,7 @@
         }
     }
 
-    /** Asks the gateway to stop and waits until it has heard it. */
+    /** Stops the gateway and waits until it has left the entry host list. */
     void stop() throws IOException {
         gateway.stop(ended::countDown);
         while (entryHosts().contains("127.")) {
@@ -336,52 +340,52 @@
     }
 
     /**
-     * Asks the gateway to stop and lets its event loop stand still at once. It stands still once more between its next
-     * look at its sockets and whatever was due meanwhile, as a process does that gets no time just then.
+     * Stops the gateway and pauses its event loop at once. The loop is paused again between its next read of its
+     * sockets and the timers due meanwhile, as happens to a process that gets no processor time.
      */
-    EventLoopPause stopAndPause(long standstillMillis) throws InterruptedException {
-        EventLoopPause standstill = new EventLoopPause();
-        CountDownLatch begun = new CountDownLatch(1);
+    EventLoopPause stopAndPause(long pauseMillis) throws InterruptedException {
+        EventLoopPause pause = new EventLoopPause();
+        CountDownLatch started = new CountDownLatch(1);
         EventLoop loop = group.next();
         loop.execute(() -> {
-            // Due before all that the stop has yet to do.
-            loop.schedule(standstill::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            // Due before all timers of the stop.
+            loop.schedule(pause::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             gateway.stop(ended::countDown);
             loop.execute(() -> {
-                begun.countDown();
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(standstillMillis));
+                started.countDown();
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pauseMillis));
             });
         });
-        begun.await();
-        return standstill;
+        started.await();
+        return pause;
     }
 
     /**
-     * Lets the event loop stand still from after a look at its sockets until what is given back is counted down, with its
-     * periodic steps due right after.
+     * Pauses the event loop after a read of its sockets until the returned latch is counted down, with its periodic
+     * tasks due right after.
      */
     CountDownLatch pauseBeforeTimers() throws InterruptedException {
-        EventLoopPause standstill = new EventLoopPause();
+        EventLoopPause pause = new EventLoopPause();
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(standstill::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            loop.schedule(pause::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICKS_DUE_MILLIS));
         });
-        standstill.awaitLastRead();
-        return standstill.resumed;
+        pause.awaitLastRead();
+        return pause.resumed;
     }
 
-    /** The second time for which the event loop stands still. */
+    /** The second pause of the event loop. */
     static final class EventLoopPause {
         private final CountDownLatch lastRead = new CountDownLatch(1);
         private final CountDownLatch resumed = new CountDownLatch(1);
 
-        /** Waits until the event loop has read for the last time before its timers run. */
+        /** Waits until the event loop has read its sockets for the last time before its timers run. */
         void awaitLastRead() throws InterruptedException {
             lastRead.await();
         }
 
-        /** Lets the event loop go on. */
+        /** Lets the event loop continue. */
         void resume() {
             resumed.countDown();
         }
@@ -396,14 +400,14 @@
         }
     }
 
-    /** Whether the process would have ended by now. */
+    /** Returns whether the process would have terminated by now. */
     boolean hasEnded() {
         return ended.getCount() == 0;
     }
 
     void awaitEnded() throws InterruptedException {
         if (!ended.await(END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the gateway did not end");
+            throw new AssertionError("the gateway did not terminate");
         }
     }
 
@@ -420,21 +424,21 @@
     }
 
     private void awaitMetric(String line) throws IOException {
-        String shown = "";
+        String lastMetrics = "";
         for (int i = 0; i < MAX_POLLS; i++) {
-            shown = metrics();
-            if (shown.contains("rattanplank_gateway_" + line + "\n")) {
+            lastMetrics = metrics();
+            if (lastMetrics.contains("rattanplank_gateway_" + line + "\n")) {
                 return;
             }
             LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("never shown: " + line + " in " + shown);
+        throw new AssertionError("not in metrics: " + line + " in " + lastMetrics);
     }
 
     /**
-     * An address of this gateway alone. Ports that the system hands out may be taken again, by an outgoing connection,
-     * between the moment at which they are found free and the one at which they are bound; so each gateway has a loopback
-     * address of its own, by process and count, and ports below those that the system hands out.
+     * Returns an address that only this gateway uses. A free ephemeral port may be taken by an outgoing connection
+     * between the check and the bind; so each gateway has a loopback address of its own, derived from process and
+     * count, and ports below the ephemeral range.
      */
     private InetSocketAddress ownAddress() {
         return new InetSocketAddress(ip, nextPort++);
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
@@ -19,7 +19,7 @@
 import org.rattanplank.gateway.store.StoreItem;
 import org.rattanplank.gateway.store.StorePage;
 
-/** A store in memory, whose items say what a test puts there. Its calls are confined to the event loop. */
+/** An in-memory store whose items have the facts that a test puts. Its calls are confined to the event loop. */
 final class TestStore implements ClusterStore, StoreFormat {
     private final EventLoop loop;
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
@@ -34,7 +34,7 @@
         this.loop = loop;
     }
 
-    /** Puts an item; without a fact it is removed. */
+    /** Puts an item, or removes it. */
     void put(String key, ClusterFact fact, boolean removed) {
         put(key, new byte[0], fact, removed);
     }
@@ -55,15 +55,15 @@
                 .syncUninterruptibly();
     }
 
-    /** How often all items were asked for. */
+    /** Returns how often all items were listed. */
     long lists() {
         return lists.get();
     }
 
-    /** Answers nothing from now on, or answers again. */
-    void down(boolean newDown) {
+    /** Sets whether the store answers calls. */
+    void down(boolean isDown) {
         loop.submit(() -> {
-                    down = newDown;
+                    down = isDown;
                 })
                 .syncUninterruptibly();
     }
@@ -116,7 +116,7 @@
 
     @Override
     public void endLease(long lease) {
-        // Leases are not kept here.
+        // Leases don't expire in this store.
     }
 
     @Override
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
@@ -33,16 +33,16 @@
         return server.getLocalPort();
     }
 
-    /** Waits for the next request, as it came. */
+    /** Waits for the next request and returns it as received. */
     String nextRequest() throws InterruptedException {
         String request = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request received");
         }
         return request;
     }
 
-    /** Waits until a connection was closed from the other end. */
+    /** Waits until a connection was closed by the other end. */
     void awaitClosed() throws InterruptedException {
         if (closedConnections.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection was closed");
@@ -53,19 +53,19 @@
         return requests.size();
     }
 
-    /** Sends text as it is. */
+    /** Writes raw text. */
     static void write(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
-    /** A whole answer that echoes the identifier of its request. */
+    /** Returns a complete response that echoes the identifier of its request. */
     static String answer(String request, int status, String body) {
         return "HTTP/1.1 " + status + " X\r\nRequest-Id: " + header(request, "request-id") + "\r\nContent-Length: "
                 + body.length() + "\r\nKeep-Alive: timeout=5\r\nStamp: s\r\n\r\n" + body;
     }
 
-    /** The head of a stream that echoes the identifier of its request. */
+    /** Returns the head of a stream that echoes the identifier of its request. */
     static String streamHead(String request) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + header(request, "request-id")
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -132,7 +132,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // The other end or the test closed the connection, which is what a test may be about.
+                // The other end or the test closed the connection, which many tests do on purpose.
                 Thread.currentThread().interrupt();
             }
         });
@@ -140,7 +140,7 @@
         thread.start();
     }
 
-    /** Answers a request; throwing ends the connection. */
+    /** Answers a request; an exception closes the connection. */
     interface Script {
         void serve(String request, OutputStream out) throws IOException;
     }
