--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -224,12 +224,12 @@
     }
 
     @Override
-    public void asked(PeerLink link, PeerFrame.Ask ask) {
-        GatewayRequest request =
-                reader.request(ask.method(), ask.uri(), ask.authority(), PeerLink.headers(ask.headers()), ask.body());
+    public void asked(PeerLink link, PeerFrame.Ask frame) {
+        GatewayRequest request = reader.request(
+                frame.method(), frame.uri(), frame.authority(), PeerLink.headers(frame.headers()), frame.body());
         Map<Long, ForwardedRequest> calls = forwarded.computeIfAbsent(link, each -> new HashMap<>());
-        ForwardedRequest call = new ForwardedRequest(state, link, ask, request, () -> calls.remove(ask.call()));
-        calls.put(ask.call(), call);
+        ForwardedRequest call = new ForwardedRequest(state, link, frame, request, () -> calls.remove(frame.call()));
+        calls.put(frame.call(), call);
         startAfterPendingReads(call::start);
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
@@ -21,7 +21,7 @@
     /** Larger responses are forwarded as they arrive. */
     static final int MAX_BUFFERED_BYTES = 256 << 10;
 
-    private final CallerConnection callerConnection;
+    private final CallerConnection connection;
     private boolean stream;
     private EventSplitter events = new EventSplitter("");
     private int status;
@@ -38,13 +38,12 @@
      * @param connection the caller's connection
      */
     public CallerResponse(CallerConnection connection) {
-        this.callerConnection = connection;
+        this.connection = connection;
     }
 
     /** Responds with status 400 to a request without a unique host name. */
     public void respondBadRequest() {
-        callerConnection.answer(
-                HttpResponseStatus.BAD_REQUEST.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
+        connection.answer(HttpResponseStatus.BAD_REQUEST.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
     }
 
     void expectResponse(boolean isStream, String lastEventId) {
@@ -54,7 +53,7 @@
 
     /** Returns the time between the first and the last byte of the request. */
     long requestReadMillis() {
-        return callerConnection.readMillis();
+        return connection.readMillis();
     }
 
     boolean isStarted() {
@@ -110,7 +109,7 @@
         if (isEventStream()) {
             forwardEvents(events.take(bytes));
         } else if (started) {
-            callerConnection.part(bytes.retain());
+            connection.part(bytes.retain());
         } else {
             buffer(bytes);
         }
@@ -121,9 +120,9 @@
             forwardEvents(events.rest());
         }
         if (started) {
-            callerConnection.end();
+            connection.end();
         } else {
-            callerConnection.answer(status, headers, buffered);
+            connection.answer(status, headers, buffered);
             buffered = Unpooled.EMPTY_BUFFER;
         }
     }
@@ -137,13 +136,13 @@
 
     void abort() {
         discardPartial();
-        callerConnection.breakOff();
+        connection.breakOff();
     }
 
     void respond(int newStatus, HttpHeaders newHeaders, ByteBuf body) {
         status = newStatus;
         discardPartial();
-        callerConnection.answer(newStatus, newHeaders, body);
+        connection.answer(newStatus, newHeaders, body);
     }
 
     private boolean isEventStream() {
@@ -156,7 +155,7 @@
             return;
         }
         start();
-        callerConnection.part(wholeEvents);
+        connection.part(wholeEvents);
     }
 
     private void buffer(ByteBuf bytes) {
@@ -166,7 +165,7 @@
         buffered.writeBytes(bytes);
         if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
             start();
-            callerConnection.part(buffered);
+            connection.part(buffered);
             buffered = Unpooled.EMPTY_BUFFER;
         }
     }
@@ -175,7 +174,7 @@
         if (!started) {
             started = true;
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-            callerConnection.begin(status, headers);
+            connection.begin(status, headers);
         }
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/DecisionLog.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/DecisionLog.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Adds the service estimate of the place where a request was last sent, or would have been sent when it was
-     * rejected.
+     * Adds the service estimate of the target or region to which a request was last sent, or would have been sent when
+     * it was rejected.
      */
     static void addEstimate(LogLine line, Outlook estimate) {
         if (estimate != Outlook.NONE) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -81,7 +81,10 @@
     private boolean firstSendRecorded;
     private boolean mayHaveRun;
 
-    /** The service estimate of the place where it was last sent, or would have been sent when it was rejected. */
+    /**
+     * The service estimate of the target or region to which it was last sent, or would have been sent when it was
+     * rejected.
+     */
     private Outlook estimate = Outlook.NONE;
 
     private boolean awaitingConfiguration;
@@ -227,8 +230,8 @@
     private void send() {
         RoutingOptions options = routingOptions();
         Placement placement = options.placement();
-        // Checked also before a retry: the remaining places are often full. Symptom: requests sent where the estimate
-        // is several times their latency objective, and callers that disconnect.
+        // Checked also before a retry: the remaining targets and regions are often full. Symptom: requests sent where
+        // the estimate is several times their latency objective, and callers that disconnect.
         if (!mayHaveRun && !response.isStarted() && placement.shouldRefuse()) {
             estimate = placement.outlook();
             reject("the expected queue wait is too long");
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
@@ -18,7 +18,7 @@
 
 @Timeout(60)
 class GatewayFlowTest {
-    private static final long LIMIT_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
     private static final long IN_PROGRESS_MILLIS = 2_000;
     private static final long STOP_ELAPSED_MILLIS = 1_000;
 
@@ -199,7 +199,7 @@
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.STREAM, true, 2).target("t1", target.port());
             TestCaller caller = gateway.caller().send(request("q1", "p"));
-            assertTrue(leave.await(LIMIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(leave.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
 
             caller.close();
 
@@ -288,7 +288,7 @@
         TestTarget.Script script = (request, out) -> {
             received.countDown();
             try {
-                answer.await(LIMIT_SECONDS, TimeUnit.SECONDS);
+                answer.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -297,7 +297,7 @@
         try (TestTarget target = new TestTarget(script)) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
-            assertTrue(received.await(LIMIT_SECONDS, TimeUnit.SECONDS));
+            assertTrue(received.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
 
             gateway.stop();
             TestCaller late = gateway.caller();
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -118,7 +118,7 @@
         return configure(RouteKind.STREAM, true, 2, KV_CACHE_TOKENS);
     }
 
-    private TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts, long memoryTokens)
+    private TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts, long kvCacheTokens)
             throws IOException {
         version++;
         RouteRule route = new RouteRule(
@@ -139,7 +139,7 @@
                 new ClusterFact.Configured(GatewayConfiguration.of(
                         version,
                         List.of(route),
-                        List.of(new ServiceRule("desk", 50, 0, 0, 0, 0, memoryTokens)),
+                        List.of(new ServiceRule("desk", 50, 0, 0, 0, 0, kvCacheTokens)),
                         new CallerBounds(4_096, 10_000, 3_000, 15_000))),
                 false);
         awaitMetric("configuration_version " + version);
