--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
@@ -36,12 +36,9 @@
         assertEquals("q1", request.id());
     }
 
-    /**
-     * Symptom: a caller decides which target runs its request, or how urgent it is. Sequence: it sends headers that only
-     * this system sets. Cause: they were passed on.
-     */
+    /** Guards against callers that select their target or urgency by sending headers that only this system may set. */
     @Test
-    void shouldTakeOutHeadersThatOnlyThisSystemSetsWhenACallerSendsThem() {
+    void shouldRemoveReservedHeadersWhenACallerSendsThem() {
         HttpRequest head = head();
         head.headers().set("expected", "t9").set("URGENCY", "0");
 
@@ -52,11 +49,11 @@
     }
 
     /**
-     * Symptom: a target runs a request without its identifier. Sequence: a caller names the identifier among the headers
-     * of its connection. Cause: all headers of the connection were taken out.
+     * Guards against requests that reach a target without their identifier: a caller names the identifier in the
+     * Connection header, whose listed headers are removed.
      */
     @Test
-    void shouldKeepTheIdentifierWhenItIsNamedAsAHeaderOfTheConnection() {
+    void shouldKeepTheRequestIdWhenTheConnectionHeaderNamesIt() {
         HttpRequest head = head();
         head.headers().set("Connection", "close, Request-Id, X-Own");
 
@@ -68,7 +65,7 @@
     }
 
     @Test
-    void shouldReadNoRequestWhenItNamesNoHostOrTwo() {
+    void shouldReturnNoneWhenARequestHasNoHostOrTwo() {
         HttpRequest none = head();
         none.headers().remove("Host");
         HttpRequest two = head();
@@ -79,7 +76,7 @@
     }
 
     @Test
-    void shouldReadWhatAGenerationAsksWhenItSaysSo() {
+    void shouldReadTokenCountsWhenAGenerationStatesThem() {
         HttpRequest head = head();
         head.headers()
                 .set("Tokens", "1460,80")
@@ -94,9 +91,12 @@
         assertEquals(270, request.work().ownTokens());
     }
 
-    /** Guards against each stream being taken for the longest, and refused for it, where callers give no estimate. */
+    /**
+     * Guards against rejecting streams as too long where callers give no estimate: the maximum must not be taken for
+     * the expected number of tokens.
+     */
     @Test
-    void shouldExpectAUsualAnswerWhenTheCallerGivesOnlyItsMost() {
+    void shouldExpectTheDefaultOutputWhenTheCallerGivesOnlyAMaximum() {
         HttpRequest head = head();
         head.headers().set("Tokens", "1460,4000");
 
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void shouldPassARequestOnWhenItsNumbersCannotBeRead() {
+    void shouldAcceptARequestWhenItsNumbersAreMalformed() {
         HttpRequest head = head();
         head.headers().set("Tokens", "many,x").set("Parts", ",:,a").set("Time-Left", "soon");
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -38,7 +38,7 @@
 import org.rattanplank.gateway.peer.TestPeer;
 import org.rattanplank.gateway.store.ClusterFact;
 
-/** A gateway of one region with a store in memory. */
+/** A gateway of one region with an in-memory store. */
 final class TestGateway implements AutoCloseable {
     static final HeaderNames NAMES = new HeaderNames(
             "Request-Id",
@@ -53,34 +53,34 @@
             "Hint",
             Set.of("Expected", "Urgency"));
     private static final long LINK_BYTES_PER_MILLI = 1_250;
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final long GRACE_MILLIS = 4_000;
-    private static final long END_LIMIT_MILLIS = 20_000;
-    private static final long ENGINE_TOKENS = 400_000;
-    private static final int TRIES = 1_000;
+    private static final long END_TIMEOUT_MILLIS = 20_000;
+    private static final long KV_CACHE_TOKENS = 400_000;
+    private static final int MAX_POLLS = 1_000;
 
-    /** Each periodic step of a gateway is due within this time. */
+    /** The maximum interval of each periodic task of a gateway. */
     private static final long TICKS_DUE_MILLIS = 400;
 
-    private static final long PAUSE_NANOS = 10_000_000;
+    private static final long POLL_INTERVAL_NANOS = 10_000_000;
 
-    private static final AtomicInteger COUNT = new AtomicInteger();
+    private static final AtomicInteger INSTANCES = new AtomicInteger();
     private static final int FIRST_PORT = 18_000;
     private static final int BYTE_VALUES = 250;
 
     private final String ip = "127." + (1 + ProcessHandle.current().pid() / BYTE_VALUES % BYTE_VALUES) + "."
-            + (1 + ProcessHandle.current().pid() % BYTE_VALUES) + "." + COUNT.incrementAndGet();
+            + (1 + ProcessHandle.current().pid() % BYTE_VALUES) + "." + INSTANCES.incrementAndGet();
     private final ByteArrayOutputStream logged = new ByteArrayOutputStream();
     private int nextPort = FIRST_PORT;
     private final EventLoopGroup group = new NioEventLoopGroup(1);
     private final TestStore store = new TestStore(group.next());
     private final CountDownLatch ended = new CountDownLatch(1);
     private final InetSocketAddress callers = ownAddress();
-    private final InetSocketAddress directory = ownAddress();
+    private final InetSocketAddress entryHosts = ownAddress();
     private final Gateway gateway;
     private final InetSocketAddress metrics = ownAddress();
     private final InetSocketAddress peers = ownAddress();
-    private final Queue<TestCaller> connected = new ConcurrentLinkedQueue<>();
+    private final Queue<TestCaller> openCallers = new ConcurrentLinkedQueue<>();
     private long version;
     private int targets;
 
@@ -88,15 +88,15 @@
         this(GRACE_MILLIS);
     }
 
-    /** Makes a gateway whose stop may take so long. */
+    /** Starts a gateway with the given grace period for its stop. */
     TestGateway(long graceMillis) throws IOException {
         GatewaySettings settings = new GatewaySettings(
                 "h1",
-                Place.of("suva", HALL),
-                Map.of(HALL, "suva"),
+                Place.of("suva", DATA_CENTRE),
+                Map.of(DATA_CENTRE, "suva"),
                 callers,
                 ownAddress(),
-                directory,
+                entryHosts,
                 peers,
                 metrics,
                 ownAddress(),
@@ -108,17 +108,17 @@
         gateway.start();
     }
 
-    /** Puts a configuration in force with one route, of the path /a/, and waits for it. */
+    /** Applies a configuration with one route for the path /a/ and waits until it is in force. */
     TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts) throws IOException {
         return configure(kind, resumable, maxAttempts, 0);
     }
 
-    /** Puts a configuration in force with one route, of streams of a model engine that may be resumed. */
+    /** Applies a configuration with one route for resumable streams of a model engine. */
     TestGateway configureModel() throws IOException {
-        return configure(RouteKind.STREAM, true, 2, ENGINE_TOKENS);
+        return configure(RouteKind.STREAM, true, 2, KV_CACHE_TOKENS);
     }
 
-    private TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts, long memoryTokens)
+    private TestGateway configure(RouteKind kind, boolean resumable, int maxAttempts, long kvCacheTokens)
             throws IOException {
         version++;
         RouteRule route = new RouteRule(
@@ -139,37 +139,37 @@
                 new ClusterFact.Configured(GatewayConfiguration.of(
                         version,
                         List.of(route),
-                        List.of(new ServiceRule("desk", 50, 0, 0, 0, 0, memoryTokens)),
+                        List.of(new ServiceRule("desk", 50, 0, 0, 0, 0, kvCacheTokens)),
                         new CallerBounds(4_096, 10_000, 3_000, 15_000))),
                 false);
         awaitMetric("configuration_version " + version);
         return this;
     }
 
-    /** Enters a target and waits until the gateway knows it. */
+    /** Adds a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
-        enter(new TargetRun(id, 0), port);
+        enterTarget(new TargetRun(id, 0), port);
         targets++;
         awaitMetric("targets " + targets);
         return this;
     }
 
-    /** Waits until the gateway knows so many targets. */
+    /** Waits until the gateway knows that many targets. */
     void awaitTargets(int count) throws IOException {
         awaitMetric("targets " + count);
     }
 
-    /** Puts what can't be read where a target enters itself. */
-    void spoil(String id) {
+    /** Puts an unreadable entry under the key of a target. */
+    void putUnreadableTarget(String id) {
         store.put("targets/" + id, new ClusterFact.Unreadable(Option.some(id), "no address"), false);
     }
 
-    /** Waits until so many items could not be read. */
+    /** Waits until that many unreadable items were counted. */
     void awaitUnreadable(int count) throws IOException {
         awaitMetric("unreadable_items_total " + count);
     }
 
-    /** Counts the lines of the log that hold a text. */
+    /** Counts the log lines that contain a text. */
     long countLogged(String text) {
         return logged.toString(StandardCharsets.UTF_8)
                 .lines()
@@ -177,30 +177,31 @@
                 .count();
     }
 
-    /** Enters a run of a target. */
-    void enter(TargetRun run, int port) {
-        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, HALL, 4, false, 0);
+    /** Adds an incarnation of a target. */
+    void enterTarget(TargetRun run, int port) {
+        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
         store.put("targets/" + run.id(), new ClusterFact.TargetEntered(entry), false);
     }
 
-    /** Waits for the line that tells the end of a request, and returns all lines of it. */
+    /** Waits for the final log line of a request, and returns all its lines. */
     List<String> linesOf(String requestId) {
-        String own = "\"requestId\":\"" + requestId + "\"";
-        for (int i = 0; i < TRIES; i++) {
+        String requestIdField = "\"requestId\":\"" + requestId + "\"";
+        for (int i = 0; i < MAX_POLLS; i++) {
             List<String> lines = logged.toString(StandardCharsets.UTF_8)
                     .lines()
-                    .filter(line -> line.contains(own))
+                    .filter(line -> line.contains(requestIdField))
                     .toList();
             if (lines.stream().anyMatch(line -> line.contains("\"event\":\"ended\""))) {
                 return lines;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("no end of " + requestId + " in " + logged.toString(StandardCharsets.UTF_8));
+        throw new AssertionError(
+                "no final line of request " + requestId + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
-    /** Puts an older version where the configuration is kept, as a host that was cut off would tell it. */
-    void configureAgain(long olderVersion) {
+    /** Puts an older version under the key of the configuration, as a host that was partitioned would do. */
+    void putOlderConfiguration(long olderVersion) {
         GatewayConfiguration older = GatewayConfiguration.of(olderVersion, List.of(), List.of(), CallerBounds.DEFAULTS);
         store.put("configuration", new ClusterFact.Configured(older), false);
     }
@@ -213,7 +214,7 @@
         }
     }
 
-    /** Applies a folder whose one intent retires a host, and waits until it is in force. */
+    /** Applies intents that retire a host, and waits until they are in force. */
     void retire(String host) throws IOException {
         TreeMap<String, JsonNode> files = new TreeMap<>();
         files.put(
@@ -223,44 +224,47 @@
         awaitMetric("intents_generation 1");
     }
 
-    /** Connects a caller, which stays until it closes or the test ends: the collector closes one that nobody holds. */
+    /**
+     * Connects a caller. It is kept until the end of the test, as the garbage collector would close an unreferenced
+     * socket.
+     */
     TestCaller caller() throws IOException {
         TestCaller caller = new TestCaller(callers);
-        connected.add(caller);
+        openCallers.add(caller);
         return caller;
     }
 
-    /** Lets the store answer nothing from now on. */
+    /** Makes the store answer no further call. */
     void loseStore() {
         store.down(true);
     }
 
-    /** Waits until the gateway has noticed that the store does not answer. */
+    /** Waits until the gateway has detected that the store does not answer. */
     void awaitStoreLost() {
         awaitLogged("\"event\":\"store_lost\"");
     }
 
-    /** Waits until the log holds a text. */
+    /** Waits until the log contains a text. */
     void awaitLogged(String text) {
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_POLLS; i++) {
             if (logged.toString(StandardCharsets.UTF_8).contains(text)) {
                 return;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("never logged: " + text + " in " + logged.toString(StandardCharsets.UTF_8));
+        throw new AssertionError("not logged: " + text + " in " + logged.toString(StandardCharsets.UTF_8));
     }
 
-    /** Keeps the event loop from all work until what is given back is counted down. */
-    CountDownLatch hold() {
-        return hold(new CountDownLatch(1));
+    /** Blocks the event loop until the returned latch is counted down. */
+    CountDownLatch blockEventLoop() {
+        return blockEventLoop(new CountDownLatch(1));
     }
 
-    /** The same; tells when it has begun. */
-    CountDownLatch hold(CountDownLatch begun) {
+    /** Blocks the event loop likewise, and counts down the given latch when it has begun. */
+    CountDownLatch blockEventLoop(CountDownLatch started) {
         CountDownLatch released = new CountDownLatch(1);
         group.next().execute(() -> {
-            begun.countDown();
+            started.countDown();
             try {
                 released.await();
             } catch (InterruptedException e) {
@@ -270,45 +274,45 @@
         return released;
     }
 
-    /** Links to it as a host of another region. */
+    /** Connects a host of another region. */
     TestPeer peer() throws IOException {
         return new TestPeer(peers);
     }
 
-    /** Links to it as another host of its region. */
-    TestPeer neighbour(String name) throws IOException {
-        return new TestPeer(peers, name, Place.of("suva", HALL));
+    /** Connects another host of the gateway's region. */
+    TestPeer sameRegionPeer(String name) throws IOException {
+        return new TestPeer(peers, name, Place.of("suva", DATA_CENTRE));
     }
 
-    /** Links to it as many other hosts of its region, which read whatever comes. */
-    List<TestPeer> neighbours(int count) throws IOException {
-        List<TestPeer> neighbours = new ArrayList<>();
+    /** Connects that many other hosts of the gateway's region, which read all frames. */
+    List<TestPeer> sameRegionPeers(int count) throws IOException {
+        List<TestPeer> connectedPeers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            TestPeer neighbour = neighbour("n" + i);
-            neighbour.readOn();
-            neighbours.add(neighbour);
+            TestPeer peer = sameRegionPeer("n" + i);
+            peer.readOn();
+            connectedPeers.add(peer);
         }
-        return neighbours;
+        return connectedPeers;
     }
 
-    /** Puts something of a size into the store that says nothing to a gateway. */
+    /** Puts an item of the given size into the store that a gateway can't interpret. */
     void putBytes(String key, int bytes) {
         store.put(key, new byte[bytes], new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
-    /** Puts bytes into the store that can't be packed. */
-    void putNoise(String key, int bytes) {
-        byte[] noise = new byte[bytes];
-        new Random(bytes).nextBytes(noise);
-        store.put(key, noise, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
+    /** Puts incompressible bytes into the store. */
+    void putIncompressible(String key, int bytes) {
+        byte[] incompressible = new byte[bytes];
+        new Random(bytes).nextBytes(incompressible);
+        store.put(key, incompressible, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
-    /** How often the store was asked for all that it holds. */
+    /** Returns how often all items of the store were listed. */
     long storeLists() {
         return store.lists();
     }
 
-    /** Reads a metric. */
+    /** Returns the value of a metric. */
     long metric(String name) throws IOException {
         String start = "rattanplank_gateway_" + name + " ";
         return metrics()
@@ -319,91 +323,91 @@
                 .orElseThrow(() -> new AssertionError("no metric " + name));
     }
 
-    /** Asks for the hosts that callers should use. */
-    String directory() throws IOException {
-        try (TestCaller caller = new TestCaller(directory)) {
+    /** Requests the entry hosts for callers. */
+    String entryHosts() throws IOException {
+        try (TestCaller caller = new TestCaller(entryHosts)) {
             return caller.send("GET /hosts HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                     .readAll();
         }
     }
 
-    /** Asks the gateway to stop and waits until it has heard it. */
+    /** Stops the gateway and waits until it has left the entry host list. */
     void stop() throws IOException {
         gateway.stop(ended::countDown);
-        while (directory().contains("127.")) {
-            LockSupport.parkNanos(PAUSE_NANOS);
+        while (entryHosts().contains("127.")) {
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
     }
 
     /**
-     * Asks the gateway to stop and lets its event loop stand still at once. It stands still once more between its next
-     * look at its sockets and whatever was due meanwhile, as a process does that gets no time just then.
+     * Stops the gateway and pauses its event loop at once. The loop is paused again between its next read of its
+     * sockets and the timers due meanwhile, as happens to a process that gets no processor time.
      */
-    Standstill stopAndStandStill(long standstillMillis) throws InterruptedException {
-        Standstill standstill = new Standstill();
-        CountDownLatch begun = new CountDownLatch(1);
+    EventLoopPause stopAndPause(long pauseMillis) throws InterruptedException {
+        EventLoopPause pause = new EventLoopPause();
+        CountDownLatch started = new CountDownLatch(1);
         EventLoop loop = group.next();
         loop.execute(() -> {
-            // Due before all that the stop has yet to do.
-            loop.schedule(standstill::standAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            // Due before all timers of the stop.
+            loop.schedule(pause::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             gateway.stop(ended::countDown);
             loop.execute(() -> {
-                begun.countDown();
-                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(standstillMillis));
+                started.countDown();
+                LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(pauseMillis));
             });
         });
-        begun.await();
-        return standstill;
+        started.await();
+        return pause;
     }
 
     /**
-     * Lets the event loop stand still from after a look at its sockets until what is given back is counted down, with its
-     * periodic steps due right after.
+     * Pauses the event loop after a read of its sockets until the returned latch is counted down, with its periodic
+     * tasks due right after.
      */
-    CountDownLatch standStillBeforeItsSteps() throws InterruptedException {
-        Standstill standstill = new Standstill();
+    CountDownLatch pauseBeforeTimers() throws InterruptedException {
+        EventLoopPause pause = new EventLoopPause();
         EventLoop loop = group.next();
         loop.execute(() -> {
-            loop.schedule(standstill::standAfterLastRead, 0, TimeUnit.MILLISECONDS);
+            loop.schedule(pause::pauseAfterLastRead, 0, TimeUnit.MILLISECONDS);
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICKS_DUE_MILLIS));
         });
-        standstill.awaitLastRead();
-        return standstill.over;
+        pause.awaitLastRead();
+        return pause.resumed;
     }
 
-    /** The second time for which the event loop stands still. */
-    static final class Standstill {
+    /** The second pause of the event loop. */
+    static final class EventLoopPause {
         private final CountDownLatch lastRead = new CountDownLatch(1);
-        private final CountDownLatch over = new CountDownLatch(1);
+        private final CountDownLatch resumed = new CountDownLatch(1);
 
-        /** Waits until the event loop has read for the last time before its timers run. */
+        /** Waits until the event loop has read its sockets for the last time before its timers run. */
         void awaitLastRead() throws InterruptedException {
             lastRead.await();
         }
 
-        /** Lets the event loop go on. */
-        void end() {
-            over.countDown();
+        /** Lets the event loop continue. */
+        void resume() {
+            resumed.countDown();
         }
 
-        private void standAfterLastRead() {
+        private void pauseAfterLastRead() {
             lastRead.countDown();
             try {
-                over.await();
+                resumed.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    /** Whether the process would have ended by now. */
+    /** Returns whether the process would have terminated by now. */
     boolean hasEnded() {
         return ended.getCount() == 0;
     }
 
     void awaitEnded() throws InterruptedException {
-        if (!ended.await(END_LIMIT_MILLIS, TimeUnit.MILLISECONDS)) {
-            throw new AssertionError("the gateway did not end");
+        if (!ended.await(END_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+            throw new AssertionError("the gateway did not terminate");
         }
     }
 
@@ -420,21 +424,21 @@
     }
 
     private void awaitMetric(String line) throws IOException {
-        String shown = "";
-        for (int i = 0; i < TRIES; i++) {
-            shown = metrics();
-            if (shown.contains("rattanplank_gateway_" + line + "\n")) {
+        String lastMetrics = "";
+        for (int i = 0; i < MAX_POLLS; i++) {
+            lastMetrics = metrics();
+            if (lastMetrics.contains("rattanplank_gateway_" + line + "\n")) {
                 return;
             }
-            LockSupport.parkNanos(PAUSE_NANOS);
+            LockSupport.parkNanos(POLL_INTERVAL_NANOS);
         }
-        throw new AssertionError("never shown: " + line + " in " + shown);
+        throw new AssertionError("not in metrics: " + line + " in " + lastMetrics);
     }
 
     /**
-     * An address of this gateway alone. Ports that the system hands out may be taken again, by an outgoing connection,
-     * between the moment at which they are found free and the one at which they are bound; so each gateway has a loopback
-     * address of its own, by process and count, and ports below those that the system hands out.
+     * Returns an address that only this gateway uses. A free ephemeral port may be taken by an outgoing connection
+     * between the check and the bind; so each gateway has a loopback address of its own, derived from process and
+     * count, and ports below the ephemeral range.
      */
     private InetSocketAddress ownAddress() {
         return new InetSocketAddress(ip, nextPort++);
@@ -444,7 +448,7 @@
         @Override
         public Option<AdapterNames.Question> read(String uri) {
             return uri.startsWith("/hosts")
-                    ? Option.some(new AdapterNames.Question("desk.example", "suva", HALL))
+                    ? Option.some(new AdapterNames.Question("desk.example", "suva", DATA_CENTRE))
                     : Option.none();
         }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
@@ -15,13 +15,13 @@
 
 /** A target that answers each request by a script. */
 final class TestTarget implements AutoCloseable {
-    private static final long LIMIT_SECONDS = 20;
-    private static final String LENGTH = "content-length: ";
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final String CONTENT_LENGTH = "content-length: ";
 
     private final ServerSocket server;
     private final Script script;
     private final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     TestTarget(Script script) throws IOException {
         this.script = script;
@@ -33,39 +33,39 @@
         return server.getLocalPort();
     }
 
-    /** Waits for the next request, as it came. */
+    /** Waits for the next request and returns it as received. */
     String nextRequest() throws InterruptedException {
-        String request = requests.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+        String request = requests.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request received");
         }
         return request;
     }
 
-    /** Waits until a connection was closed from the other end. */
+    /** Waits until a connection was closed by the other end. */
     void awaitClosed() throws InterruptedException {
-        if (ends.poll(LIMIT_SECONDS, TimeUnit.SECONDS) == null) {
+        if (closedConnections.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS) == null) {
             throw new AssertionError("no connection was closed");
         }
     }
 
-    int requestsLeft() {
+    int unreadRequests() {
         return requests.size();
     }
 
-    /** Sends text as it is. */
+    /** Writes raw text. */
     static void write(OutputStream out, String text) throws IOException {
         out.write(text.getBytes(StandardCharsets.ISO_8859_1));
         out.flush();
     }
 
-    /** A whole answer that echoes the identifier of its request. */
+    /** Returns a complete response that echoes the identifier of its request. */
     static String answer(String request, int status, String body) {
         return "HTTP/1.1 " + status + " X\r\nRequest-Id: " + header(request, "request-id") + "\r\nContent-Length: "
                 + body.length() + "\r\nKeep-Alive: timeout=5\r\nStamp: s\r\n\r\n" + body;
     }
 
-    /** The head of a stream that echoes the identifier of its request. */
+    /** Returns the head of a stream that echoes the identifier of its request. */
     static String streamHead(String request) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + header(request, "request-id")
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -104,7 +104,7 @@
                 script.serve(request, socket.getOutputStream());
             }
         } finally {
-            ends.add("closed");
+            closedConnections.add("closed");
         }
     }
 
@@ -115,10 +115,11 @@
             bytes.write(each);
             String text = bytes.toString(StandardCharsets.ISO_8859_1);
             if (length < 0 && text.endsWith("\r\n\r\n")) {
-                int at = text.toLowerCase(java.util.Locale.ROOT).indexOf(LENGTH);
+                int at = text.toLowerCase(java.util.Locale.ROOT).indexOf(CONTENT_LENGTH);
                 length = at < 0
                         ? 0
-                        : Integer.parseInt(text.substring(at + LENGTH.length()).split("\r\n")[0]);
+                        : Integer.parseInt(
+                                text.substring(at + CONTENT_LENGTH.length()).split("\r\n")[0]);
                 bytes.write(in.readNBytes(length));
                 return bytes.toString(StandardCharsets.ISO_8859_1);
             }
@@ -131,7 +132,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // The other end or the test closed the connection, which is what a test may be about.
+                // The other end or the test closed the connection, which many tests do on purpose.
                 Thread.currentThread().interrupt();
             }
         });
@@ -139,7 +140,7 @@
         thread.start();
     }
 
-    /** Answers a request; throwing ends the connection. */
+    /** Answers a request; an exception closes the connection. */
     interface Script {
         void serve(String request, OutputStream out) throws IOException;
     }
