--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
@@ -20,10 +20,10 @@
 final class TestRegion {
     private static final long STEP_MILLIS = 50;
     private static final long STATE_MILLIS = 350;
-    private static final long CHOOSE_MILLIS = 250;
-    private static final long LOST_MILLIS = 1_600;
-    private static final long LACKS_MILLIS = 1_000;
-    private static final long TURN_MILLIS = 600;
+    private static final long WATCHER_SELECTION_MILLIS = 250;
+    private static final long UNRESPONSIVE_MILLIS = 1_600;
+    private static final long CATCH_UP_AFTER_MILLIS = 1_000;
+    private static final long CATCH_UP_TURN_MILLIS = 600;
 
     private final List<Host> hosts = new ArrayList<>();
     private final Map<String, StoreItem> store = new HashMap<>();
@@ -38,7 +38,7 @@
     void addHost(long linkBytesPerMilli) {
         Host host = new Host("host-" + hosts.size(), linkBytesPerMilli);
         hosts.add(host);
-        host.read();
+        host.readStore();
     }
 
     List<Host> hosts() {
@@ -67,14 +67,14 @@
     }
 
     /** Whether all hosts that live know the store as it is. */
-    boolean agrees() {
+    boolean isConverged() {
         return hosts.stream()
-                .filter(host -> host.lives)
+                .filter(host -> host.alive)
                 .allMatch(host ->
-                        host.copy.revision() >= revision && host.copy.items().size() == present());
+                        host.copy.revision() >= revision && host.copy.items().size() == presentItems());
     }
 
-    private long present() {
+    private long presentItems() {
         return store.values().stream().filter(item -> !item.removed()).count();
     }
 
@@ -83,13 +83,13 @@
         private final long linkBytesPerMilli;
         private final StoreCopy copy = new StoreCopy();
         private final StoreReplicator replicator;
-        private final Map<Host, Wire> wires = new HashMap<>();
+        private final Map<Host, SimulatedLink> links = new HashMap<>();
         private final List<long[]> sent = new ArrayList<>();
-        private StoreFollowers followers = StoreFollowers.of(List.of());
-        private PeerFrame.State said = PeerFrame.State.NONE;
-        private boolean lives = true;
-        private boolean turnedAway;
-        private long endedAtMillis;
+        private StoreFollowers watchers = StoreFollowers.of(List.of());
+        private PeerFrame.State lastState = PeerFrame.State.NONE;
+        private boolean alive = true;
+        private boolean rejectedByStore;
+        private long terminatedAtMillis;
         private double linkFreeAtMillis;
 
         private Host(String name, long linkBytesPerMilli) {
@@ -107,36 +107,36 @@
             return sent;
         }
 
-        boolean follows() {
-            return lives && followers.follows(name);
+        boolean isWatcher() {
+            return alive && watchers.follows(name);
         }
 
-        boolean knows(String key) {
+        boolean hasItem(String key) {
             return copy.items().stream().anyMatch(item -> item.key().equals(key));
         }
 
-        void end() {
-            lives = false;
-            endedAtMillis = nowMillis;
+        void terminate() {
+            alive = false;
+            terminatedAtMillis = nowMillis;
         }
 
-        void turnAway(boolean newTurnedAway) {
-            turnedAway = newTurnedAway;
+        void setRejectedByStore(boolean newTurnedAway) {
+            rejectedByStore = newTurnedAway;
         }
 
         private void step() {
-            if (!lives) {
+            if (!alive) {
                 return;
             }
-            wires.values().forEach(Wire::deliver);
-            if (nowMillis % CHOOSE_MILLIS == 0) {
-                followers = choose();
+            links.values().forEach(SimulatedLink::deliver);
+            if (nowMillis % WATCHER_SELECTION_MILLIS == 0) {
+                watchers = chooseWatchers();
             }
-            if (isHealthyFollower()) {
-                read();
+            if (isHealthyWatcher()) {
+                readStore();
             }
             if (nowMillis % STATE_MILLIS == 0) {
-                said = new PeerFrame.State(
+                lastState = new PeerFrame.State(
                         nowMillis + 1,
                         0,
                         0,
@@ -144,8 +144,8 @@
                         true,
                         1,
                         0,
-                        follows(),
-                        !turnedAway,
+                        isWatcher(),
+                        !rejectedByStore,
                         List.of(),
                         List.of(),
                         copy.newestRevision(),
@@ -154,45 +154,46 @@
                         linkBytesPerMilli,
                         false);
             }
-            List<Wire> others = new ArrayList<>();
+            List<SimulatedLink> others = new ArrayList<>();
             for (Host host : hosts) {
-                if (host != this && host.lives) {
-                    others.add(wires.computeIfAbsent(host, each -> new Wire(this, each)));
+                if (host != this && host.alive) {
+                    others.add(links.computeIfAbsent(host, each -> new SimulatedLink(this, each)));
                 }
             }
             replicator.tick(others, this, nowMillis);
         }
 
-        private StoreFollowers choose() {
+        private StoreFollowers chooseWatchers() {
             List<StoreFollowers.Candidate> candidates = new ArrayList<>();
             for (Host host : hosts) {
-                if (host.lives || nowMillis - host.endedAtMillis < LOST_MILLIS) {
-                    candidates.add(new StoreFollowers.Candidate(host.name, !host.turnedAway, host.linkBytesPerMilli));
+                if (host.alive || nowMillis - host.terminatedAtMillis < UNRESPONSIVE_MILLIS) {
+                    candidates.add(
+                            new StoreFollowers.Candidate(host.name, !host.rejectedByStore, host.linkBytesPerMilli));
                 }
             }
             return StoreFollowers.of(candidates);
         }
 
-        private boolean isHealthyFollower() {
-            return follows() && !turnedAway;
+        private boolean isHealthyWatcher() {
+            return isWatcher() && !rejectedByStore;
         }
 
-        private void read() {
-            store.values().forEach(copy::take);
-            copy.complete(revision);
+        private void readStore() {
+            store.values().forEach(copy::apply);
+            copy.completeUpTo(revision);
         }
 
         @Override
         public boolean relaysTo(StoreReceiver receiver) {
-            return isHealthyFollower()
+            return isHealthyWatcher()
                     && needsRelay(receiver)
-                    && followers.relayFor(receiver.name()).contains(name);
+                    && watchers.relayFor(receiver.name()).contains(name);
         }
 
         @Override
         public long catchUpAfterMillis(StoreReceiver receiver) {
-            return isHealthyFollower() && needsRelay(receiver)
-                    ? LACKS_MILLIS + TURN_MILLIS * followers.turn(name)
+            return isHealthyWatcher() && needsRelay(receiver)
+                    ? CATCH_UP_AFTER_MILLIS + CATCH_UP_TURN_MILLIS * watchers.turn(name)
                     : NEVER;
         }
 
@@ -202,13 +203,13 @@
     }
 
     /** What one host sends another; all wires of a host share its link. */
-    private final class Wire implements StoreReceiver {
+    private final class SimulatedLink implements StoreReceiver {
         private final Host from;
         private final Host to;
-        private final Deque<Underway> underway = new ArrayDeque<>();
-        private final List<byte[]> parts = new ArrayList<>();
+        private final Deque<InFlightFrame> inFlight = new ArrayDeque<>();
+        private final List<byte[]> fragments = new ArrayList<>();
 
-        private Wire(Host from, Host to) {
+        private SimulatedLink(Host from, Host to) {
             this.from = from;
             this.to = to;
         }
@@ -225,12 +226,12 @@
 
         @Override
         public PeerFrame.State state() {
-            return to.said;
+            return to.lastState;
         }
 
         @Override
         public long waitingBytes() {
-            return underway.stream().mapToLong(each -> each.bytes().length).sum();
+            return inFlight.stream().mapToLong(each -> each.bytes().length).sum();
         }
 
         @Override
@@ -238,38 +239,38 @@
             from.sent.add(new long[] {nowMillis, bytes.length});
             from.linkFreeAtMillis =
                     Math.max(from.linkFreeAtMillis, nowMillis) + bytes.length / (double) from.linkBytesPerMilli;
-            underway.add(new Underway(bytes, from.linkFreeAtMillis));
+            inFlight.add(new InFlightFrame(bytes, from.linkFreeAtMillis));
         }
 
         private void deliver() {
-            while (!underway.isEmpty() && underway.peek().atMillis() <= nowMillis) {
-                arrive(PeerFrameCodec.decode(underway.poll().bytes()).get());
+            while (!inFlight.isEmpty() && inFlight.peek().atMillis() <= nowMillis) {
+                receive(PeerFrameCodec.decode(inFlight.poll().bytes()).get());
             }
         }
 
-        private void arrive(PeerFrame frame) {
+        private void receive(PeerFrame frame) {
             if (frame instanceof PeerFrame.StoreItems items) {
                 to.copy.merge(items.base(), items.revision(), items.items());
-            } else if (frame instanceof PeerFrame.Part part) {
-                parts.add(part.bytes());
+            } else if (frame instanceof PeerFrame.Fragment part) {
+                fragments.add(part.bytes());
                 if (part.last()) {
-                    arrive(PeerFrameCodec.decode(whole()).get());
+                    receive(PeerFrameCodec.decode(joinFragments()).get());
                 }
             }
         }
 
-        private byte[] whole() {
-            int length = parts.stream().mapToInt(part -> part.length).sum();
+        private byte[] joinFragments() {
+            int length = fragments.stream().mapToInt(part -> part.length).sum();
             byte[] whole = new byte[length];
             int at = 0;
-            for (byte[] part : parts) {
+            for (byte[] part : fragments) {
                 System.arraycopy(part, 0, whole, at, part.length);
                 at += part.length;
             }
-            parts.clear();
+            fragments.clear();
             return whole;
         }
     }
 
-    private record Underway(byte[] bytes, double atMillis) {}
+    private record InFlightFrame(byte[] bytes, double atMillis) {}
 }
