--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
@@ -58,17 +58,16 @@
      * Encodes a frame.
      *
      * @param frame the frame
-     * @param mayCompress whether the receiver accepts compressed items of the store; a host of an earlier version doesn't
+     * @param mayPack whether the receiver accepts compressed items of the store; a host of an earlier version doesn't
      * @return the encoded frame
      */
-    static byte[] encode(PeerFrame frame, boolean mayCompress) {
+    static byte[] encode(PeerFrame frame, boolean mayPack) {
         return Try.of(() -> {
                     MessageBufferPacker out = MessagePack.newDefaultBufferPacker();
                     write(frame, out);
                     byte[] plain = out.toByteArray();
-                    boolean compresses = mayCompress
-                            && frame instanceof PeerFrame.StoreItems
-                            && plain.length >= MIN_COMPRESSIBLE_BYTES;
+                    boolean compresses =
+                            mayPack && frame instanceof PeerFrame.StoreItems && plain.length >= MIN_COMPRESSIBLE_BYTES;
                     return compresses ? compress(plain) : plain;
                 })
                 .get();
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -337,7 +337,7 @@
         } else if (frame instanceof PeerFrame.Cancel cancel) {
             owner.listener().cancelled(this, cancel.call());
         } else {
-            handleResponse(frame);
+            readAnswer(frame);
         }
     }
 
@@ -364,7 +364,7 @@
         }
     }
 
-    private void handleResponse(PeerFrame frame) {
+    private void readAnswer(PeerFrame frame) {
         if (frame instanceof PeerFrame.AnswerHead head) {
             PeerAttempt call = calls.get(head.call());
             if (call != null) {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
@@ -22,8 +22,8 @@
 
 class PeerFrameCodecTest {
     /**
-     * The newest revision, how long work may be sent there, the known revision, the link and whether it reads large reads, of
-     * the state that is cut short.
+     * The encoded size of the fields that a state of an earlier version lacks: the newest revision, the time for which work
+     * is accepted, the known revision, the link bandwidth and the support of large prefill notices.
      */
     private static final int NEWER_FIELDS_BYTES = 1 + 9 + 1 + 1 + 1;
 
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void shouldReadWhatWasWrittenWhenFramesHaveNoBytes() {
+    void shouldDecodeWhatWasEncodedWhenFramesHaveNoBytes() {
         List<PeerFrame> frames = List.of(
                 new PeerFrame.Hello(new GatewayHost("h", 5, Place.of("r", "d"), "10.0.0.1:1", "10.0.0.1:2")),
                 new PeerFrame.State(
@@ -65,33 +65,33 @@
     }
 
     @Test
-    void shouldPackItemsOfTheStoreWhenTheReceiverReadsThem() {
+    void shouldCompressStoreItemsWhenTheReceiverSupportsIt() {
         byte[] value = "route ".repeat(20_000).getBytes(StandardCharsets.UTF_8);
         PeerFrame.StoreItems items =
                 new PeerFrame.StoreItems(0, 7, 30, List.of(new StoreItem("configuration", value, 5, false)));
 
-        byte[] packed = PeerFrameCodec.encode(items, true);
-        PeerFrame.StoreItems read =
-                (PeerFrame.StoreItems) PeerFrameCodec.decode(packed).get();
+        byte[] compressed = PeerFrameCodec.encode(items, true);
+        PeerFrame.StoreItems decoded =
+                (PeerFrame.StoreItems) PeerFrameCodec.decode(compressed).get();
 
-        assertTrue(packed.length * 10 < PeerFrameCodec.encode(items, false).length, "bytes: " + packed.length);
-        assertEquals(7, read.revision());
-        assertEquals(30, read.lenientMillis());
-        assertArrayEquals(value, read.items().get(0).value());
+        assertTrue(compressed.length * 10 < PeerFrameCodec.encode(items, false).length, "bytes: " + compressed.length);
+        assertEquals(7, decoded.revision());
+        assertEquals(30, decoded.lenientMillis());
+        assertArrayEquals(value, decoded.items().get(0).value());
     }
 
     @Test
-    void shouldFailWithoutHarmWhenAPackedFrameIsCutShort() {
+    void shouldReturnAFailureWhenACompressedFrameIsTruncated() {
         byte[] value = new byte[10_000];
-        byte[] packed = PeerFrameCodec.encode(
+        byte[] compressed = PeerFrameCodec.encode(
                 new PeerFrame.StoreItems(0, 7, 30, List.of(new StoreItem("configuration", value, 5, false))), true);
 
-        assertTrue(
-                PeerFrameCodec.decode(Arrays.copyOf(packed, packed.length - 4)).isFailure());
+        assertTrue(PeerFrameCodec.decode(Arrays.copyOf(compressed, compressed.length - 4))
+                .isFailure());
     }
 
     @Test
-    void shouldReadAStateWhenItComesFromAHostThatTellsNoNewestRevision() {
+    void shouldDecodeAStateWhenItComesFromAHostThatReportsNoNewestRevision() {
         PeerFrame.State state = new PeerFrame.State(
                 1,
                 2,
@@ -118,9 +118,9 @@
     }
 
     @Test
-    void shouldReadARequestWhenItsBodyHoldsAnyBytes() {
+    void shouldDecodeARequestWhenItsBodyHoldsAnyBytes() {
         byte[] body = {0, -1, 13, 10, 127};
-        PeerFrame.Ask ask = new PeerFrame.Ask(
+        PeerFrame.Ask request = new PeerFrame.Ask(
                 1,
                 2,
                 "s",
@@ -138,19 +138,19 @@
                 true,
                 List.of("t"));
 
-        PeerFrame.Ask read = (PeerFrame.Ask) roundTrip(ask);
+        PeerFrame.Ask decoded = (PeerFrame.Ask) roundTrip(request);
 
-        assertEquals(ask.headers(), read.headers());
+        assertEquals(request.headers(), decoded.headers());
         assertEquals(
                 List.of((byte) 0, (byte) -1, (byte) 13, (byte) 10, (byte) 127),
-                List.of(read.body()[0], read.body()[1], read.body()[2], read.body()[3], read.body()[4]));
-        assertEquals(Urgency.FIRST, read.urgency());
-        assertEquals(700, read.echoedMillis());
-        assertEquals(20, read.echoAgeMillis());
+                List.of(decoded.body()[0], decoded.body()[1], decoded.body()[2], decoded.body()[3], decoded.body()[4]));
+        assertEquals(Urgency.FIRST, decoded.urgency());
+        assertEquals(700, decoded.echoedMillis());
+        assertEquals(20, decoded.echoAgeMillis());
     }
 
     @Property
-    void shouldFailWithoutHarmWhenBytesAreNoFrame(@ForAll byte[] bytes) {
+    void shouldNotThrowWhenBytesAreNoFrame(@ForAll byte[] bytes) {
         assertTrue(PeerFrameCodec.decode(bytes).isFailure()
                 || PeerFrameCodec.decode(bytes).get() != null);
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
@@ -18,45 +18,45 @@
 
 class PeerLinksTest {
     /**
-     * Symptom: hosts of other regions come and go every two seconds, and callers are sent astray meanwhile. Sequence: two
-     * hosts open a connection to each other at once; each uses the one that it greeted last, sends its states there, and
-     * hears nothing on the one that it uses. Cause: the two did not choose the same connection.
+     * Symptom: hosts of other regions are lost and connected again every two seconds, and callers are misdirected meanwhile.
+     * Sequence: two hosts connect to each other at once; each uses the connection of its last handshake, sends its states
+     * there, and receives nothing on it. Cause: the two hosts did not choose the same connection.
      */
     @Property
-    void shouldChooseTheSameConnectionWhenTwoHostsOpenOneEach(@ForAll String one, @ForAll String other) {
-        Assume.that(!one.equals(other));
+    void shouldChooseTheSameConnectionWhenTwoHostsOpenOneEach(@ForAll String first, @ForAll String second) {
+        Assume.that(!first.equals(second));
 
-        boolean openedByOne = PeerLinks.isPreferred(one, other, true);
-        boolean openedByOther = PeerLinks.isPreferred(one, other, false);
+        boolean openedByFirst = PeerLinks.isPreferred(first, second, true);
+        boolean openedBySecond = PeerLinks.isPreferred(first, second, false);
 
-        assertEquals(openedByOne, PeerLinks.isPreferred(other, one, false));
-        assertEquals(openedByOther, PeerLinks.isPreferred(other, one, true));
-        assertNotEquals(openedByOne, openedByOther);
+        assertEquals(openedByFirst, PeerLinks.isPreferred(second, first, false));
+        assertEquals(openedBySecond, PeerLinks.isPreferred(second, first, true));
+        assertNotEquals(openedByFirst, openedBySecond);
     }
 
     /**
-     * Symptom: a request that could be served elsewhere ends with a time-out. Sequence: a link to another region ends just
-     * before a request is sent over it. Cause: the call was kept after all calls of the link had been ended.
+     * Symptom: a request that could be served elsewhere times out. Sequence: a link to another region closes just before a
+     * request is sent over it. Cause: the call was registered after all calls of the link had been failed.
      */
     @Example
-    void shouldFailAtOnceWhenARequestIsSentOverALinkThatHasEnded() {
+    void shouldFailAtOnceWhenARequestIsSentOverAClosedLink() {
         PeerLink link = new PeerLink(null, SteadyClock.ofProcess(), true);
         List<AttemptFailure> failures = new ArrayList<>();
 
         link.ask(number -> null, new AttemptListener() {
             @Override
             public void head(int status, HttpHeaders headers) {
-                throw new AssertionError("an answer");
+                throw new AssertionError("unexpected response");
             }
 
             @Override
             public void content(ByteBuf bytes) {
-                throw new AssertionError("an answer");
+                throw new AssertionError("unexpected response");
             }
 
             @Override
             public void ended() {
-                throw new AssertionError("an end");
+                throw new AssertionError("unexpected completion");
             }
 
             @Override
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/StoreReplicatorTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/StoreReplicatorTest.java
@@ -16,21 +16,21 @@
     private static final int CONFIGURATION_BYTES = 60_000;
     private static final long STEP_MILLIS = 50;
 
-    /** Items are written at the pace of a storm for so long. */
+    /** The number of rounds in which items are written at a high rate. */
     private static final int ROUNDS = 30;
 
-    /** A change holds for all hosts so long after it is acknowledged. */
+    /** The time after its acknowledgement within which a change must have reached all hosts. */
     private static final long CONVERGENCE_MILLIS = 4_000;
 
-    /** A host that ended counts for so long, and then each host chooses anew. */
+    /** The time until a terminated host is detected and the store watchers are chosen again. */
     private static final long TAKEOVER_MILLIS = 2_500;
 
-    /** Half of the link is left to callers, in each span of time. */
+    /** The fraction of the link that replication may use in any time span; half of it is left to callers. */
     private static final double REPLICATION_SHARE = StoreReplicator.RELAY_SHARE + StoreReplicator.CATCH_UP_SHARE;
 
     /**
-     * Guards against a link that is full of what its host tells others: whatever the number of hosts, the links, the sizes,
-     * the rate of changes, and whichever hosts end or are turned away by the store.
+     * Guards against a link that is saturated by replication, for any number of hosts, link bandwidth, item size and rate of
+     * changes, and whichever hosts terminate or are rejected by the store.
      */
     @Property(tries = 40)
     void shouldLeaveHalfOfEachLinkToCallersWhenAnythingChanges(
@@ -59,9 +59,9 @@
         region.hosts().forEach(StoreReplicatorTest::assertShareNotExceeded);
     }
 
-    /** Guards against a bound that is kept by replicator nobody in time. */
+    /** Guards against a replicator that stays within its bounds but does not reach all hosts in time. */
     @Property(tries = 10)
-    void shouldTellAllHostsInTimeWhenAConfigurationOfTwoThousandRoutesIsWritten(
+    void shouldReachAllHostsInTimeWhenAConfigurationOfTwoThousandRoutesIsWritten(
             @ForAll @IntRange(min = 2, max = 120) int hosts, @ForAll long seed) {
         TestRegion region = region(hosts, seed);
 
@@ -71,9 +71,9 @@
         assertTrue(region.isConverged());
     }
 
-    /** Guards against hosts whose relay has ended and that nobody else tells. */
+    /** Guards against hosts whose relay has terminated and that no other host sends the changes to. */
     @Property(tries = 10)
-    void shouldTellAllHostsWhenAFollowerEndsWhileItTellsThem(
+    void shouldReachAllHostsWhenAStoreWatcherTerminatesWhileItRelaysChanges(
             @ForAll @IntRange(min = 4, max = 90) int hosts, @ForAll long seed) {
         TestRegion region = region(hosts, seed);
 
@@ -90,9 +90,9 @@
         assertTrue(region.isConverged());
     }
 
-    /** Guards against an evacuation that waits behind a configuration. */
+    /** Guards against an evacuation that is queued behind a configuration. */
     @Test
-    void shouldTellASmallChangeAtOnceWhenLargeOnesAreUnderWay() {
+    void shouldSendASmallChangeAtOnceWhenLargeOnesAreInTransfer() {
         TestRegion region = region(40, 1);
         region.put("configuration", 5 * CONFIGURATION_BYTES);
         region.run(4 * STEP_MILLIS);
@@ -119,14 +119,16 @@
 
     private static void assertShareNotExceeded(TestRegion.Host host) {
         double bytesPerMilli = REPLICATION_SHARE * host.linkBytesPerMilli();
-        // Two shares, each with a part and the bytes of a step ahead.
-        double ahead = 2 * (StoreTransfer.FRAGMENT_BYTES + 100) + bytesPerMilli * STEP_MILLIS;
-        double waiting = 0;
+        // Each of the two shares may be ahead by a fragment and the bytes of a step.
+        double allowedAheadBytes = 2 * (StoreTransfer.FRAGMENT_BYTES + 100) + bytesPerMilli * STEP_MILLIS;
+        double excessBytes = 0;
         long lastMillis = 0;
         for (long[] sent : host.sent()) {
-            waiting = Math.max(0, waiting - bytesPerMilli * (sent[0] - lastMillis)) + sent[1];
+            excessBytes = Math.max(0, excessBytes - bytesPerMilli * (sent[0] - lastMillis)) + sent[1];
             lastMillis = sent[0];
-            assertTrue(waiting <= ahead, waiting + " bytes beyond the share, " + ahead + " allowed");
+            assertTrue(
+                    excessBytes <= allowedAheadBytes,
+                    excessBytes + " bytes beyond the share, " + allowedAheadBytes + " allowed");
         }
     }
 }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
@@ -19,7 +19,7 @@
 import org.rattanplank.core.host.Place;
 import org.rattanplank.gateway.store.StoreItem;
 
-/** A host of another region that says what a test has it say. Used by the test's thread alone. */
+/** A simulated host that sends the frames that a test requests. Used by the test's thread only. */
 public final class TestPeer implements AutoCloseable {
     private static final int SOCKET_TIMEOUT_MILLIS = 20_000;
     private static final long LINK_BYTES_PER_MILLI = 1_250;
@@ -33,8 +33,8 @@
     /**
      * Opens a link.
      *
-     * @param address where the other host listens
-     * @throws IOException if it can't be reached
+     * @param address the address at which the other host listens
+     * @throws IOException if it is unreachable
      */
     public TestPeer(InetSocketAddress address) throws IOException {
         this(address, "h9", Place.of("labasa", "labasa-hall"));
@@ -43,10 +43,10 @@
     /**
      * Opens a link.
      *
-     * @param address where the other host listens
+     * @param address the address at which the other host listens
      * @param name its name
-     * @param place where it stands
-     * @throws IOException if it can't be reached
+     * @param place its region and data centre
+     * @throws IOException if it is unreachable
      */
     public TestPeer(InetSocketAddress address, String name, Place place) throws IOException {
         socket.connect(address, SOCKET_TIMEOUT_MILLIS);
@@ -57,35 +57,40 @@
     }
 
     /**
-     * Asks for a request as if this host had heard the other's state just now.
+     * Forwards a request as if the other host's state had been received just now.
      *
      * @param requestId the identifier of the request
-     * @param remainingMillis the time that it has left
-     * @param heard the state
-     * @throws IOException if the link ended
+     * @param remainingMillis the time left until its deadline
+     * @param receivedState the state
+     * @throws IOException if the link was closed
      */
-    public void ask(String requestId, long remainingMillis, PeerFrame.State heard) throws IOException {
-        ask(requestId, remainingMillis, heard, Urgency.FIRST, List.of("Request-Id", requestId));
+    public void ask(String requestId, long remainingMillis, PeerFrame.State receivedState) throws IOException {
+        ask(requestId, remainingMillis, receivedState, Urgency.FIRST, List.of("Request-Id", requestId));
     }
 
     /**
-     * Asks for a generation as if this host had heard the other's state just now.
+     * Forwards a generation request as if the other host's state had been received just now.
      *
      * @param requestId the identifier of the request
-     * @param remainingMillis the time that it has left
-     * @param heard the state
-     * @param urgency how urgent it is
-     * @param promptTokens the tokens of its prompt
-     * @throws IOException if the link ended
+     * @param remainingMillis the time left until its deadline
+     * @param receivedState the state
+     * @param urgency its urgency
+     * @param promptTokens the number of prompt tokens
+     * @throws IOException if the link was closed
      */
-    public void ask(String requestId, long remainingMillis, PeerFrame.State heard, Urgency urgency, int promptTokens)
+    public void ask(
+            String requestId, long remainingMillis, PeerFrame.State receivedState, Urgency urgency, int promptTokens)
             throws IOException {
         List<String> headers = List.of("Request-Id", requestId, "Tokens", promptTokens + ",10");
-        ask(requestId, remainingMillis, heard, urgency, headers);
+        ask(requestId, remainingMillis, receivedState, urgency, headers);
     }
 
     private void ask(
-            String requestId, long remainingMillis, PeerFrame.State heard, Urgency urgency, List<String> headers)
+            String requestId,
+            long remainingMillis,
+            PeerFrame.State receivedState,
+            Urgency urgency,
+            List<String> headers)
             throws IOException {
         send(new PeerFrame.Ask(
                 1,
@@ -98,7 +103,7 @@
                 headers,
                 new byte[] {1},
                 remainingMillis,
-                heard.sentAtMillis(),
+                receivedState.sentAtMillis(),
                 0,
                 "",
                 urgency,
@@ -107,9 +112,9 @@
     }
 
     /**
-     * Says that it has just started and that the store answers nothing.
+     * Reports that it has just started and that the store does not respond to it.
      *
-     * @throws IOException if the link ended
+     * @throws IOException if the link was closed
      */
     public void sayItKnowsNothing() throws IOException {
         send(new PeerFrame.State(
@@ -117,17 +122,17 @@
     }
 
     /**
-     * Says that it knows the configuration and lets others ask the store.
+     * Reports that it has the configuration and leaves watching the store to others.
      *
-     * @param storeDigest the sum over what it knows of the store
-     * @param newestRevision the newest change that it knows
-     * @throws IOException if the link ended
+     * @param storeDigest the digest of its local copy of the store
+     * @param newestRevision the revision of the newest change that it has
+     * @throws IOException if the link was closed
      */
     public void sayItKnows(long storeDigest, long newestRevision) throws IOException {
         sayItKnows(storeDigest, newestRevision, false, 0);
     }
 
-    private void sayItKnows(long storeDigest, long newestRevision, boolean follows, long linkBytesPerMilli)
+    private void sayItKnows(long storeDigest, long newestRevision, boolean watchesStore, long linkBytesPerMilli)
             throws IOException {
         send(new PeerFrame.State(
                 1,
@@ -137,7 +142,7 @@
                 true,
                 1,
                 storeDigest,
-                follows,
+                watchesStore,
                 true,
                 List.of(),
                 List.of(),
@@ -149,55 +154,55 @@
     }
 
     /**
-     * Says that it knows the configuration and asks the store itself.
+     * Reports that it has the configuration and watches the store itself.
      *
-     * @param newestRevision the newest change that it knows
-     * @throws IOException if the link ended
+     * @param newestRevision the revision of the newest change that it has
+     * @throws IOException if the link was closed
      */
     public void sayItFollows(long newestRevision) throws IOException {
         sayItKnows(0, newestRevision, true, LINK_BYTES_PER_MILLI);
     }
 
     /**
-     * Sends a frame of items in parts, as a crowded link does.
+     * Sends the bytes of a frame in chunks with pauses, as a congested link does.
      *
-     * @param bytes the bytes of its one item
-     * @param parts the number of parts
-     * @param pauseMillis the pause after each
-     * @throws IOException if the link ended
-     * @throws InterruptedException if the test is ended
+     * @param bytes the size of its only item
+     * @param chunks the number of chunks
+     * @param pauseMillis the pause after each chunk
+     * @throws IOException if the link was closed
+     * @throws InterruptedException if the test is interrupted
      */
-    public void sendSlowly(int bytes, int parts, long pauseMillis) throws IOException, InterruptedException {
+    public void sendSlowly(int bytes, int chunks, long pauseMillis) throws IOException, InterruptedException {
         byte[] frame = PeerFrameCodec.encode(
                 new PeerFrame.StoreItems(0, 0, 0, List.of(new StoreItem("slow", new byte[bytes], 1, false))));
         out.writeInt(frame.length);
-        int part = frame.length / parts + 1;
-        for (int at = 0; at < frame.length; at += part) {
-            out.write(frame, at, Math.min(part, frame.length - at));
+        int chunkBytes = frame.length / chunks + 1;
+        for (int offset = 0; offset < frame.length; offset += chunkBytes) {
+            out.write(frame, offset, Math.min(chunkBytes, frame.length - offset));
             out.flush();
             Thread.sleep(pauseMillis);
         }
     }
 
     /**
-     * Sends an item in a frame of several parts, with a state between them.
+     * Sends an item in several fragments, with a state report after each.
      *
      * @param revision the item's revision
-     * @param bytes its bytes
-     * @param partBytes the bytes of each part but the last
-     * @throws IOException if the link ended
+     * @param bytes its size
+     * @param fragmentBytes the size of each fragment but the last
+     * @throws IOException if the link was closed
      */
-    public void sendInParts(long revision, int bytes, int partBytes) throws IOException {
+    public void sendInParts(long revision, int bytes, int fragmentBytes) throws IOException {
         byte[] frame = PeerFrameCodec.encode(
                 new PeerFrame.StoreItems(0, 0, 0, List.of(new StoreItem("parts", new byte[bytes], revision, false))));
-        for (int at = 0; at < frame.length; at += partBytes) {
-            int end = Math.min(frame.length, at + partBytes);
-            send(new PeerFrame.Fragment(end == frame.length, Arrays.copyOfRange(frame, at, end)));
+        for (int offset = 0; offset < frame.length; offset += fragmentBytes) {
+            int end = Math.min(frame.length, offset + fragmentBytes);
+            send(new PeerFrame.Fragment(end == frame.length, Arrays.copyOfRange(frame, offset, end)));
             sayItKnows(0, 1);
         }
     }
 
-    /** Reads whatever comes, on a thread of its own, until the link ends. */
+    /** Reads and discards all input on a separate thread until the link is closed. */
     public void readOn() {
         Thread reader = new Thread(() -> {
             try {
@@ -212,20 +217,20 @@
     }
 
     /**
-     * Tells that it ends and that it took no call after the one given.
+     * Sends the frame that it is leaving and accepted no call after the given one.
      *
      * @param lastCall the number of the call
-     * @throws IOException if the link ended
+     * @throws IOException if the link was closed
      */
     public void leave(long lastCall) throws IOException {
         send(new PeerFrame.Leaving(lastCall));
     }
 
     /**
-     * Says that its region answers for a service soon.
+     * Reports a low load of its region for a service.
      *
      * @param service the service
-     * @throws IOException if the link ended
+     * @throws IOException if the link was closed
      */
     public void sayItServes(String service) throws IOException {
         List<PeerFrame.RegionLoad> loads = List.of(
@@ -237,12 +242,12 @@
     }
 
     /**
-     * Says that it has no work under way and will say its state again only after a long time, so that the link stays.
+     * Reports that it has no work in progress, with a long state report interval so that the link stays open.
      *
-     * @param readsLargeReads whether it reads large reads
-     * @throws IOException if the link ended
+     * @param supportsLargePrefillNotices whether it accepts large prefill notices
+     * @throws IOException if the link was closed
      */
-    public void sayItIsIdle(boolean readsLargeReads) throws IOException {
+    public void sayItIsIdle(boolean supportsLargePrefillNotices) throws IOException {
         lastStateAtMillis++;
         send(new PeerFrame.State(
                 lastStateAtMillis,
@@ -260,15 +265,15 @@
                 1_000,
                 1,
                 LINK_BYTES_PER_MILLI,
-                readsLargeReads));
+                supportsLargePrefillNotices));
     }
 
     /**
-     * Tells that it has sent a request with a long prompt to a target.
+     * Sends a notice that it has sent a request with a long prompt to a target.
      *
-     * @param target the run of the target, by its text
-     * @param tokens the tokens of the prompt
-     * @throws IOException if the link ended
+     * @param target the text of the target's incarnation
+     * @param tokens the number of prompt tokens
+     * @throws IOException if the link was closed
      */
     public void tellOfLargeRead(String target, int tokens) throws IOException {
         SentWork work = new SentWork(1, WaitingTokens.of(Urgency.FIRST, tokens), tokens);
@@ -276,29 +281,29 @@
     }
 
     /**
-     * Reads until the other host answers the state that was said last.
+     * Reads until the other host echoes the last state that this one sent.
      *
-     * @return what came before that answer, and the answer
-     * @throws IOException if the link ended
+     * @return the frames received before that echo, and the echo
+     * @throws IOException if the link was closed
      */
     public List<PeerFrame> framesUntilHeard() throws IOException {
         List<PeerFrame> frames = new ArrayList<>();
         while (true) {
             PeerFrame frame = await(PeerFrame.class);
             frames.add(frame);
-            if (frame instanceof PeerFrame.State answer && answer.echoedMillis() == lastStateAtMillis) {
+            if (frame instanceof PeerFrame.State echo && echo.echoedMillis() == lastStateAtMillis) {
                 return frames;
             }
         }
     }
 
     /**
-     * Reads until a frame of a kind comes.
+     * Reads until a frame of a type is received.
      *
-     * @param kind the kind
-     * @param <T> the kind
+     * @param kind the type
+     * @param <T> the type
      * @return the frame
-     * @throws IOException if the link ended
+     * @throws IOException if the link was closed
      */
     public <T extends PeerFrame> T await(Class<T> kind) throws IOException {
         while (true) {
@@ -310,10 +315,10 @@
     }
 
     /**
-     * Reads what comes until the other host ends the link.
+     * Reads frames until the other host closes the link.
      *
-     * @return whether the link ended behind a whole frame, and each could be read
-     * @throws IOException if the link broke
+     * @return whether the link was closed after a complete frame, and each frame could be decoded
+     * @throws IOException if the connection failed
      */
     public boolean readsToTheEnd() throws IOException {
         byte[] length = in.readNBytes(Integer.BYTES);
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
@@ -13,9 +13,9 @@
 import org.rattanplank.gateway.store.StoreItem;
 
 /**
- * A region in virtual time: hosts that tell each other of a store, each over one link whose bytes leave at its pace.
+ * Simulates a region in virtual time: hosts that replicate a store to each other, each over one link of limited bandwidth.
  *
- * <p>What followers read of the store comes at once; what hosts say of themselves comes late. Confined to one thread.
+ * <p>Store watchers read the store without delay; state reports of hosts are visible late. Confined to one thread.
  */
 final class TestRegion {
     private static final long STEP_MILLIS = 50;
@@ -49,7 +49,7 @@
         return nowMillis;
     }
 
-    /** Writes an item whose bytes can't be packed. */
+    /** Writes an item whose bytes can't be compressed. */
     void put(String key, int bytes) {
         byte[] value = new byte[bytes];
         random.nextBytes(value);
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Whether all hosts that live know the store as it is. */
+    /** Returns whether the local copies of all live hosts match the store. */
     boolean isConverged() {
         return hosts.stream()
                 .filter(host -> host.alive)
@@ -102,7 +102,7 @@
             return linkBytesPerMilli;
         }
 
-        /** The bytes that it sent, each with its time. */
+        /** Returns the number of bytes of each sent frame, each with its time. */
         List<long[]> sent() {
             return sent;
         }
@@ -120,8 +120,8 @@
             terminatedAtMillis = nowMillis;
         }
 
-        void setRejectedByStore(boolean newTurnedAway) {
-            rejectedByStore = newTurnedAway;
+        void setRejectedByStore(boolean newRejectedByStore) {
+            rejectedByStore = newRejectedByStore;
         }
 
         private void step() {
@@ -154,13 +154,13 @@
                         linkBytesPerMilli,
                         false);
             }
-            List<SimulatedLink> others = new ArrayList<>();
+            List<SimulatedLink> receivers = new ArrayList<>();
             for (Host host : hosts) {
                 if (host != this && host.alive) {
-                    others.add(links.computeIfAbsent(host, each -> new SimulatedLink(this, each)));
+                    receivers.add(links.computeIfAbsent(host, each -> new SimulatedLink(this, each)));
                 }
             }
-            replicator.tick(others, this, nowMillis);
+            replicator.tick(receivers, this, nowMillis);
         }
 
         private StoreFollowers chooseWatchers() {
@@ -202,7 +202,7 @@
         }
     }
 
-    /** What one host sends another; all wires of a host share its link. */
+    /** The link from one host to another; all links of a host share its bandwidth. */
     private final class SimulatedLink implements StoreReceiver {
         private final Host from;
         private final Host to;
@@ -251,24 +251,25 @@
         private void receive(PeerFrame frame) {
             if (frame instanceof PeerFrame.StoreItems items) {
                 to.copy.merge(items.base(), items.revision(), items.items());
-            } else if (frame instanceof PeerFrame.Fragment part) {
-                fragments.add(part.bytes());
-                if (part.last()) {
+            } else if (frame instanceof PeerFrame.Fragment fragment) {
+                fragments.add(fragment.bytes());
+                if (fragment.last()) {
                     receive(PeerFrameCodec.decode(joinFragments()).get());
                 }
             }
         }
 
         private byte[] joinFragments() {
-            int length = fragments.stream().mapToInt(part -> part.length).sum();
-            byte[] whole = new byte[length];
-            int at = 0;
-            for (byte[] part : fragments) {
-                System.arraycopy(part, 0, whole, at, part.length);
-                at += part.length;
+            int length =
+                    fragments.stream().mapToInt(fragment -> fragment.length).sum();
+            byte[] frame = new byte[length];
+            int offset = 0;
+            for (byte[] fragment : fragments) {
+                System.arraycopy(fragment, 0, frame, offset, fragment.length);
+                offset += fragment.length;
             }
             fragments.clear();
-            return whole;
+            return frame;
         }
     }
 
