--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerListener.java
@@ -36,17 +36,17 @@
     /**
      * Called when a host has sent contents of the store.
      *
-     * @param known the items
+     * @param items the items
      */
-    void storeItems(PeerFrame.StoreItems known);
+    void storeItems(PeerFrame.StoreItems items);
 
     /**
      * Called when a host forwards a request to this one.
      *
      * @param link the link to it
-     * @param ask the request
+     * @param request the request
      */
-    void asked(PeerLink link, PeerFrame.Ask ask);
+    void asked(PeerLink link, PeerFrame.Ask request);
 
     /**
      * Called when a host cancels a call.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
@@ -52,14 +52,14 @@
      *
      * @param copy this host's local copy of the store
      * @param linkBytesPerMilli the bandwidth of this host's link, in bytes per millisecond
-     * @param lenientMillis returns, for a given time, how many milliseconds longer removed entries may be registered again after an
+     * @param graceMillis returns, for a given time, how many milliseconds longer removed entries may be registered again after an
      *     outage of the store
      * @param log receives a line for each transfer
      */
     public StoreReplicator(
-            StoreCopy copy, long linkBytesPerMilli, LongUnaryOperator lenientMillis, Consumer<LogLine> log) {
+            StoreCopy copy, long linkBytesPerMilli, LongUnaryOperator graceMillis, Consumer<LogLine> log) {
         this.copy = copy;
-        this.graceMillis = lenientMillis;
+        this.graceMillis = graceMillis;
         this.log = log;
         relayShare = LinkShare.of(linkBytesPerMilli, RELAY_SHARE);
         catchUpShare = LinkShare.of(linkBytesPerMilli, CATCH_UP_SHARE);
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
@@ -6,9 +6,9 @@
      * Called when an item has changed.
      *
      * @param item the item, or its removal
-     * @param fact the change that the item decodes to
+     * @param event the change that the item describes
      */
-    void learnt(StoreItem item, ClusterFact fact);
+    void learnt(StoreItem item, ClusterFact event);
 
     /**
      * Called when the store has responded to a call that it does not hold.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreCopy.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreCopy.java
@@ -63,13 +63,13 @@
      *
      * @param baseRevision the revision since which the items are all changes; zero if they are all items of the store
      * @param upTo the revision up to which they are complete; zero if they are only some of the changes
-     * @param known the items and removals
+     * @param received the items and removals
      * @return the items and removals that are newer than the known ones
      */
-    public List<StoreItem> merge(long baseRevision, long upTo, List<StoreItem> known) {
+    public List<StoreItem> merge(long baseRevision, long upTo, List<StoreItem> received) {
         List<StoreItem> newer = new ArrayList<>();
         Set<String> present = new HashSet<>();
-        for (StoreItem item : known) {
+        for (StoreItem item : received) {
             present.add(item.key());
             if (apply(item)) {
                 newer.add(item);
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
@@ -199,10 +199,10 @@
      *
      * @param baseRevision the revision since which the items are all changes; zero if they are all items of the store
      * @param revision the revision up to which they are complete; zero if they are only some of the changes
-     * @param known the items and removals
+     * @param received the items and removals
      */
-    public void takeFromPeer(long baseRevision, long revision, List<StoreItem> known) {
-        copy.merge(baseRevision, revision, known).forEach(this::notifyListener);
+    public void takeFromPeer(long baseRevision, long revision, List<StoreItem> received) {
+        copy.merge(baseRevision, revision, received).forEach(this::notifyListener);
     }
 
     private void apply(StoreItem item) {
