--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
@@ -52,8 +52,8 @@
      *
      * @param copy this host's local copy of the store
      * @param linkBytesPerMilli the bandwidth of this host's link, in bytes per millisecond
-     * @param graceMillis returns, for a given time, how many milliseconds longer removed entries may be registered again after an
-     *     outage of the store
+     * @param graceMillis returns, for a given time, how many milliseconds longer removed entries may be registered
+     *     again after an outage of the store
      * @param log receives a line for each transfer
      */
     public StoreReplicator(
