--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
@@ -40,8 +40,8 @@
      * @param newestRevision the revision of the newest change of the store that the sender has; zero if not reported
      * @param workMillis how long work may be sent to the sender: {@link #FOR_GOOD} if it accepts callers, less if it is the
      *     last host of its region and is leaving, zero if it accepts no work
-     * @param knownRevision the revision up to which the sender's local copy is complete; zero if it is empty, {@link #UNTOLD}
-     *     if not reported
+     * @param knownRevision the revision up to which the sender's local copy is complete; zero if it is empty,
+     *     {@link #UNTOLD} if not reported
      * @param linkBytesPerMilli the bandwidth of the sender's link in bytes per millisecond, zero if not reported
      * @param readsLargeReads whether the sender accepts {@link LargeRead}; a host of an earlier version closes the link on
      *     receiving one
