--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
@@ -17,7 +17,7 @@
      * The part of the objective that a request may wait although its own reading takes the rest, or more: a large prompt
      * that is refused for any wait at all would hardly ever be served.
      */
-    static final double LEAST_WAIT = 0.25;
+    static final double MIN_ALLOWED_WAIT_FRACTION = 0.25;
 
     private Admission() {}
 
@@ -33,7 +33,7 @@
     public static boolean shouldRefuse(
             double waitMillis, double expectedMillis, long objectiveMillis, Urgency urgency) {
         double ownMillis = expectedMillis - waitMillis;
-        double allowedMillis = Math.max(urgency.patience() * objectiveMillis - ownMillis, LEAST_WAIT * objectiveMillis);
+        double allowedMillis = Math.max(urgency.patience() * objectiveMillis - ownMillis, MIN_ALLOWED_WAIT_FRACTION * objectiveMillis);
         return waitMillis > allowedMillis && waitMillis < Double.POSITIVE_INFINITY;
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CachedParts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CachedPromptParts.java
@@ -11,7 +11,7 @@
  * <p>Invariant: at most {@link #MAX_PARTS} parts are held, and their tokens are at most a bound; the least recently used
  * go first. Confined to its owner's thread.
  */
-final class CachedParts {
+final class CachedPromptParts {
     /** Bounds memory: some 100 bytes a part and 20 targets a region make 2 MB. */
     static final int MAX_PARTS = 1_000;
 
@@ -29,7 +29,7 @@
         return cached;
     }
 
-    void sent(List<PromptPart> parts, long maxTokens) {
+    void recordSent(List<PromptPart> parts, long maxTokens) {
         for (int i = parts.size() - 1; i >= 0; i--) {
             PromptPart part = parts.get(i);
             Integer before = tokensById.put(part.id(), part.tokens());
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerDirectory.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerDirectory.java
@@ -19,7 +19,7 @@
  */
 public final class CallerDirectory {
     /** Most hosts that a caller is told of. */
-    static final int MOST = 64;
+    static final int MAX_ADDRESSES = 64;
 
     /**
      * How long the last host of the regions that may have a caller's requests may be away before it is sent elsewhere.
@@ -27,7 +27,7 @@
      * elsewhere meanwhile, callers would hand bodies to hosts that should not have them. One would notice homed requests
      * at hosts of other regions while nothing was wrong.
      */
-    static final long AWAY_MILLIS = 6_000;
+    static final long ABSENCE_TIMEOUT_MILLIS = 6_000;
 
     private final Map<String, Long> regionSeenAtMillis = new HashMap<>();
     private final long startedAtMillis;
@@ -90,43 +90,43 @@
             return List.of();
         }
         CallerPlace caller = place.get();
-        List<Predicate<GatewayHost>> right = rightFor(caller);
+        List<Predicate<GatewayHost>> right = suitableFor(caller);
         // A host that is about to end is worth a new connection only to callers whose data must not go elsewhere;
         // others keep what they have while nobody takes callers.
         List<Predicate<GatewayHost>> rightThoughEnding = caller.homeRegions().isEmpty() ? List.of() : right;
-        return first(hosts, right)
-                .orElse(() -> first(ending, rightThoughEnding))
-                .orElse(() -> wereThereLately(caller, nowMillis) ? Option.some(List.of()) : Option.none())
-                .orElse(() -> first(hosts, homesOf(caller.homeRegions())))
+        return firstMatch(hosts, right)
+                .orElse(() -> firstMatch(ending, rightThoughEnding))
+                .orElse(() -> werePresentRecently(caller, nowMillis) ? Option.some(List.of()) : Option.none())
+                .orElse(() -> firstMatch(hosts, inRegions(caller.homeRegions())))
                 .getOrElse(() -> addresses(hosts, host -> true));
     }
 
     /** Whose hosts may have all that a caller asks for, best first. */
-    private static List<Predicate<GatewayHost>> rightFor(CallerPlace caller) {
+    private static List<Predicate<GatewayHost>> suitableFor(CallerPlace caller) {
         List<Predicate<GatewayHost>> choices = new ArrayList<>();
         choices.add(host -> host.place().dataCentre().equals(caller.dataCentre())
                 && host.place().region().equals(caller.region()));
         choices.add(host -> host.place().region().equals(caller.region()));
-        choices.addAll(homesOf(caller.commonHomes()));
+        choices.addAll(inRegions(caller.commonHomes()));
         if (caller.homeRegions().isEmpty()) {
             choices.add(host -> true);
         }
         return choices;
     }
 
-    private static List<Predicate<GatewayHost>> homesOf(List<String> regions) {
+    private static List<Predicate<GatewayHost>> inRegions(List<String> regions) {
         return regions.stream()
                 .<Predicate<GatewayHost>>map(
                         home -> host -> host.place().region().equals(home))
                 .toList();
     }
 
-    private boolean wereThereLately(CallerPlace caller, long nowMillis) {
+    private boolean werePresentRecently(CallerPlace caller, long nowMillis) {
         return Stream.concat(Stream.of(caller.region()), caller.commonHomes().stream())
-                .anyMatch(region -> nowMillis - regionSeenAtMillis.getOrDefault(region, startedAtMillis) < AWAY_MILLIS);
+                .anyMatch(region -> nowMillis - regionSeenAtMillis.getOrDefault(region, startedAtMillis) < ABSENCE_TIMEOUT_MILLIS);
     }
 
-    private static Option<List<String>> first(Collection<GatewayHost> hosts, List<Predicate<GatewayHost>> choices) {
+    private static Option<List<String>> firstMatch(Collection<GatewayHost> hosts, List<Predicate<GatewayHost>> choices) {
         for (Predicate<GatewayHost> choice : choices) {
             List<String> addresses = addresses(hosts, choice);
             if (!addresses.isEmpty()) {
@@ -139,7 +139,7 @@
     private static List<String> addresses(Collection<GatewayHost> hosts, Predicate<GatewayHost> choice) {
         return hosts.stream()
                 .filter(choice)
-                .limit(MOST)
+                .limit(MAX_ADDRESSES)
                 .map(GatewayHost::callerAddress)
                 .toList();
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EnginePaces.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
@@ -21,40 +21,40 @@
  * <p>Invariants: an unknown pace counts as the mean of those known, that of an engine without requests as the least; the
  * engines that are set apart are the same on every host that may use the same ones. Confined to its owner's thread.
  */
-final class EnginePaces {
+final class EngineStreamCosts {
     /** The part of a stream's time that is planned for; callers' estimates of its length are often too low. */
-    private static final double OVERRUN_MARGIN = 0.6;
+    private static final double PLANNED_TIME_FRACTION = 0.6;
 
     /** The part of the engines that read little, for streams that end in time only there. */
-    private static final double PART_APART = 0.25;
+    private static final double RESERVED_FRACTION = 0.25;
 
     /** How many times the time of its reading counts against a prompt on an engine that is set apart. */
-    private static final double APART_WEIGHT = 10;
+    private static final double RESERVED_COST_FACTOR = 10;
 
     /** With so many streams behind at each engine on the mean, engines are set apart altogether. */
-    private static final double MOST_BEHIND = 3;
+    private static final double MAX_LAGGING_PER_ENGINE = 3;
 
     private final ServiceRule service;
-    private final double readMillisPerToken;
-    private final Map<GatewayTarget, StreamPace> paces = new IdentityHashMap<>();
-    private final StreamPace all;
-    private final double leastMillis;
-    private final Set<GatewayTarget> apart;
+    private final double prefillMillisPerToken;
+    private final Map<GatewayTarget, StreamPace> statsByEngine = new IdentityHashMap<>();
+    private final StreamPace total;
+    private final double minInterTokenMillis;
+    private final Set<GatewayTarget> reserved;
 
-    private EnginePaces(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
+    private EngineStreamCosts(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
         this.service = service;
-        this.readMillisPerToken = readMillisPerToken;
+        this.prefillMillisPerToken = readMillisPerToken;
         StreamPace sum = StreamPace.NONE;
         double least = Double.MAX_VALUE;
         for (GatewayTarget engine : engines) {
             StreamPace pace = engine.streams().all(nowMillis);
-            paces.put(engine, pace);
+            statsByEngine.put(engine, pace);
             sum = sum.plus(pace);
             least = pace.isKnown() ? Math.min(least, pace.millis()) : least;
         }
-        all = sum;
-        leastMillis = sum.isKnown() ? least : 0;
-        apart = all.behind() == 0 ? Set.of() : apart(engines, service);
+        total = sum;
+        minInterTokenMillis = sum.isKnown() ? least : 0;
+        reserved = total.behind() == 0 ? Set.of() : reserved(engines, service);
     }
 
     /**
@@ -66,17 +66,17 @@
      * @param nowMillis the time
      * @return what is known of their streams
      */
-    static EnginePaces of(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
-        return new EnginePaces(engines, service, readMillisPerToken, nowMillis);
+    static EngineStreamCosts of(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
+        return new EngineStreamCosts(engines, service, readMillisPerToken, nowMillis);
     }
 
     /** The time between two events of a stream at an engine. */
-    double paceMillis(GatewayTarget engine) {
-        StreamPace known = paces.get(engine);
+    double interTokenMillis(GatewayTarget engine) {
+        StreamPace known = statsByEngine.get(engine);
         if (known.isKnown()) {
             return known.millis();
         }
-        return isIdle(engine) ? leastMillis : all.millis();
+        return isIdle(engine) ? minInterTokenMillis : total.millis();
     }
 
     private static boolean isIdle(GatewayTarget engine) {
@@ -84,22 +84,22 @@
     }
 
     /** The time between two events at the best quarter of the engines, on the mean; zero if none is known. */
-    double bestPaceMillis() {
+    double bestInterTokenMillis() {
         List<Double> millis = new ArrayList<>();
-        paces.keySet().forEach(engine -> millis.add(paceMillis(engine)));
+        statsByEngine.keySet().forEach(engine -> millis.add(interTokenMillis(engine)));
         millis.sort(Comparator.naturalOrder());
-        int best = Math.max(1, (int) (PART_APART * millis.size()));
+        int best = Math.max(1, (int) (RESERVED_FRACTION * millis.size()));
         return millis.stream().limit(best).mapToDouble(each -> each).average().orElse(0);
     }
 
     /** The time that reading a token takes from streams that are behind, at an engine on the mean. */
     double delayCostMillisPerToken() {
-        return paces.isEmpty() ? 0 : readMillisPerToken * all.behind() / paces.size();
+        return statsByEngine.isEmpty() ? 0 : prefillMillisPerToken * total.behind() / statsByEngine.size();
     }
 
     /** How much longer than it may a stream would take at an engine. */
     double overrunMillis(GatewayTarget engine, Work work, double firstMillis) {
-        return overrunMillis(service, work, firstMillis, paceMillis(engine));
+        return overrunMillis(service, work, firstMillis, interTokenMillis(engine));
     }
 
     /**
@@ -116,30 +116,30 @@
             return 0;
         }
         double events = work.outputTokens() / (double) service.eventTokens();
-        return Math.max(0, firstMillis + events * paceMillis - OVERRUN_MARGIN * work.remainingMillis());
+        return Math.max(0, firstMillis + events * paceMillis - PLANNED_TIME_FRACTION * work.remainingMillis());
     }
 
     /** The time that reading so many tokens takes from the streams of an engine that are behind, added up over them. */
     double delayCostMillis(GatewayTarget engine, double tokens) {
-        return tokens * readMillisPerToken * paces.get(engine).behind();
+        return tokens * prefillMillisPerToken * statsByEngine.get(engine).behind();
     }
 
     /**
      * What keeps prompts away from engines that are set apart for streams that would end too late elsewhere. The more
      * streams are behind, the more it counts; while none is, all engines are alike.
      */
-    double apartCostMillis(GatewayTarget engine, int tokens) {
-        if (!apart.contains(engine) || isIdle(engine)) {
+    double reservedCostMillis(GatewayTarget engine, int tokens) {
+        if (!reserved.contains(engine) || isIdle(engine)) {
             return 0;
         }
-        double pressure = Math.min(1, all.behind() / (MOST_BEHIND * paces.size()));
-        return APART_WEIGHT * pressure * tokens * readMillisPerToken;
+        double pressure = Math.min(1, total.behind() / (MAX_LAGGING_PER_ENGINE * statsByEngine.size()));
+        return RESERVED_COST_FACTOR * pressure * tokens * prefillMillisPerToken;
     }
 
-    private static Set<GatewayTarget> apart(List<GatewayTarget> engines, ServiceRule service) {
+    private static Set<GatewayTarget> reserved(List<GatewayTarget> engines, ServiceRule service) {
         long hash = Rendezvous.hash(service.name());
         List<GatewayTarget> order = new ArrayList<>(engines);
-        order.sort(Comparator.comparingLong(engine -> engine.placeFor(hash)));
-        return new HashSet<>(order.subList(0, (int) (PART_APART * order.size())));
+        order.sort(Comparator.comparingLong(engine -> engine.affinityScore(hash)));
+        return new HashSet<>(order.subList(0, (int) (RESERVED_FRACTION * order.size())));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
@@ -15,16 +15,16 @@
  */
 public final class GatewayTarget {
     /** A target that reports no slots is taken to work on so many requests at once. */
-    private static final int UNKNOWN_SLOTS = 8;
+    private static final int DEFAULT_SLOTS = 8;
 
     /** The part of an engine's memory that may be planned for; the rest is for what estimates miss. */
-    private static final double MEMORY_PLANNED = 0.9;
+    private static final double USABLE_KV_CACHE_FRACTION = 0.9;
 
     /** The part of an engine's memory that is taken to keep parts of prompts; running requests hold the rest. */
-    private static final double CACHED_MEMORY = 0.5;
+    private static final double PREFIX_CACHE_FRACTION = 0.5;
 
     /** Bytes of any answer so recently show that a target lives, whatever one connection does. */
-    private static final long HEARD_MILLIS = 1_000;
+    private static final long ACTIVITY_TIMEOUT_MILLIS = 1_000;
 
     private static final long SECOND_MILLIS = 1_000;
 
@@ -32,18 +32,18 @@
     private final String runText;
     private final long idHash;
     private final TargetHealth health = new TargetHealth();
-    private final CachedParts cached = new CachedParts();
+    private final CachedPromptParts cachedParts = new CachedPromptParts();
     private final TargetStreams streams = new TargetStreams();
-    private final SlidingCount coldSends = new SlidingCount(SECOND_MILLIS);
-    private final Map<String, SentWork> byOtherHosts = new HashMap<>();
+    private final SlidingWindowCounter coldSends = new SlidingWindowCounter(SECOND_MILLIS);
+    private final Map<String, SentWork> workByHost = new HashMap<>();
     private TargetEntry entry;
     private boolean leaving;
-    private boolean ended;
+    private boolean terminated;
     private boolean entryUnreadable;
     private long coldUntilMillis;
     private long missingSinceMillis = -1;
-    private long lastHeardMillis;
-    private long busyUntilMillis;
+    private long lastActivityMillis;
+    private long backOffUntilMillis;
     private SentWork own = SentWork.NONE;
 
     /** The sum of all hosts' work, kept rather than worked out: each choice asks for it of each target. */
@@ -53,7 +53,7 @@
         run = entry.run();
         runText = run.text();
         idHash = Rendezvous.hash(run.id());
-        lastHeardMillis = nowMillis;
+        lastActivityMillis = nowMillis;
         update(entry, nowMillis);
     }
 
@@ -126,7 +126,7 @@
      * @return its slots
      */
     public int slots() {
-        return entry.slots() > 0 ? entry.slots() : UNKNOWN_SLOTS;
+        return entry.slots() > 0 ? entry.slots() : DEFAULT_SLOTS;
     }
 
     /** Takes note that it leaves, which is never taken back. */
@@ -140,12 +140,12 @@
      * @return whether it is
      */
     public boolean hasEnded() {
-        return ended;
+        return terminated;
     }
 
-    void end() {
+    void markTerminated() {
         leave();
-        ended = true;
+        terminated = true;
     }
 
     /** Takes note that its entry can't be read any more: it gets no work until one can be read again. */
@@ -165,7 +165,7 @@
         return newlyLeaving;
     }
 
-    void missing(long nowMillis) {
+    void markMissing(long nowMillis) {
         if (missingSinceMillis < 0) {
             missingSinceMillis = nowMillis;
         }
@@ -175,7 +175,7 @@
         return missingSinceMillis >= 0 && nowMillis - missingSinceMillis >= millis;
     }
 
-    void coldFor(long millis, long nowMillis) {
+    void extendColdPeriod(long millis, long nowMillis) {
         coldUntilMillis = Math.max(coldUntilMillis, nowMillis + millis);
     }
 
@@ -189,16 +189,16 @@
         return nowMillis < coldUntilMillis;
     }
 
-    boolean coldGateOpen(int mostPerSecond, long nowMillis) {
+    boolean hasColdCapacity(int mostPerSecond, long nowMillis) {
         return coldSends.count(nowMillis) < mostPerSecond;
     }
 
-    boolean mayTakeMore(long nowMillis) {
-        return !leaving && !entryUnreadable && nowMillis >= busyUntilMillis && health.answers(nowMillis);
+    boolean mayAccept(long nowMillis) {
+        return !leaving && !entryUnreadable && nowMillis >= backOffUntilMillis && health.isReachable(nowMillis);
     }
 
     boolean isHealthy(long nowMillis) {
-        return health.allows(own.requests(), nowMillis);
+        return health.isHealthy(own.requests(), nowMillis);
     }
 
     /**
@@ -208,7 +208,7 @@
      * @return whether it is silent
      */
     public boolean isSilent(long nowMillis) {
-        return nowMillis - lastHeardMillis > HEARD_MILLIS;
+        return nowMillis - lastActivityMillis > ACTIVITY_TIMEOUT_MILLIS;
     }
 
     /**
@@ -218,21 +218,21 @@
      * @return tokens that aren't believed cached
      */
     public int uncachedTokens(Work work) {
-        return Math.max(0, work.promptTokens() - cached.cachedTokens(work.parts()));
+        return Math.max(0, work.promptTokens() - cachedParts.cachedTokens(work.parts()));
     }
 
     /** How many tokens of a prompt's shared parts it keeps, as far as believed. */
     int cachedTokens(List<PromptPart> sharedParts) {
-        return cached.cachedTokens(sharedParts);
+        return cachedParts.cachedTokens(sharedParts);
     }
 
     /** Where it stands in the order of targets for a part of prompts, which is the same on every host. */
-    long placeFor(long partHash) {
+    long affinityScore(long partHash) {
         return Rendezvous.mix(idHash ^ partHash);
     }
 
-    double missingMemoryTokens(Work work, long memoryTokens) {
-        return all().memoryTokens() + work.ownTokens() - MEMORY_PLANNED * memoryTokens;
+    double kvCacheShortfallTokens(Work work, long memoryTokens) {
+        return all().memoryTokens() + work.ownTokens() - USABLE_KV_CACHE_FRACTION * memoryTokens;
     }
 
     /**
@@ -251,13 +251,13 @@
         SentWork sent = new SentWork(1, WaitingTokens.of(work.urgency(), readTokens), work.ownTokens());
         if (own.requests() == 0) {
             // An idle target has nothing to say: its silence counts from the first question on.
-            lastHeardMillis = Math.max(lastHeardMillis, nowMillis);
+            lastActivityMillis = Math.max(lastActivityMillis, nowMillis);
         }
-        cached.sent(work.parts(), (long) (CACHED_MEMORY * memoryTokens));
+        cachedParts.recordSent(work.parts(), (long) (PREFIX_CACHE_FRACTION * memoryTokens));
         if (isCold(nowMillis)) {
             coldSends.add(nowMillis);
         }
-        addOwn(sent);
+        addOwnWork(sent);
         return sent;
     }
 
@@ -270,7 +270,7 @@
     public SentWork started(SentWork sent) {
         SentWork left = new SentWork(sent.requests(), WaitingTokens.NONE, sent.memoryTokens());
         release(sent);
-        addOwn(left);
+        addOwnWork(left);
         return left;
     }
 
@@ -284,7 +284,7 @@
         all = all.minus(sent);
     }
 
-    private void addOwn(SentWork sent) {
+    private void addOwnWork(SentWork sent) {
         own = own.plus(sent);
         all = all.plus(sent);
     }
@@ -296,7 +296,7 @@
      * @param sent what it has under way
      */
     public void sentByOther(String host, SentWork sent) {
-        SentWork before = sent.requests() == 0 ? byOtherHosts.remove(host) : byOtherHosts.put(host, sent);
+        SentWork before = sent.requests() == 0 ? workByHost.remove(host) : workByHost.put(host, sent);
         SentWork now = sent.requests() == 0 ? SentWork.NONE : sent;
         all = all.plus(now).minus(before == null ? SentWork.NONE : before);
     }
@@ -319,7 +319,7 @@
      * @param nowMillis the time
      */
     public void heard(long nowMillis) {
-        lastHeardMillis = nowMillis;
+        lastActivityMillis = nowMillis;
     }
 
     /**
@@ -329,7 +329,7 @@
      * @param nowMillis the time at which the second came
      */
     public void eventAfter(double millis, long nowMillis) {
-        streams.eventAfter(millis, nowMillis);
+        streams.recordEventInterval(millis, nowMillis);
     }
 
     /**
@@ -343,7 +343,7 @@
 
     /** Takes note of an answer that was no failure of the target. */
     public void succeeded() {
-        health.succeeded();
+        health.recordSuccess();
     }
 
     /**
@@ -352,7 +352,7 @@
      * @param nowMillis the time
      */
     public void failed(long nowMillis) {
-        health.failed(nowMillis);
+        health.recordFailure(nowMillis);
     }
 
     /**
@@ -361,7 +361,7 @@
      * @param nowMillis the time
      */
     public void unreachable(long nowMillis) {
-        health.unreachable(nowMillis);
+        health.recordUnreachable(nowMillis);
     }
 
     /**
@@ -371,6 +371,6 @@
      * @param nowMillis the time
      */
     public void full(long pauseMillis, long nowMillis) {
-        busyUntilMillis = nowMillis + pauseMillis;
+        backOffUntilMillis = nowMillis + pauseMillis;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/HelpOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/HelpOrder.java
@@ -14,7 +14,7 @@
  */
 public final class HelpOrder {
     /** A host that was told says so within its next state, at most half a second later in a large region. */
-    static final long TURN_MILLIS = 300;
+    static final long STAGGER_MILLIS = 300;
 
     private HelpOrder() {}
 
@@ -30,6 +30,6 @@
         Set<String> helpers = new HashSet<>(hosts);
         helpers.add(self);
         helpers.remove(other);
-        return TURN_MILLIS * Rendezvous.rank(helpers, other).indexOf(self);
+        return STAGGER_MILLIS * Rendezvous.rank(helpers, other).indexOf(self);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LatencyModel.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LatencyModel.java
@@ -22,48 +22,48 @@
      * How long what was seen of an urgency counts: a wave of load lasts some seconds. Where requests of an urgency are rare,
      * as on each of thirty hosts, the weight of a new one grows with the time since the last.
      */
-    private static final double MEMORY_MILLIS = 2_000;
+    private static final double OBSERVATION_DECAY_MILLIS = 2_000;
 
     /** One observation alone may be a wild one. */
-    private static final double MOST_WEIGHT = 0.3;
+    private static final double MAX_WEIGHT = 0.3;
 
     /** Without an observation for so long, what is believed may be why there is none, and fades. */
-    private static final long QUIET_MILLIS = 1_000;
+    private static final long UNOBSERVED_MILLIS = 1_000;
 
     /** In so long, half of it has faded: a peak's end is known two to three seconds later. */
-    private static final double HALF_MILLIS = 750;
+    private static final double HALF_LIFE_MILLIS = 750;
 
     /** Until observations say more: a first event of an idle engine. */
-    private static final double START_FIXED_MILLIS = 40;
+    private static final double FIRST_EVENT_BASE_MILLIS = 40;
 
     /** Until observations say more: an engine that reads 50 tokens a millisecond. */
-    private static final double START_MILLIS_PER_TOKEN = 0.02;
+    private static final double INITIAL_MILLIS_PER_TOKEN = 0.02;
 
     /** Until observations say more: a generation of some hundred tokens. */
-    private static final double START_RESIDENCE_MILLIS = 2_500;
+    private static final double INITIAL_DECODE_MILLIS = 2_500;
 
     /** Until observations say more: an answer of a plain service. */
-    private static final double START_PLAIN_MILLIS = 50;
+    private static final double INITIAL_ANSWER_MILLIS = 50;
 
     /** A learnt time per token leaves these bounds only by one wild observation. */
-    private static final double MOST_MILLIS_PER_TOKEN = 0.5;
+    private static final double MAX_MILLIS_PER_TOKEN = 0.5;
 
     /** Fewer tokens say more of the fixed time than of the time per token. */
-    private static final double LEAST_TOKENS = 1_000;
+    private static final double MIN_OBSERVED_TOKENS = 1_000;
 
     /** Each request at a plain target slows the others a little; this spreads work between idle ones. */
-    private static final double PLAIN_CROWDING = 0.05;
+    private static final double SLOWDOWN_PER_REQUEST = 0.05;
 
     private final Map<Urgency, Double> millisPerToken = new EnumMap<>(Urgency.class);
-    private final Map<Urgency, Long> seenAtMillis = new EnumMap<>(Urgency.class);
+    private final Map<Urgency, Long> observedAtMillis = new EnumMap<>(Urgency.class);
     private final Map<Urgency, Double> usualTokens = new EnumMap<>(Urgency.class);
-    private double residenceMillis = START_RESIDENCE_MILLIS;
-    private double plainMillis = START_PLAIN_MILLIS;
+    private double meanDecodeMillis = INITIAL_DECODE_MILLIS;
+    private double meanAnswerMillis = INITIAL_ANSWER_MILLIS;
 
     /** Makes a model that has learnt nothing. */
     public LatencyModel() {
         for (Urgency urgency : Urgency.values()) {
-            millisPerToken.put(urgency, START_MILLIS_PER_TOKEN);
+            millisPerToken.put(urgency, INITIAL_MILLIS_PER_TOKEN);
         }
     }
 
@@ -78,8 +78,8 @@
      */
     public double roomMillis(int slotsShort, int slots, double memoryShort, double memoryUsed) {
         // Requests end evenly over their mean time, and each end frees a slot and its part of the memory.
-        double slotMillis = Math.max(0, slotsShort) * residenceMillis / Math.max(1, slots);
-        double memoryMillis = memoryUsed <= 0 ? 0 : Math.max(0, memoryShort) / memoryUsed * residenceMillis;
+        double slotMillis = Math.max(0, slotsShort) * meanDecodeMillis / Math.max(1, slots);
+        double memoryMillis = memoryUsed <= 0 ? 0 : Math.max(0, memoryShort) / memoryUsed * meanDecodeMillis;
         return Math.max(slotMillis, memoryMillis);
     }
 
@@ -92,7 +92,7 @@
      * @return milliseconds
      */
     public double firstEventMillis(double tokens, Urgency urgency, long nowMillis) {
-        return START_FIXED_MILLIS + tokens * millisPerToken(urgency, nowMillis);
+        return FIRST_EVENT_BASE_MILLIS + tokens * millisPerToken(urgency, nowMillis);
     }
 
     /**
@@ -102,12 +102,12 @@
      */
     private double millisPerToken(Urgency urgency, long nowMillis) {
         double learnt = millisPerToken.get(urgency);
-        long quietMillis = nowMillis - seenAtMillis.getOrDefault(urgency, 0L) - QUIET_MILLIS;
+        long quietMillis = nowMillis - observedAtMillis.getOrDefault(urgency, 0L) - UNOBSERVED_MILLIS;
         if (quietMillis <= 0) {
             return learnt;
         }
         double least = Collections.min(millisPerToken.values());
-        return least + (learnt - least) * Math.pow(0.5, quietMillis / HALF_MILLIS);
+        return least + (learnt - least) * Math.pow(0.5, quietMillis / HALF_LIFE_MILLIS);
     }
 
     /**
@@ -154,7 +154,7 @@
      */
     public double answerMillis(int ahead, int slots) {
         double turns = Math.max(0, ahead + 1 - slots) / (double) Math.max(1, slots);
-        return plainMillis * (1 + turns + PLAIN_CROWDING * ahead);
+        return meanAnswerMillis * (1 + turns + SLOWDOWN_PER_REQUEST * ahead);
     }
 
     /**
@@ -167,7 +167,7 @@
      * @return milliseconds
      */
     public double perUnitMillis(boolean isModel, Urgency urgency, int slots, long nowMillis) {
-        return isModel ? millisPerToken(urgency, nowMillis) : plainMillis / Math.max(1, slots);
+        return isModel ? millisPerToken(urgency, nowMillis) : meanAnswerMillis / Math.max(1, slots);
     }
 
     /**
@@ -179,15 +179,15 @@
      * @param nowMillis the time
      */
     public void firstEventTook(double tokens, Urgency urgency, double tookMillis, long nowMillis) {
-        if (tokens < LEAST_TOKENS) {
+        if (tokens < MIN_OBSERVED_TOKENS) {
             return;
         }
-        double seen = Math.min(MOST_MILLIS_PER_TOKEN, Math.max(0, tookMillis - START_FIXED_MILLIS) / tokens);
+        double seen = Math.min(MAX_MILLIS_PER_TOKEN, Math.max(0, tookMillis - FIRST_EVENT_BASE_MILLIS) / tokens);
         double known = millisPerToken(urgency, nowMillis);
-        long sinceMillis = nowMillis - seenAtMillis.getOrDefault(urgency, 0L);
-        double weight = Math.min(MOST_WEIGHT, Math.max(SMOOTHING, 1 - Math.exp(-sinceMillis / MEMORY_MILLIS)));
+        long sinceMillis = nowMillis - observedAtMillis.getOrDefault(urgency, 0L);
+        double weight = Math.min(MAX_WEIGHT, Math.max(SMOOTHING, 1 - Math.exp(-sinceMillis / OBSERVATION_DECAY_MILLIS)));
         millisPerToken.put(urgency, known + weight * (seen - known));
-        seenAtMillis.put(urgency, nowMillis);
+        observedAtMillis.put(urgency, nowMillis);
     }
 
     /**
@@ -196,7 +196,7 @@
      * @param tookMillis the time from its first event to its end
      */
     public void generationTook(double tookMillis) {
-        residenceMillis += SMOOTHING * (tookMillis - residenceMillis);
+        meanDecodeMillis += SMOOTHING * (tookMillis - meanDecodeMillis);
     }
 
     /**
@@ -208,7 +208,7 @@
      */
     public void answerTook(int ahead, int slots, double tookMillis) {
         if (ahead < slots) {
-            plainMillis += SMOOTHING * (tookMillis - plainMillis);
+            meanAnswerMillis += SMOOTHING * (tookMillis - meanAnswerMillis);
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkShare.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkShare.java
@@ -3,12 +3,12 @@
 /**
  * Paces what a host moves in the background to a share of its link.
  *
- * <p>Invariant: in any time span, no more bytes are counted than the share bears in it and {@link #AHEAD_MILLIS}, plus one
+ * <p>Invariant: in any time span, no more bytes are counted than the share bears in it and {@link #BURST_MILLIS}, plus one
  * count. Confined to one thread.
  */
 public final class LinkShare {
     /** Bytes are moved in steps that are so far apart, and each step moves those of the time until the next. */
-    static final long AHEAD_MILLIS = 50;
+    static final long BURST_MILLIS = 50;
 
     private final double bytesPerMilli;
     private double freeAtMillis = Double.NEGATIVE_INFINITY;
@@ -38,7 +38,7 @@
      * @return whether the share bears them
      */
     public boolean isAvailable(long nowMillis) {
-        return freeAtMillis <= nowMillis + AHEAD_MILLIS;
+        return freeAtMillis <= nowMillis + BURST_MILLIS;
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LongestTimes.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LongestTimes.java
@@ -12,9 +12,9 @@
  */
 public final class LongestTimes {
     /** A burst or a restart of targets is over by then; a kind that is asked for at all has been seen. */
-    static final long SPAN_MILLIS = 5_000;
+    static final long WINDOW_MILLIS = 5_000;
 
-    private final Map<String, Longest> kinds = new HashMap<>();
+    private final Map<String, Window> windowsByKind = new HashMap<>();
 
     /**
      * Takes note of a whole answer, or of a request that is still under way.
@@ -24,9 +24,9 @@
      * @param nowMillis the time
      */
     public void took(String kind, long millis, long nowMillis) {
-        Longest longest = kinds.computeIfAbsent(kind, each -> new Longest(nowMillis));
-        longest.turn(nowMillis);
-        longest.nowLongestMillis = Math.max(longest.nowLongestMillis, millis);
+        Window longest = windowsByKind.computeIfAbsent(kind, each -> new Window(nowMillis));
+        longest.advance(nowMillis);
+        longest.currentMaxMillis = Math.max(longest.currentMaxMillis, millis);
     }
 
     /**
@@ -37,31 +37,31 @@
      * @return milliseconds, or none if none has ended in that time
      */
     public Option<Long> longestMillis(String kind, long nowMillis) {
-        return Option.of(kinds.get(kind))
-                .peek(longest -> longest.turn(nowMillis))
-                .map(longest -> Math.max(longest.nowLongestMillis, longest.lastLongestMillis))
+        return Option.of(windowsByKind.get(kind))
+                .peek(longest -> longest.advance(nowMillis))
+                .map(longest -> Math.max(longest.currentMaxMillis, longest.previousMaxMillis))
                 .filter(millis -> millis >= 0);
     }
 
-    private static final class Longest {
+    private static final class Window {
         private static final long NONE = -1;
 
-        private long spanAtMillis;
-        private long nowLongestMillis = NONE;
-        private long lastLongestMillis = NONE;
+        private long startMillis;
+        private long currentMaxMillis = NONE;
+        private long previousMaxMillis = NONE;
 
-        private Longest(long nowMillis) {
-            spanAtMillis = nowMillis;
+        private Window(long nowMillis) {
+            startMillis = nowMillis;
         }
 
-        private void turn(long nowMillis) {
-            if (nowMillis - spanAtMillis < SPAN_MILLIS) {
+        private void advance(long nowMillis) {
+            if (nowMillis - startMillis < WINDOW_MILLIS) {
                 return;
             }
-            boolean isNext = nowMillis - spanAtMillis < 2 * SPAN_MILLIS;
-            lastLongestMillis = isNext ? nowLongestMillis : NONE;
-            nowLongestMillis = NONE;
-            spanAtMillis = nowMillis;
+            boolean isNext = nowMillis - startMillis < 2 * WINDOW_MILLIS;
+            previousMaxMillis = isNext ? currentMaxMillis : NONE;
+            currentMaxMillis = NONE;
+            startMillis = nowMillis;
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Outlook.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Outlook.java
@@ -26,7 +26,7 @@
      * @param name its name
      * @return the same outlook there
      */
-    Outlook in(String name) {
+    Outlook inRegion(String name) {
         return new Outlook(name, waitMillis, expectedMillis, delayCostMillis, overrunMillis);
     }
 
@@ -57,7 +57,7 @@
      * @param other another place
      * @return the one that is expected to answer first; this one if both are alike
      */
-    Outlook orSooner(Outlook other) {
+    Outlook earlierOf(Outlook other) {
         return other.expectedMillis + other.delayCostMillis < expectedMillis + delayCostMillis ? other : this;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
@@ -17,7 +17,7 @@
     private final Mechanisms mechanisms;
     private final Option<Choice> local;
     private final double localMillis;
-    private final Map<String, Outlook> remote = new HashMap<>();
+    private final Map<String, Outlook> remoteEstimates = new HashMap<>();
 
     private Placement(
             Demand demand,
@@ -38,7 +38,7 @@
                     && !demand.tried().contains(region)
                     && !around.beyondShare().contains(region);
             if (mayTake) {
-                remote.put(region, outlook(region, wayMillis, chooser, loads, nowMillis));
+                remoteEstimates.put(region, outlook(region, wayMillis, chooser, loads, nowMillis));
             }
         });
     }
@@ -98,7 +98,7 @@
      * @return whether a target or another region may take it
      */
     public boolean isPossible() {
-        return local.isDefined() || remote.values().stream().anyMatch(each -> Double.isFinite(each.expectedMillis()));
+        return local.isDefined() || remoteEstimates.values().stream().anyMatch(each -> Double.isFinite(each.expectedMillis()));
     }
 
     /**
@@ -108,7 +108,7 @@
      */
     public Option<String> region() {
         Map<String, Double> expectedMillis = new HashMap<>();
-        remote.forEach((region, outlook) -> expectedMillis.put(region, outlook.costMillis()));
+        remoteEstimates.forEach((region, outlook) -> expectedMillis.put(region, outlook.costMillis()));
         return RegionChooser.choose(localMillis, expectedMillis, demand.route().objectiveMillis());
     }
 
@@ -133,8 +133,8 @@
      */
     public Outlook outlook() {
         Outlook best = localOutlook();
-        for (Outlook there : remote.values()) {
-            best = best.orSooner(there);
+        for (Outlook there : remoteEstimates.values()) {
+            best = best.earlierOf(there);
         }
         return best;
     }
@@ -145,7 +145,7 @@
      * @return the outlook
      */
     public Outlook localOutlook() {
-        return local.map(choice -> choice.outlook().in(ownRegion)).getOrElse(Outlook.NONE);
+        return local.map(choice -> choice.outlook().inRegion(ownRegion)).getOrElse(Outlook.NONE);
     }
 
     /**
@@ -155,7 +155,7 @@
      * @return the outlook
      */
     public Outlook outlook(String region) {
-        return remote.getOrDefault(region, Outlook.NONE);
+        return remoteEstimates.getOrDefault(region, Outlook.NONE);
     }
 
     private Outlook outlook(String region, double wayMillis, TargetChooser chooser, RegionLoads loads, long nowMillis) {
@@ -165,7 +165,7 @@
         double expectedMillis = loads.expectedMillis(region, service, work.urgency(), units(work), nowMillis);
         RegionStreams streams = loads.streams(region, service);
         double overrunMillis =
-                EnginePaces.overrunMillis(demand.service(), work, wayMillis + expectedMillis, streams.paceMillis());
+                EngineStreamCosts.overrunMillis(demand.service(), work, wayMillis + expectedMillis, streams.paceMillis());
         return new Outlook(
                 region,
                 wayMillis + waitMillis,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionChooser.java
@@ -12,10 +12,10 @@
  */
 public final class RegionChooser {
     /** While the own region is expected to answer within this part of the objective, nothing is gained elsewhere. */
-    static final double GOOD_ENOUGH = 0.4;
+    static final double LOCAL_OBJECTIVE_FRACTION = 0.4;
 
     /** Another region must be expected to be faster by this factor, the way there included. */
-    static final double GAIN = 1.3;
+    static final double MIN_SPEEDUP_FACTOR = 1.3;
 
     private RegionChooser() {}
 
@@ -28,7 +28,7 @@
      * @return the other region, or none to stay
      */
     public static Option<String> choose(double localMillis, Map<String, Double> remoteMillis, long objectiveMillis) {
-        if (localMillis <= GOOD_ENOUGH * objectiveMillis) {
+        if (localMillis <= LOCAL_OBJECTIVE_FRACTION * objectiveMillis) {
             return Option.none();
         }
         String best = null;
@@ -39,6 +39,6 @@
                 bestMillis = remote.getValue();
             }
         }
-        return bestMillis * GAIN < localMillis ? Option.of(best) : Option.none();
+        return bestMillis * MIN_SPEEDUP_FACTOR < localMillis ? Option.of(best) : Option.none();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
@@ -15,7 +15,7 @@
     public static final long REPORT_MILLIS = 3_000;
 
     private final Map<String, Map<String, EnumMap<Urgency, Load>>> byRegion = new HashMap<>();
-    private final Map<String, Map<String, RegionStreams>> streamsByRegion = new HashMap<>();
+    private final Map<String, Map<String, RegionStreams>> streamStatsByRegion = new HashMap<>();
 
     /**
      * Takes a report.
@@ -47,7 +47,7 @@
      * @param streams how its streams get on
      */
     public void reported(String region, String service, RegionStreams streams) {
-        streamsByRegion.computeIfAbsent(region, name -> new HashMap<>()).put(service, streams);
+        streamStatsByRegion.computeIfAbsent(region, name -> new HashMap<>()).put(service, streams);
     }
 
     /**
@@ -58,7 +58,7 @@
      * @return what it reported last
      */
     public RegionStreams streams(String region, String service) {
-        return streamsByRegion.getOrDefault(region, Map.of()).getOrDefault(service, RegionStreams.NONE);
+        return streamStatsByRegion.getOrDefault(region, Map.of()).getOrDefault(service, RegionStreams.NONE);
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RepeatAllowance.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RepeatAllowance.java
@@ -6,24 +6,24 @@
 /**
  * This host's part of the repeats that a service's targets may get from all hosts together.
  *
- * <p>Invariant: in any window, the repeats granted are at most {@link #RATIO_MARGIN} of the ratio times the first sends
+ * <p>Invariant: in any window, the repeats granted are at most {@link #RATIO_SAFETY_FACTOR} of the ratio times the first sends
  * of that window, plus this host's part of the slack. As each host counts its own first sends alone, the sum over all
  * hosts keeps the bound as long as none of them knows of fewer than four fifths of the others, or there are no more than
  * the least number that the slack is shared by. Confined to its owner's thread.
  */
 public final class RepeatAllowance {
     /** What is kept back of the ratio, as the window of the bound and ours don't start together. */
-    static final double RATIO_MARGIN = 0.8;
+    static final double RATIO_SAFETY_FACTOR = 0.8;
 
     /** Hosts that have just been added are not known yet; a fifth of all may be so. */
-    static final double UNKNOWN_MARGIN = 1.25;
+    static final double UNKNOWN_HOSTS_FACTOR = 1.25;
 
     private final double ratio;
     private final double slack;
     private final long windowMillis;
     private int hosts;
-    private final Map<String, SlidingCount> firsts = new HashMap<>();
-    private final Map<String, SlidingCount> repeats = new HashMap<>();
+    private final Map<String, SlidingWindowCounter> firstAttempts = new HashMap<>();
+    private final Map<String, SlidingWindowCounter> retries = new HashMap<>();
 
     private RepeatAllowance(double ratio, double slack, int hosts, long windowMillis) {
         this.ratio = ratio;
@@ -42,7 +42,7 @@
      * @return the allowance
      */
     public static RepeatAllowance of(double ratio, double slack, int hosts, long windowMillis) {
-        return new RepeatAllowance(ratio * RATIO_MARGIN, slack, Math.max(1, hosts), windowMillis);
+        return new RepeatAllowance(ratio * RATIO_SAFETY_FACTOR, slack, Math.max(1, hosts), windowMillis);
     }
 
     /**
@@ -53,7 +53,7 @@
      * @param known the hosts that are known, this one included
      */
     public void hostsKnown(int known) {
-        hosts = Math.max(hosts, (int) Math.ceil(known * UNKNOWN_MARGIN));
+        hosts = Math.max(hosts, (int) Math.ceil(known * UNKNOWN_HOSTS_FACTOR));
     }
 
     /**
@@ -63,7 +63,7 @@
      * @param nowMillis the time
      */
     public void first(String service, long nowMillis) {
-        firsts.computeIfAbsent(service, name -> new SlidingCount(windowMillis)).add(nowMillis);
+        firstAttempts.computeIfAbsent(service, name -> new SlidingWindowCounter(windowMillis)).add(nowMillis);
     }
 
     /**
@@ -74,8 +74,8 @@
      * @return the repeats that would be granted now
      */
     public int left(String service, long nowMillis) {
-        int seen = count(firsts, service, nowMillis);
-        return (int) (Math.floor(ratio * seen + Math.floor(slack / hosts)) - count(repeats, service, nowMillis));
+        int seen = count(firstAttempts, service, nowMillis);
+        return (int) (Math.floor(ratio * seen + Math.floor(slack / hosts)) - count(retries, service, nowMillis));
     }
 
     /**
@@ -91,12 +91,12 @@
         if (left(service, nowMillis) < 1) {
             return false;
         }
-        repeats.computeIfAbsent(service, name -> new SlidingCount(windowMillis)).add(nowMillis);
+        retries.computeIfAbsent(service, name -> new SlidingWindowCounter(windowMillis)).add(nowMillis);
         return true;
     }
 
-    private static int count(Map<String, SlidingCount> counts, String service, long nowMillis) {
-        SlidingCount count = counts.get(service);
+    private static int count(Map<String, SlidingWindowCounter> counts, String service, long nowMillis) {
+        SlidingWindowCounter count = counts.get(service);
         return count == null ? 0 : count.count(nowMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
@@ -35,7 +35,7 @@
         int rank,
         Set<String> homeRegions) {
     /** No region has this name: the home of a route that no region may serve. */
-    static final String NOWHERE = "";
+    static final String NO_REGION = "";
 
     public RouteRule {
         Objects.requireNonNull(name, "name");
@@ -92,7 +92,7 @@
                 objectiveMillis,
                 gapMillis,
                 rank,
-                both.isEmpty() ? Set.of(NOWHERE) : both);
+                both.isEmpty() ? Set.of(NO_REGION) : both);
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentRequest.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentRequest.java
@@ -7,32 +7,32 @@
  */
 public final class SentRequest {
     /** The part of its time that a stream should not need: its last events and its way back take some of it. */
-    private static final double SPARE_TIME = 0.25;
+    private static final double RESERVED_TIME_FRACTION = 0.25;
 
     /** A stream that has outlived its caller's estimate is taken to go on for this part of what it has made. */
-    private static final double RESIDUAL = 0.35;
+    private static final double RESIDUAL_FRACTION = 0.35;
 
     /** The part of the present pace that an engine may still come to at its best. */
-    private static final double BEST_PACE = 0.4;
+    private static final double BEST_INTER_TOKEN_FRACTION = 0.4;
 
     /** Reading that takes longer changes where other hosts should send theirs, before they are told in turn. */
-    private static final double LARGE_READ_MILLIS = 50;
+    private static final double LARGE_PREFILL_MILLIS = 50;
 
     private final GatewayTarget target;
     private final ServiceRule service;
     private final LatencyModel model;
     private final Work work;
     private final long sentAtMillis;
-    private final int ahead;
-    private final double readMillis;
+    private final int requestsAhead;
+    private final double prefillMillis;
     private final double expectedTokens;
-    private final double expectedRoomMillis;
+    private final double expectedCapacityWaitMillis;
     private SentWork reserved;
     private boolean started;
     private long startedAtMillis;
-    private long lastPartAtMillis;
-    private int parts;
-    private boolean over;
+    private long lastEventAtMillis;
+    private int events;
+    private boolean released;
 
     private SentRequest(TargetChooser chooser, Choice choice, ServiceRule service, Work work, long nowMillis) {
         target = choice.target();
@@ -40,13 +40,13 @@
         this.work = work;
         model = chooser.model(service.name());
         sentAtMillis = nowMillis;
-        ahead = target.all().requests();
-        readMillis = service.isModel() ? choice.readTokens() * model.readMillisPerToken(nowMillis) : 0;
+        requestsAhead = target.all().requests();
+        prefillMillis = service.isModel() ? choice.readTokens() * model.readMillisPerToken(nowMillis) : 0;
         if (service.isModel()) {
             model.promptSent(choice.readTokens(), work.urgency());
         }
         expectedTokens = target.all().waiting().ahead(work.urgency()) + (double) choice.readTokens();
-        expectedRoomMillis = service.isModel() ? chooser.roomMillis(target, service, work) : 0;
+        expectedCapacityWaitMillis = service.isModel() ? chooser.roomMillis(target, service, work) : 0;
         reserved = target.reserve(work, choice.readTokens(), service.memoryTokens(), nowMillis);
     }
 
@@ -70,7 +70,7 @@
      * @return whether its prompt takes long to read
      */
     public boolean isLarge() {
-        return readMillis >= LARGE_READ_MILLIS;
+        return prefillMillis >= LARGE_PREFILL_MILLIS;
     }
 
     /**
@@ -81,20 +81,20 @@
      */
     public void part(boolean success, long nowMillis) {
         if (started && service.isModel()) {
-            target.eventAfter(nowMillis - (double) lastPartAtMillis, nowMillis);
+            target.eventAfter(nowMillis - (double) lastEventAtMillis, nowMillis);
         }
-        lastPartAtMillis = nowMillis;
-        parts++;
-        if (started || over) {
+        lastEventAtMillis = nowMillis;
+        events++;
+        if (started || released) {
             return;
         }
         started = true;
         reserved = target.started(reserved);
         if (success && service.isModel()) {
             startedAtMillis = nowMillis;
-            target.streams().begun(this);
+            target.streams().add(this);
             model.firstEventTook(
-                    expectedTokens, work.urgency(), nowMillis - sentAtMillis - expectedRoomMillis, nowMillis);
+                    expectedTokens, work.urgency(), nowMillis - sentAtMillis - expectedCapacityWaitMillis, nowMillis);
         }
     }
 
@@ -108,27 +108,27 @@
         if (success && service.isModel()) {
             model.generationTook(nowMillis - (double) startedAtMillis);
         } else if (success) {
-            model.answerTook(ahead, target.slots(), nowMillis - (double) sentAtMillis);
+            model.answerTook(requestsAhead, target.slots(), nowMillis - (double) sentAtMillis);
         }
         release();
     }
 
     /** Whether it would end too late at a pace, though not at the best that may be hoped for. */
-    boolean isBehind(double paceMillis, long nowMillis) {
+    boolean isLagging(double paceMillis, long nowMillis) {
         if (service.eventTokens() <= 0 || work.remainingMillis() <= 0) {
             return false;
         }
         double expectedEvents = work.outputTokens() / (double) service.eventTokens();
-        double takesMillis = paceMillis * Math.max(1, Math.max(expectedEvents - parts, RESIDUAL * parts));
-        double leftMillis = sentAtMillis + (1 - SPARE_TIME) * work.remainingMillis() - nowMillis;
-        return takesMillis > leftMillis && BEST_PACE * takesMillis < leftMillis;
+        double takesMillis = paceMillis * Math.max(1, Math.max(expectedEvents - events, RESIDUAL_FRACTION * events));
+        double leftMillis = sentAtMillis + (1 - RESERVED_TIME_FRACTION) * work.remainingMillis() - nowMillis;
+        return takesMillis > leftMillis && BEST_INTER_TOKEN_FRACTION * takesMillis < leftMillis;
     }
 
     /** Gives back what it holds at its target, once. */
     public void release() {
-        if (!over) {
-            over = true;
-            target.streams().ended(this);
+        if (!released) {
+            released = true;
+            target.streams().remove(this);
             target.release(reserved);
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingCount.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingWindowCounter.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 
 /** Counts events of the last span of time. Confined to its owner's thread. */
-final class SlidingCount {
-    private final long spanMillis;
+final class SlidingWindowCounter {
+    private final long windowMillis;
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
-    SlidingCount(long spanMillis) {
-        this.spanMillis = spanMillis;
+    SlidingWindowCounter(long spanMillis) {
+        this.windowMillis = spanMillis;
     }
 
     void add(long nowMillis) {
@@ -22,7 +22,7 @@
     }
 
     private void expire(long nowMillis) {
-        while (!times.isEmpty() && times.peekFirst() <= nowMillis - spanMillis) {
+        while (!times.isEmpty() && times.peekFirst() <= nowMillis - windowMillis) {
             times.removeFirst();
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StopPlan.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StopPlan.java
@@ -18,19 +18,19 @@
      * for one of the list's lifetimes at most. Longer stops would overlap when hosts are stopped in turn, and leave few
      * that serve.
      */
-    static final long SERVE_LEAST_MILLIS = 1_700;
+    static final long MIN_SERVE_MILLIS = 1_700;
 
     /**
      * Whatever comes later must surely end in time: a stream that begins so late may be cut in the middle. Callers that
      * hold the longest-lived list have moved by then.
      */
-    static final long TAKE_ALL_MILLIS = 2_800;
+    static final long ACCEPT_ALL_MILLIS = 2_800;
 
     /** What is left of the time for stopping when everything is cut: for the last answers to leave. */
-    static final long CUT_MARGIN_MILLIS = 700;
+    static final long CLOSE_MARGIN_MILLIS = 700;
 
     /** A request that comes late takes less than so many times as long as the longest of late. */
-    private static final double SURE = 1.5;
+    private static final double DURATION_SAFETY_FACTOR = 1.5;
 
     private final long graceMillis;
 
@@ -56,7 +56,7 @@
      * @return milliseconds, zero if they should send none
      */
     public long workMillis(long stoppingMillis, OtherHosts others) {
-        return Math.max(0, others.takeMillis(cutMillis()) - stoppingMillis);
+        return Math.max(0, others.acceptUntilMillis(cutMillis()) - stoppingMillis);
     }
 
     /**
@@ -69,10 +69,10 @@
      */
     public boolean mayBegin(long stoppingMillis, OtherHosts others, Option<Long> longestMillis) {
         long leftMillis = cutMillis() - stoppingMillis;
-        if (stoppingMillis < TAKE_ALL_MILLIS) {
+        if (stoppingMillis < ACCEPT_ALL_MILLIS) {
             return longestMillis.forAll(longest -> longest <= leftMillis);
         }
-        return workMillis(stoppingMillis, others) > 0 && longestMillis.exists(longest -> SURE * longest <= leftMillis);
+        return workMillis(stoppingMillis, others) > 0 && longestMillis.exists(longest -> DURATION_SAFETY_FACTOR * longest <= leftMillis);
     }
 
     /**
@@ -87,7 +87,7 @@
         if (workMillis(stoppingMillis, others) > 0) {
             return false;
         }
-        return stoppingMillis >= TAKE_ALL_MILLIS || stoppingMillis >= SERVE_LEAST_MILLIS && !hasWork;
+        return stoppingMillis >= ACCEPT_ALL_MILLIS || stoppingMillis >= MIN_SERVE_MILLIS && !hasWork;
     }
 
     /**
@@ -96,6 +96,6 @@
      * @return milliseconds since the word to stop
      */
     public long cutMillis() {
-        return graceMillis - CUT_MARGIN_MILLIS;
+        return graceMillis - CLOSE_MARGIN_MILLIS;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreFollowers.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreFollowers.java
@@ -26,11 +26,11 @@
 
     private static final String KEY = "store";
 
-    private final List<String> followers;
+    private final List<String> watchers;
     private final Map<String, String> relays;
 
     private StoreFollowers(List<String> followers, Map<String, String> relays) {
-        this.followers = List.copyOf(followers);
+        this.watchers = List.copyOf(followers);
         this.relays = Map.copyOf(relays);
     }
 
@@ -65,7 +65,7 @@
      * @return whether it does
      */
     public boolean follows(String host) {
-        return followers.contains(host);
+        return watchers.contains(host);
     }
 
     /**
@@ -85,8 +85,8 @@
      * @return the number; that of all followers if it is none
      */
     public int turn(String follower) {
-        int at = followers.indexOf(follower);
-        return at < 0 ? followers.size() : at;
+        int at = watchers.indexOf(follower);
+        return at < 0 ? watchers.size() : at;
     }
 
     private static List<Candidate> rank(Collection<Candidate> candidates) {
@@ -107,7 +107,7 @@
         for (Candidate other : others) {
             int least = 0;
             for (int i = 1; i < told.length; i++) {
-                if (load(followers.get(i), told[i]) < load(followers.get(least), told[least])) {
+                if (relayLoad(followers.get(i), told[i]) < relayLoad(followers.get(least), told[least])) {
                     least = i;
                 }
             }
@@ -118,7 +118,7 @@
     }
 
     /** What one more host would make of a follower's work, against its link. */
-    private static double load(Candidate follower, int told) {
+    private static double relayLoad(Candidate follower, int told) {
         return (told + 1) / (double) Math.max(1, follower.linkBytesPerMilli());
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
@@ -18,25 +18,25 @@
  */
 public final class TargetChooser {
     /** The part of a target's connections that one host may use while it knows of others. */
-    private static final double CONNECTION_SHARE = 0.9;
+    private static final double CONNECTION_FRACTION = 0.9;
 
     /** Estimates so close are drawn between at random, so that hosts with the same view don't all send to one target. */
-    private static final double TIE = 0.02;
+    private static final double TIE_FRACTION = 0.02;
 
     /** Each running generation slows the others' tokens a little; this spreads work between idle engines. */
-    private static final double PER_RUNNING_MILLIS = 2;
+    private static final double MILLIS_PER_RUNNING_REQUEST = 2;
 
     /**
      * How much longer a request may wait at a target that keeps its shared parts, for each token that another one would
      * read again: reading is paid for, and takes the time of others.
      */
-    private static final double READ_AGAIN_MILLIS_PER_TOKEN = 0.05;
+    private static final double RECOMPUTE_COST_MILLIS_PER_TOKEN = 0.05;
 
     /**
      * The part of the time taken from streams that are behind which counts when a request is refused or sent elsewhere:
      * most of them survive one more prompt.
      */
-    private static final double DELAY_COST_PART = 0.8;
+    private static final double DELAY_COST_FRACTION = 0.8;
 
     private final String self;
     private final TargetPool pool;
@@ -101,19 +101,19 @@
         List<GatewayTarget> eligible = healthyOrAll(eligible(service, excluded, region, nowMillis), nowMillis);
         List<PromptPart> shared = work.sharedParts();
         int sharedTokens = work.sharedTokens();
-        GatewayTarget keeper = mechanisms.uses(Mechanism.KEEPER) ? keeper(eligible, shared) : null;
-        double readAgainMillisPerToken = mechanisms.uses(Mechanism.READ_AGAIN) ? READ_AGAIN_MILLIS_PER_TOKEN : 0;
-        EnginePaces paces = paces(eligible, service, nowMillis);
+        GatewayTarget keeper = mechanisms.uses(Mechanism.KEEPER) ? affinityTarget(eligible, shared) : null;
+        double readAgainMillisPerToken = mechanisms.uses(Mechanism.READ_AGAIN) ? RECOMPUTE_COST_MILLIS_PER_TOKEN : 0;
+        EngineStreamCosts paces = streamCosts(eligible, service, nowMillis);
         GatewayTarget best = null;
         double bestMillis = Double.MAX_VALUE;
         for (GatewayTarget target : eligible) {
-            int readTokens = readTokens(target, work, keeper);
+            int readTokens = prefillTokens(target, work, keeper);
             double firstMillis = expectedMillis(target, service, work, readTokens, nowMillis);
             int readAgainTokens = target == keeper ? 0 : Math.max(0, sharedTokens - target.cachedTokens(shared));
-            double millis = firstMillis * (1 + TIE * random.nextDouble())
+            double millis = firstMillis * (1 + TIE_FRACTION * random.nextDouble())
                     + overrunMillis(paces, target, work, firstMillis)
                     + paces.delayCostMillis(target, readTokens)
-                    + paces.apartCostMillis(target, readTokens)
+                    + paces.reservedCostMillis(target, readTokens)
                     + readAgainMillisPerToken * readAgainTokens;
             if (millis < bestMillis) {
                 best = target;
@@ -123,18 +123,18 @@
         if (best == null) {
             return Option.none();
         }
-        int readTokens = readTokens(best, work, keeper);
+        int readTokens = prefillTokens(best, work, keeper);
         double firstMillis = expectedMillis(best, service, work, readTokens, nowMillis);
         Outlook outlook = new Outlook(
                 "",
-                waitMillis(best, service, work, nowMillis),
+                queueWaitMillis(best, service, work, nowMillis),
                 firstMillis,
-                isFree(best, work)
+                hasSpareCapacity(best, work)
                         ? 0
                         : paces.delayCostMillis(best, chargedTokens(service, work.urgency(), readTokens)),
                 overrunMillis(paces, best, work, firstMillis));
         return Option.some(
-                new Choice(best, outlook, readTokens, eligible.size(), source(best, keeper, shared, sharedTokens)));
+                new Choice(best, outlook, readTokens, eligible.size(), transferSource(best, keeper, shared, sharedTokens)));
     }
 
     /** Expects the time to a target's first event or answer. */
@@ -148,11 +148,11 @@
         double tokens = target.all().waiting().ahead(work.urgency()) + (double) readTokens;
         return roomMillis(target, service, work)
                 + model.firstEventMillis(tokens, work.urgency(), nowMillis)
-                + PER_RUNNING_MILLIS * Math.min(requests, target.slots());
+                + MILLIS_PER_RUNNING_REQUEST * Math.min(requests, target.slots());
     }
 
     /** Whether nothing waits at a target and most of its places are free: a refusal would help nobody there. */
-    private static boolean isFree(GatewayTarget target, Work work) {
+    private static boolean hasSpareCapacity(GatewayTarget target, Work work) {
         return target.all().waiting().ahead(work.urgency()) <= 0
                 && 2 * target.all().requests() < target.slots();
     }
@@ -161,7 +161,7 @@
      * The tokens of a prompt that a target would have to read. The one that keeps its shared parts has read them for any
      * host of the region; this host alone has sent it only a few of them.
      */
-    private static int readTokens(GatewayTarget target, Work work, GatewayTarget keeper) {
+    private static int prefillTokens(GatewayTarget target, Work work, GatewayTarget keeper) {
         int uncachedTokens = target.uncachedTokens(work);
         return target == keeper
                 ? Math.min(uncachedTokens, Math.max(0, work.promptTokens() - work.sharedTokens()))
@@ -179,11 +179,11 @@
      */
     public Option<Choice> choose(Demand demand, RegionView region, long nowMillis) {
         Option<Choice> best = choose(demand, demand.work(), region, nowMillis);
-        if (!demand.service().isModel() || !best.exists(choice -> isRefused(choice, demand))) {
+        if (!demand.service().isModel() || !best.exists(choice -> isRejected(choice, demand))) {
             return best;
         }
         return choose(demand, demand.work().within(0), region, nowMillis)
-                .filter(choice -> !isRefused(choice, demand))
+                .filter(choice -> !isRejected(choice, demand))
                 .orElse(best);
     }
 
@@ -191,7 +191,7 @@
         return choose(demand.service(), work, demand.tried(), region, nowMillis);
     }
 
-    private static boolean isRefused(Choice choice, Demand demand) {
+    private static boolean isRejected(Choice choice, Demand demand) {
         return choice.outlook()
                 .shouldRefuse(demand.route().objectiveMillis(), demand.work().urgency());
     }
@@ -205,8 +205,8 @@
      * @return how they get on
      */
     public RegionStreams streams(ServiceRule service, RegionView region, long nowMillis) {
-        EnginePaces paces = paces(eligible(service, Set.of(), region, nowMillis), service, nowMillis);
-        return new RegionStreams(paces.bestPaceMillis(), paces.delayCostMillisPerToken());
+        EngineStreamCosts paces = streamCosts(eligible(service, Set.of(), region, nowMillis), service, nowMillis);
+        return new RegionStreams(paces.bestInterTokenMillis(), paces.delayCostMillisPerToken());
     }
 
     /**
@@ -219,20 +219,20 @@
      * @return tokens
      */
     double chargedTokens(ServiceRule service, Urgency urgency, int readTokens) {
-        return DELAY_COST_PART * Math.min(readTokens, model(service.name()).usualTokens(urgency));
+        return DELAY_COST_FRACTION * Math.min(readTokens, model(service.name()).usualTokens(urgency));
     }
 
-    private EnginePaces paces(List<GatewayTarget> eligible, ServiceRule service, long nowMillis) {
+    private EngineStreamCosts streamCosts(List<GatewayTarget> eligible, ServiceRule service, long nowMillis) {
         return mechanisms.uses(Mechanism.SPARE_STREAMS)
-                ? EnginePaces.of(eligible, service, model(service.name()).readMillisPerToken(nowMillis), nowMillis)
-                : EnginePaces.of(eligible, service, 0, nowMillis);
+                ? EngineStreamCosts.of(eligible, service, model(service.name()).readMillisPerToken(nowMillis), nowMillis)
+                : EngineStreamCosts.of(eligible, service, 0, nowMillis);
     }
 
     /**
      * How much longer a stream would take than it may. An engine that reads many prompts makes the streams beside them
      * slow: long ones end at their time without their last events, while another engine would have ended them.
      */
-    private double overrunMillis(EnginePaces paces, GatewayTarget target, Work work, double firstMillis) {
+    private double overrunMillis(EngineStreamCosts paces, GatewayTarget target, Work work, double firstMillis) {
         return mechanisms.uses(Mechanism.END_IN_TIME) ? paces.overrunMillis(target, work, firstMillis) : 0;
     }
 
@@ -257,14 +257,14 @@
      * The target that keeps a prompt's shared parts for all hosts of the region, by their hash. Without it, each host
      * would have its own target read them, and prompts would be read again that another target holds.
      */
-    private static GatewayTarget keeper(List<GatewayTarget> eligible, List<PromptPart> shared) {
+    private static GatewayTarget affinityTarget(List<GatewayTarget> eligible, List<PromptPart> shared) {
         if (shared.isEmpty()) {
             return null;
         }
         long partHash = Rendezvous.hash(shared.get(shared.size() - 1).id());
         GatewayTarget keeper = null;
         for (GatewayTarget target : eligible) {
-            if (keeper == null || target.placeFor(partHash) > keeper.placeFor(partHash)) {
+            if (keeper == null || target.affinityScore(partHash) > keeper.affinityScore(partHash)) {
                 keeper = target;
             }
         }
@@ -276,13 +276,13 @@
      * part takes an engine far less time than reading it. On eight days with trouble a fifth to a quarter fewer tokens of
      * shared parts were read again with it (1.9 instead of 2.5 million a day), and 2 to 5 % fewer tokens in all.
      */
-    private Option<GatewayTarget> source(
+    private Option<GatewayTarget> transferSource(
             GatewayTarget chosen, GatewayTarget keeper, List<PromptPart> shared, int sharedTokens) {
         boolean lacksParts = keeper != null && keeper != chosen && chosen.cachedTokens(shared) < sharedTokens;
         return lacksParts && mechanisms.uses(Mechanism.COPY_PARTS) ? Option.some(keeper) : Option.none();
     }
 
-    private double waitMillis(GatewayTarget target, ServiceRule service, Work work, long nowMillis) {
+    private double queueWaitMillis(GatewayTarget target, ServiceRule service, Work work, long nowMillis) {
         if (!service.isModel()) {
             return Math.max(
                     0,
@@ -310,7 +310,7 @@
                 .roomMillis(
                         target.all().requests() + 1 - target.slots(),
                         target.slots(),
-                        target.missingMemoryTokens(work, service.memoryTokens()),
+                        target.kvCacheShortfallTokens(work, service.memoryTokens()),
                         target.all().memoryTokens());
     }
 
@@ -329,13 +329,13 @@
         if (!target.entry().service().equals(service.name()) || excluded.contains(target.runText())) {
             return false;
         }
-        if (!pool.mayUse(target, nowMillis)) {
+        if (!pool.isUsable(target, nowMillis)) {
             return false;
         }
-        if (service.maxConnections() > 0 && target.all().requests() >= CONNECTION_SHARE * service.maxConnections()) {
+        if (service.maxConnections() > 0 && target.all().requests() >= CONNECTION_FRACTION * service.maxConnections()) {
             return false;
         }
-        return !target.isCold(nowMillis) || mayWarm(target, service, region, nowMillis);
+        return !target.isCold(nowMillis) || mayWarmUp(target, service, region, nowMillis);
     }
 
     /**
@@ -343,12 +343,12 @@
      * by itself, and it would crash again; one would see it restart in a loop. A host that isn't sure to know all others
      * may wrongly take itself for the owner, so it sends nothing there: a warm target, or another region, has to do.
      */
-    private boolean mayWarm(GatewayTarget target, ServiceRule service, RegionView region, long nowMillis) {
+    private boolean mayWarmUp(GatewayTarget target, ServiceRule service, RegionView region, long nowMillis) {
         if (!region.certain()
                 || !Rendezvous.rank(region.hosts(), target.id()).get(0).equals(self)) {
             return false;
         }
         int mostPerSecond = Math.max(1, (int) Math.floor(service.coldPerSecond()));
-        return target.coldGateOpen(mostPerSecond, nowMillis);
+        return target.hasColdCapacity(mostPerSecond, nowMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
@@ -8,70 +8,70 @@
  */
 final class TargetHealth {
     /** Connections refused or silent in a row: such a target runs nothing, and each costs its caller a time-out. */
-    static final int UNREACHABLE_IN_A_ROW = 1;
+    static final int MAX_CONSECUTIVE_UNREACHABLE = 1;
 
     /** Failed answers in a row. Plain services fail one request in seven by themselves; four in a row are rare then. */
-    static final int FAILURES_IN_A_ROW = 4;
+    static final int MAX_CONSECUTIVE_FAILURES = 4;
 
     /** A crashed target is back after some seconds under another identifier; a second finds a short cut's end soon. */
-    static final long FIRST_OUT_MILLIS = 1_000;
+    static final long BASE_EJECTION_MILLIS = 1_000;
 
     /** A lasting fault costs one trial in so long. */
-    static final long LONGEST_OUT_MILLIS = 4_000;
+    static final long MAX_EJECTION_MILLIS = 4_000;
 
-    private static final int SUCCESSES_TO_RETURN = 2;
+    private static final int SUCCESSES_TO_RESTORE = 2;
 
-    private int unreachable;
-    private int failures;
-    private int timesOut;
+    private int recordUnreachable;
+    private int consecutiveFailures;
+    private int ejections;
     private int successes;
-    private long outUntilMillis;
-    private boolean outAsUnreachable;
+    private long ejectedUntilMillis;
+    private boolean ejectedAsUnreachable;
 
-    boolean allows(int own, long nowMillis) {
-        return nowMillis >= outUntilMillis && (timesOut == 0 || own == 0);
+    boolean isHealthy(int own, long nowMillis) {
+        return nowMillis >= ejectedUntilMillis && (ejections == 0 || own == 0);
     }
 
     /** Whether it may be asked when too few others are left: it answers, though with failures. */
-    boolean answers(long nowMillis) {
-        return nowMillis >= outUntilMillis || !outAsUnreachable;
+    boolean isReachable(long nowMillis) {
+        return nowMillis >= ejectedUntilMillis || !ejectedAsUnreachable;
     }
 
-    boolean isOut(long nowMillis) {
-        return nowMillis < outUntilMillis;
+    boolean isEjected(long nowMillis) {
+        return nowMillis < ejectedUntilMillis;
     }
 
-    void succeeded() {
-        failures = 0;
-        unreachable = 0;
-        if (timesOut > 0 && ++successes >= SUCCESSES_TO_RETURN) {
-            timesOut = 0;
+    void recordSuccess() {
+        consecutiveFailures = 0;
+        recordUnreachable = 0;
+        if (ejections > 0 && ++successes >= SUCCESSES_TO_RESTORE) {
+            ejections = 0;
         }
     }
 
-    void unreachable(long nowMillis) {
-        unreachable++;
-        if (unreachable >= UNREACHABLE_IN_A_ROW || timesOut > 0) {
-            leaveOut(true, nowMillis);
+    void recordUnreachable(long nowMillis) {
+        recordUnreachable++;
+        if (recordUnreachable >= MAX_CONSECUTIVE_UNREACHABLE || ejections > 0) {
+            eject(true, nowMillis);
         }
     }
 
-    void failed(long nowMillis) {
-        failures++;
-        if (failures >= FAILURES_IN_A_ROW || timesOut > 0) {
-            leaveOut(false, nowMillis);
+    void recordFailure(long nowMillis) {
+        consecutiveFailures++;
+        if (consecutiveFailures >= MAX_CONSECUTIVE_FAILURES || ejections > 0) {
+            eject(false, nowMillis);
         }
     }
 
-    private void leaveOut(boolean asUnreachable, long nowMillis) {
-        if (isOut(nowMillis)) {
+    private void eject(boolean asUnreachable, long nowMillis) {
+        if (isEjected(nowMillis)) {
             return;
         }
-        outUntilMillis = nowMillis + Math.min(LONGEST_OUT_MILLIS, FIRST_OUT_MILLIS << Math.min(timesOut, 10));
-        outAsUnreachable = asUnreachable;
-        timesOut++;
+        ejectedUntilMillis = nowMillis + Math.min(MAX_EJECTION_MILLIS, BASE_EJECTION_MILLIS << Math.min(ejections, 10));
+        ejectedAsUnreachable = asUnreachable;
+        ejections++;
         successes = 0;
-        failures = 0;
-        unreachable = 0;
+        consecutiveFailures = 0;
+        recordUnreachable = 0;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
@@ -20,22 +20,22 @@
  */
 public final class TargetPool {
     /** Entries that lapsed while the store was out are back about two seconds after it; a margin is added. */
-    static final long RETURN_MILLIS = 2_300;
+    static final long REMOVAL_GRACE_MILLIS = 2_300;
 
     /** How long a target that left is remembered, longer than any old entry of it can turn up. */
-    private static final long LEFT_MILLIS = 120_000;
+    private static final long DEPARTED_RETENTION_MILLIS = 120_000;
 
     /** How long targets of a data centre count as cold after its evacuation if their entries don't say more. */
     private static final long COLD_AFTER_EVACUATION_MILLIS = 1_500;
 
     private final Set<String> dataCentres;
     private final Map<String, GatewayTarget> targets = new LinkedHashMap<>();
-    private final Map<String, Left> left = new HashMap<>();
+    private final Map<String, Departed> departed = new HashMap<>();
     private final Set<String> evacuated = new HashSet<>();
-    private long lenientUntilMillis;
+    private long removalGraceUntilMillis;
 
     /** Where targets tell their runs, all do: an entry that tells none is not a target's own, and isn't used. */
-    private boolean runsAreTold;
+    private boolean incarnationsReported;
 
     private TargetPool(Set<String> dataCentres) {
         this.dataCentres = Set.copyOf(dataCentres);
@@ -78,7 +78,7 @@
      *     names no run, so that its word counts only where targets tell none
      */
     public Option<GatewayTarget> findRun(String text) {
-        return find(text).orElse(() -> find(TargetRun.idIn(text))).filter(target -> target.runText()
+        return find(text).orElse(() -> find(TargetRun.idFromText(text))).filter(target -> target.runText()
                 .equals(text));
     }
 
@@ -90,7 +90,7 @@
      * @return what this changed
      */
     public EntryChange entered(TargetEntry entry, long nowMillis) {
-        runsAreTold |= entry.run().bornMillis() > 0;
+        incarnationsReported |= entry.run().bornMillis() > 0;
         GatewayTarget known = targets.get(entry.id());
         if (known != null && entry.run().isBefore(known.run())) {
             return EntryChange.NONE;
@@ -102,11 +102,11 @@
             // Whatever was believed of the earlier run is wrong of this one: what it keeps, its health, that it leaves.
             // Believed on, it would be passed over for as long as it lives, or flooded while it is cold.
             targets.remove(entry.id());
-            known.end();
-            left.put(entry.id(), new Left(known.run(), nowMillis));
+            known.markTerminated();
+            departed.put(entry.id(), new Departed(known.run(), nowMillis));
         }
-        Left before = left.get(entry.id());
-        boolean isNews = before == null || before.run().isBefore(entry.run());
+        Departed before = departed.get(entry.id());
+        boolean isNews = before == null || before.incarnation().isBefore(entry.run());
         if (isNews && dataCentres.contains(entry.dataCentre())) {
             GatewayTarget begun = new GatewayTarget(entry, nowMillis);
             targets.put(entry.id(), begun);
@@ -131,7 +131,7 @@
      * @param nowMillis the time
      */
     public void storeReturned(long nowMillis) {
-        lenientUntilMillis = nowMillis + RETURN_MILLIS;
+        removalGraceUntilMillis = nowMillis + REMOVAL_GRACE_MILLIS;
     }
 
     /**
@@ -141,7 +141,7 @@
      * @return milliseconds, zero if removals count at once
      */
     public long lenientMillis(long nowMillis) {
-        return Math.max(0, lenientUntilMillis - nowMillis);
+        return Math.max(0, removalGraceUntilMillis - nowMillis);
     }
 
     /**
@@ -151,7 +151,7 @@
      * @param nowMillis the time
      */
     public void beLenient(long millis, long nowMillis) {
-        lenientUntilMillis = Math.max(lenientUntilMillis, nowMillis + millis);
+        removalGraceUntilMillis = Math.max(removalGraceUntilMillis, nowMillis + millis);
     }
 
     /**
@@ -165,10 +165,10 @@
         if (target == null) {
             return;
         }
-        if (nowMillis < lenientUntilMillis) {
+        if (nowMillis < removalGraceUntilMillis) {
             // The entry may have lapsed while the store was out, and the target lives: dropping it now would leave the
             // region with few targets or none for seconds, which one would see as refusals right after an outage.
-            target.missing(nowMillis);
+            target.markMissing(nowMillis);
         } else {
             drop(id, nowMillis);
         }
@@ -182,7 +182,7 @@
      */
     public List<String> tick(long nowMillis) {
         List<String> gone = new ArrayList<>();
-        if (nowMillis >= lenientUntilMillis) {
+        if (nowMillis >= removalGraceUntilMillis) {
             for (GatewayTarget target : targets.values()) {
                 if (target.isMissingFor(0, nowMillis)) {
                     gone.add(target.id());
@@ -190,7 +190,7 @@
             }
         }
         gone.forEach(id -> drop(id, nowMillis));
-        left.values().removeIf(each -> nowMillis - each.atMillis() > LEFT_MILLIS);
+        departed.values().removeIf(each -> nowMillis - each.departedAtMillis() > DEPARTED_RETENTION_MILLIS);
         return gone;
     }
 
@@ -209,7 +209,7 @@
             // an evacuation would crash them.
             targets.values().stream()
                     .filter(target -> target.entry().dataCentre().equals(dataCentre))
-                    .forEach(target -> target.coldFor(COLD_AFTER_EVACUATION_MILLIS, nowMillis));
+                    .forEach(target -> target.extendColdPeriod(COLD_AFTER_EVACUATION_MILLIS, nowMillis));
         }
     }
 
@@ -222,20 +222,20 @@
         return evacuated;
     }
 
-    boolean mayUse(GatewayTarget target, long nowMillis) {
+    boolean isUsable(GatewayTarget target, long nowMillis) {
         return !evacuated.contains(target.entry().dataCentre())
-                && target.mayTakeMore(nowMillis)
-                && !(runsAreTold && target.run().bornMillis() == 0);
+                && target.mayAccept(nowMillis)
+                && !(incarnationsReported && target.run().bornMillis() == 0);
     }
 
     private void drop(String id, long nowMillis) {
         GatewayTarget target = targets.remove(id);
         if (target != null) {
             target.leave();
-            left.put(id, new Left(target.run(), nowMillis));
+            departed.put(id, new Departed(target.run(), nowMillis));
         }
     }
 
     /** The last run of a target that left, and when that was noticed. */
-    private record Left(TargetRun run, long atMillis) {}
+    private record Departed(TargetRun incarnation, long departedAtMillis) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetRun.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetRun.java
@@ -41,7 +41,7 @@
     }
 
     /** The identifier of the target in a text that ends with the time of a start. */
-    static String idIn(String text) {
+    static String idFromText(String text) {
         return text.substring(0, Math.max(0, text.lastIndexOf(SEPARATOR)));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
@@ -12,30 +12,30 @@
  */
 public final class TargetStreams {
     /** A pace is believed so long; an engine's load changes within seconds. */
-    private static final long PACE_MILLIS = 3_000;
+    private static final long STATS_VALIDITY_MILLIS = 3_000;
 
     /** Some tens of streams bring that many events in a fraction of a second. */
     private static final double SMOOTHING = 0.05;
 
     private final Set<SentRequest> running = new LinkedHashSet<>();
-    private final Map<String, StreamPace> byOtherHosts = new HashMap<>();
-    private double paceMillis;
-    private long pacedAtMillis = Long.MIN_VALUE / 2;
+    private final Map<String, StreamPace> statsByHost = new HashMap<>();
+    private double interTokenMillis;
+    private long intervalAtMillis = Long.MIN_VALUE / 2;
 
     /** The sum of what other hosts told, kept rather than worked out: each choice asks for it of each target. */
-    private StreamPace others = StreamPace.NONE;
+    private StreamPace otherHostsStats = StreamPace.NONE;
 
-    void begun(SentRequest stream) {
+    void add(SentRequest stream) {
         running.add(stream);
     }
 
-    void ended(SentRequest stream) {
+    void remove(SentRequest stream) {
         running.remove(stream);
     }
 
-    void eventAfter(double millis, long nowMillis) {
-        paceMillis = isPaced(nowMillis) ? paceMillis + SMOOTHING * (millis - paceMillis) : millis;
-        pacedAtMillis = nowMillis;
+    void recordEventInterval(double millis, long nowMillis) {
+        interTokenMillis = hasRecentInterval(nowMillis) ? interTokenMillis + SMOOTHING * (millis - interTokenMillis) : millis;
+        intervalAtMillis = nowMillis;
     }
 
     /**
@@ -45,15 +45,15 @@
      * @return how they get on
      */
     public StreamPace own(long nowMillis) {
-        if (!isPaced(nowMillis)) {
+        if (!hasRecentInterval(nowMillis)) {
             return StreamPace.NONE;
         }
         int streams = Math.max(1, running.size());
-        StreamPace seen = new StreamPace(streams, streams * paceMillis, 0);
-        double allMillis = others.plus(seen).millis();
+        StreamPace seen = new StreamPace(streams, streams * interTokenMillis, 0);
+        double allMillis = otherHostsStats.plus(seen).millis();
         int behind = 0;
         for (SentRequest stream : running) {
-            if (stream.isBehind(allMillis, nowMillis)) {
+            if (stream.isLagging(allMillis, nowMillis)) {
                 behind++;
             }
         }
@@ -67,7 +67,7 @@
      * @return how the target's streams get on
      */
     public StreamPace all(long nowMillis) {
-        return others.plus(own(nowMillis));
+        return otherHostsStats.plus(own(nowMillis));
     }
 
     /**
@@ -77,18 +77,18 @@
      * @param pace how they get on
      */
     public void toldByOther(String host, StreamPace pace) {
-        StreamPace before = pace.isKnown() ? byOtherHosts.put(host, pace) : byOtherHosts.remove(host);
+        StreamPace before = pace.isKnown() ? statsByHost.put(host, pace) : statsByHost.remove(host);
         if (before == null && !pace.isKnown()) {
             return;
         }
         StreamPace sum = StreamPace.NONE;
-        for (StreamPace each : byOtherHosts.values()) {
+        for (StreamPace each : statsByHost.values()) {
             sum = sum.plus(each);
         }
-        others = sum;
+        otherHostsStats = sum;
     }
 
-    private boolean isPaced(long nowMillis) {
-        return nowMillis - pacedAtMillis < PACE_MILLIS;
+    private boolean hasRecentInterval(long nowMillis) {
+        return nowMillis - intervalAtMillis < STATS_VALIDITY_MILLIS;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkShareTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkShareTest.java
@@ -39,7 +39,7 @@
             for (long[] each : moved) {
                 if (each[0] >= first[0]) {
                     bytes += each[1];
-                    double spanMillis = each[0] - first[0] + LinkShare.AHEAD_MILLIS;
+                    double spanMillis = each[0] - first[0] + LinkShare.BURST_MILLIS;
                     assertTrue(bytes <= LINK_BYTES_PER_MILLI * share * spanMillis + PART_BYTES, "bytes: " + bytes);
                 }
             }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RepeatAllowanceTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RepeatAllowanceTest.java
@@ -40,8 +40,8 @@
             allowances[host] = RepeatAllowance.of(RATIO, SLACK, MOST_HOSTS, WINDOW_MILLIS);
         }
         // A repeat of this window was granted for first sends of the window that ended with it: two windows hold both.
-        SlidingCount firsts = new SlidingCount(2 * WINDOW_MILLIS);
-        SlidingCount repeats = new SlidingCount(WINDOW_MILLIS);
+        SlidingWindowCounter firsts = new SlidingWindowCounter(2 * WINDOW_MILLIS);
+        SlidingWindowCounter repeats = new SlidingWindowCounter(WINDOW_MILLIS);
         long now = 0;
         for (int step : firstsPerStep) {
             now += 250;
@@ -100,8 +100,8 @@
         RepeatAllowance[] hosts = {
             RepeatAllowance.of(ratio, slack, 2, windowMillis), RepeatAllowance.of(ratio, slack, 2, windowMillis)
         };
-        SlidingCount firsts = new SlidingCount(2 * windowMillis);
-        SlidingCount repeats = new SlidingCount(windowMillis);
+        SlidingWindowCounter firsts = new SlidingWindowCounter(2 * windowMillis);
+        SlidingWindowCounter repeats = new SlidingWindowCounter(windowMillis);
         long now = 0;
         for (int left = order, i = 0; i < moves; left /= kinds, i++) {
             int move = left % kinds;
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ReturnQueueTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ReturnQueueTest.java
@@ -31,14 +31,14 @@
         }
 
         for (int i = 0; i < told.size(); i++) {
-            assertEquals(ReturnQueue.LEAST_MILLIS + i * (long) COST_MILLIS, told.get(i));
+            assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS + i * (long) COST_MILLIS, told.get(i));
         }
     }
 
     @Test
     void shouldNeverTellATimeThatIsOfNoUse() {
         for (int i = 0; i < 1_000; i++) {
-            assertTrue(refuse(Urgency.FIRST, i) <= ReturnQueue.USEFUL_PART * REMAINING_MILLIS);
+            assertTrue(refuse(Urgency.FIRST, i) <= ReturnQueue.MAX_REMAINING_FRACTION * REMAINING_MILLIS);
         }
     }
 
@@ -48,7 +48,7 @@
             refuse(Urgency.FIRST, 0);
         }
 
-        assertEquals(ReturnQueue.LEAST_MILLIS, refuse(Urgency.FIRST, REMAINING_MILLIS));
+        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, refuse(Urgency.FIRST, REMAINING_MILLIS));
     }
 
     @Test
@@ -56,6 +56,6 @@
         refuse(Urgency.FIRST, 0);
         refuse(Urgency.FIRST, 0);
 
-        assertEquals(ReturnQueue.LEAST_MILLIS, refuse(Urgency.LAST, 0));
+        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, refuse(Urgency.LAST, 0));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StopInTurnSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StopInTurnSearchTest.java
@@ -206,7 +206,7 @@
         private boolean couldServe(Host host, long now) {
             boolean stopping = host.stopAskedAtMillis >= 0;
             long left = plan.cutMillis() - host.stoppingMillis(now);
-            return host.running && (stopping ? left > OtherHosts.LAST_LEAST_MILLIS : host.takesCallers(now));
+            return host.running && (stopping ? left > OtherHosts.MIN_REMAINING_MILLIS : host.takesCallers(now));
         }
 
         /** A host alone in its region is back soonest if it ends soon. */
@@ -268,7 +268,7 @@
 
         /** Whether the other hosts could know of one that took work within the time for which a region is waited for. */
         private boolean wasThereLately(int region, long now) {
-            long sinceMillis = now - CallerDirectory.AWAY_MILLIS + ASK_MILLIS;
+            long sinceMillis = now - CallerDirectory.ABSENCE_TIMEOUT_MILLIS + ASK_MILLIS;
             for (long at = now - delayMillis; at > sinceMillis; at -= STEP_MILLIS) {
                 for (Host host : hosts) {
                     if (host.region == region && host.workMillisAt(at) > 0) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StopPlanTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StopPlanTest.java
@@ -9,14 +9,14 @@
 
 class StopPlanTest {
     private static final StopPlan PLAN = StopPlan.within(8_000);
-    private static final long LATE_MILLIS = StopPlan.TAKE_ALL_MILLIS + 1_000;
+    private static final long LATE_MILLIS = StopPlan.ACCEPT_ALL_MILLIS + 1_000;
 
     @Test
     void shouldEndAsSoonAsItsOwnRequestsWhenAnotherHostTakesWork() {
         assertEquals(0, PLAN.workMillis(0, OtherHosts.TAKE));
-        assertTrue(PLAN.mayEnd(StopPlan.SERVE_LEAST_MILLIS, OtherHosts.TAKE, false));
-        assertFalse(PLAN.mayEnd(StopPlan.SERVE_LEAST_MILLIS, OtherHosts.TAKE, true));
-        assertTrue(PLAN.mayEnd(StopPlan.TAKE_ALL_MILLIS, OtherHosts.TAKE, true));
+        assertTrue(PLAN.mayEnd(StopPlan.MIN_SERVE_MILLIS, OtherHosts.TAKE, false));
+        assertFalse(PLAN.mayEnd(StopPlan.MIN_SERVE_MILLIS, OtherHosts.TAKE, true));
+        assertTrue(PLAN.mayEnd(StopPlan.ACCEPT_ALL_MILLIS, OtherHosts.TAKE, true));
     }
 
     @Test
@@ -28,7 +28,7 @@
 
     @Test
     void shouldEndSoonWhenItsRegionHasNoOtherHost() {
-        assertTrue(PLAN.mayEnd(StopPlan.SERVE_LEAST_MILLIS, OtherHosts.NONE, false));
+        assertTrue(PLAN.mayEnd(StopPlan.MIN_SERVE_MILLIS, OtherHosts.NONE, false));
     }
 
     /**
@@ -63,11 +63,11 @@
     void shouldForgetLongTimesWhenTheyAreOld() {
         LongestTimes times = new LongestTimes();
         times.took("draft", 4_000, 0);
-        times.took("draft", 1_000, LongestTimes.SPAN_MILLIS);
+        times.took("draft", 1_000, LongestTimes.WINDOW_MILLIS);
 
-        assertEquals(Option.some(4_000L), times.longestMillis("draft", LongestTimes.SPAN_MILLIS + 1));
-        assertEquals(Option.some(1_000L), times.longestMillis("draft", 2 * LongestTimes.SPAN_MILLIS));
-        assertEquals(Option.none(), times.longestMillis("draft", 9 * LongestTimes.SPAN_MILLIS));
+        assertEquals(Option.some(4_000L), times.longestMillis("draft", LongestTimes.WINDOW_MILLIS + 1));
+        assertEquals(Option.some(1_000L), times.longestMillis("draft", 2 * LongestTimes.WINDOW_MILLIS));
+        assertEquals(Option.none(), times.longestMillis("draft", 9 * LongestTimes.WINDOW_MILLIS));
         assertEquals(Option.none(), times.longestMillis("query", 0));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StreamPricesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StreamPricesTest.java
@@ -84,7 +84,7 @@
         }
         long hash = Rendezvous.hash(Samples.MODEL);
         GatewayTarget first = pool.all().stream()
-                .min(Comparator.comparingLong(each -> each.placeFor(hash)))
+                .min(Comparator.comparingLong(each -> each.affinityScore(hash)))
                 .get();
         for (GatewayTarget each : pool.all()) {
             if (each != first) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
@@ -213,7 +213,7 @@
     void shouldGoOnAskingWhenAllTargetsFailAlike() {
         for (String id : List.of("a", "b", "c")) {
             pool.entered(Samples.target(id, HALL, false, 0), 0);
-            for (int i = 0; i < TargetHealth.FAILURES_IN_A_ROW; i++) {
+            for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
                 pool.find(id).get().failed(0);
             }
         }
@@ -226,7 +226,7 @@
         for (String id : List.of("a", "b", "c")) {
             pool.entered(Samples.target(id, HALL, false, 0), 0);
         }
-        for (int i = 0; i < TargetHealth.FAILURES_IN_A_ROW; i++) {
+        for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
             pool.find("a").get().failed(0);
         }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
@@ -16,7 +16,7 @@
     private final TargetPool pool = TargetPool.of(Set.of(HALL));
 
     private boolean usable(String id, long nowMillis) {
-        return pool.find(id).exists(target -> pool.mayUse(target, nowMillis));
+        return pool.find(id).exists(target -> pool.isUsable(target, nowMillis));
     }
 
     @Test
@@ -62,8 +62,8 @@
 
         assertTrue(usable("a", 1_500));
         pool.entered(Samples.target("a", HALL, false, 0), 2_900);
-        assertTrue(pool.tick(1_000 + TargetPool.RETURN_MILLIS).isEmpty());
-        assertTrue(usable("a", 1_000 + TargetPool.RETURN_MILLIS));
+        assertTrue(pool.tick(1_000 + TargetPool.REMOVAL_GRACE_MILLIS).isEmpty());
+        assertTrue(usable("a", 1_000 + TargetPool.REMOVAL_GRACE_MILLIS));
     }
 
     @Test
@@ -72,7 +72,7 @@
         pool.storeReturned(1_000);
         pool.removed("a", 1_010);
 
-        assertEquals(List.of("a"), pool.tick(1_000 + TargetPool.RETURN_MILLIS));
+        assertEquals(List.of("a"), pool.tick(1_000 + TargetPool.REMOVAL_GRACE_MILLIS));
         assertTrue(pool.find("a").isEmpty());
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
@@ -111,7 +111,7 @@
                 case UNREADABLE -> pool.unreadable("a");
                 case STORE_RETURNED -> pool.storeReturned(nowMillis);
                 case TIME_PASSES -> {
-                    nowMillis += TargetPool.RETURN_MILLIS;
+                    nowMillis += TargetPool.REMOVAL_GRACE_MILLIS;
                 }
                 default -> pool.findRun("a@" + Word.EARLIER_BORN_MILLIS)
                         .forEach(target -> target.sentByOther("h2", ONE_REQUEST));
@@ -125,7 +125,7 @@
 
         private String believed() {
             return pool.find("a")
-                    .map(target -> target.runText() + (pool.mayUse(target, nowMillis) ? " used" : " unused"))
+                    .map(target -> target.runText() + (pool.isUsable(target, nowMillis) ? " used" : " unused"))
                     .getOrElse("none");
         }
 
