--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
@@ -1,55 +1,58 @@
 package org.rattanplank.core.gateway;
 
 /**
- * Whether a request is taken, or refused at once so that others are served in time.
+ * Decides whether a request is accepted or rejected at once, so that others are served in time.
  *
- * <p>The pattern it answers is an overload that lasts: callers come faster than engines read. Whatever is taken then
- * waits, and a queue in which each waits longer than callers hope for serves as many as a short one, but all of them
- * late. So what is expected to be late is refused while it would also wait; those that are refused may come back.
- * What it buys, as the part earned of what callers were owed, less costs, on whole days with and without it: 0.53 instead
- * of 0.45 on a day on which half of the engines were gone at the peak, 0.64 instead of 0.59 on a day of a milder
- * overload, nothing where engines keep up.
- * Invariant: a request that would not wait and takes nothing from streams that are behind is taken, however long its own
+ * <p>It guards against lasting overload, in which requests arrive faster than engines prefill. Every accepted request
+ * then waits, and a queue in which each waits longer than the latency objective serves as many as a short one, but all
+ * of them late. So a request that is expected to be late is rejected while it would also have to wait; its caller may
+ * retry. Rejecting raises the share of the value of all requests that is earned, less costs, from 0.45 to 0.53 on a day
+ * on which half of the engines fail at the peak and from 0.59 to 0.64 on a day of milder overload, and changes nothing
+ * where engines keep up.
+ *
+ * <p>Invariant: a request that would not wait and takes nothing from lagging streams is accepted, however long its own
  * prompt is. Stateless and thread safe.
  */
 public final class Admission {
     /**
-     * The part of the objective that a request may wait although its own reading takes the rest, or more: a large prompt
-     * that is refused for any wait at all would hardly ever be served.
+     * Fraction of the objective that a request may wait even if its own prefill takes the rest or more: a large prompt
+     * that is rejected for any wait at all would hardly ever be served.
      */
     static final double MIN_ALLOWED_WAIT_FRACTION = 0.25;
 
     private Admission() {}
 
     /**
-     * Tells whether a request should be refused.
+     * Returns whether a request should be rejected because it would be late.
      *
-     * @param waitMillis how long it is expected to wait, at the best place, before its prompt is read
-     * @param expectedMillis when its first event is expected there
-     * @param objectiveMillis the time to its first event that its caller hopes for
-     * @param urgency how urgent it is; the less urgent give way first
-     * @return whether it would be late for others' sake
+     * @param queueWaitMillis the time that it is expected to wait at the best candidate before its prefill
+     * @param expectedMillis the time to its first event that is expected there
+     * @param objectiveMillis the latency objective for its first event
+     * @param urgency its urgency; less urgent requests are rejected first
+     * @return whether it would be late because of other requests
      */
     public static boolean shouldRefuse(
-            double waitMillis, double expectedMillis, long objectiveMillis, Urgency urgency) {
-        double ownMillis = expectedMillis - waitMillis;
-        double allowedMillis = Math.max(urgency.patience() * objectiveMillis - ownMillis, MIN_ALLOWED_WAIT_FRACTION * objectiveMillis);
-        return waitMillis > allowedMillis && waitMillis < Double.POSITIVE_INFINITY;
+            double queueWaitMillis, double expectedMillis, long objectiveMillis, Urgency urgency) {
+        double ownMillis = expectedMillis - queueWaitMillis;
+        double allowedMillis =
+                Math.max(urgency.patience() * objectiveMillis - ownMillis, MIN_ALLOWED_WAIT_FRACTION * objectiveMillis);
+        return queueWaitMillis > allowedMillis && queueWaitMillis < Double.POSITIVE_INFINITY;
     }
 
     /**
-     * Tells whether a request should be refused for what it takes from others. Its own reading is left out, so that large
-     * prompts are refused as often as small ones.
+     * Returns whether a request should be rejected for the time that it takes from lagging streams. Its own prefill is
+     * left out, so that large prompts are rejected as often as small ones.
      *
-     * @param waitMillis how long it is expected to wait, at the best place, before its prompt is read
-     * @param delayCostMillis what its prompt takes there from streams that are behind
-     * @param objectiveMillis the time to its first event that its caller hopes for
-     * @param urgency how urgent it is; the less urgent give way first
-     * @return whether others would be late for its sake
+     * @param queueWaitMillis the time that it is expected to wait at the best candidate before its prefill
+     * @param delayCostMillis the time that its prefill takes from lagging streams there
+     * @param objectiveMillis the latency objective for its first event
+     * @param urgency its urgency; less urgent requests are rejected first
+     * @return whether it would make others late
      */
-    static boolean delaysTooMuch(double waitMillis, double delayCostMillis, long objectiveMillis, Urgency urgency) {
+    static boolean delaysTooMuch(
+            double queueWaitMillis, double delayCostMillis, long objectiveMillis, Urgency urgency) {
         return delayCostMillis > 0
-                && waitMillis + delayCostMillis > urgency.patience() * objectiveMillis
-                && waitMillis < Double.POSITIVE_INFINITY;
+                && queueWaitMillis + delayCostMillis > urgency.patience() * objectiveMillis
+                && queueWaitMillis < Double.POSITIVE_INFINITY;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CachedPromptParts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CachedPromptParts.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * The parts of prompts that a target is believed to keep: those that were sent there last.
+ * Estimates which prompt parts a target has cached: those that were sent there last.
  *
- * <p>Invariant: at most {@link #MAX_PARTS} parts are held, and their tokens are at most a bound; the least recently used
- * go first. Confined to its owner's thread.
+ * <p>Invariant: at most {@link #MAX_PARTS} parts are tracked, and their tokens are at most a bound; the least recently
+ * used are evicted first. Confined to its owner's thread.
  */
 final class CachedPromptParts {
-    /** Bounds memory: some 100 bytes a part and 20 targets a region make 2 MB. */
+    /** Bounds memory: some 100 bytes a part and 20 targets a region take 2 MB. */
     static final int MAX_PARTS = 1_000;
 
     private final LinkedHashMap<String, Integer> tokensById = new LinkedHashMap<>(64, 0.75f, true);
@@ -32,8 +32,8 @@
     void recordSent(List<PromptPart> parts, long maxTokens) {
         for (int i = parts.size() - 1; i >= 0; i--) {
             PromptPart part = parts.get(i);
-            Integer before = tokensById.put(part.id(), part.tokens());
-            tokens += part.tokens() - (before == null ? 0 : before);
+            Integer previous = tokensById.put(part.id(), part.tokens());
+            tokens += part.tokens() - (previous == null ? 0 : previous);
         }
         Iterator<Map.Entry<String, Integer>> eldest = tokensById.entrySet().iterator();
         while (eldest.hasNext() && (tokens > maxTokens || tokensById.size() > MAX_PARTS)) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerDirectory.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerDirectory.java
@@ -11,21 +11,21 @@
 import io.vavr.control.Option;
 
 /**
- * Which entry hosts callers should use.
+ * Determines which entry hosts callers should use.
  *
- * <p>Invariants: a caller is sent out of its region only if no host there takes callers; then to a region that may serve
- * all that it asks for, and to any other only if no host of those was there for a while. A host that is about to end is
- * named only where no other may be. Confined to its owner's thread.
+ * <p>Invariants: a caller is sent out of its region only if no host there accepts callers; then to a region that may
+ * serve all of its requests, and to any other only if those regions have had no host for a while. A host that is about
+ * to shut down is listed only where no other may be. Confined to its owner's thread.
  */
 public final class CallerDirectory {
-    /** Most hosts that a caller is told of. */
+    /** Maximum number of hosts that a caller receives. */
     static final int MAX_ADDRESSES = 64;
 
     /**
-     * How long the last host of the regions that may have a caller's requests may be away before it is sent elsewhere.
-     * Hosts that are stopped in turn are back sooner, and a host that has just started doesn't know the others yet: sent
-     * elsewhere meanwhile, callers would hand bodies to hosts that should not have them. One would notice homed requests
-     * at hosts of other regions while nothing was wrong.
+     * How long the regions that may serve a caller's requests may be without a host before the caller is sent
+     * elsewhere. Hosts that are stopped in turn are back sooner, and a host that has just started doesn't know the
+     * others yet: sent elsewhere meanwhile, callers would send bodies to hosts that must not have them. Symptom:
+     * requests with home regions at hosts of other regions while nothing is wrong.
      */
     static final long ABSENCE_TIMEOUT_MILLIS = 6_000;
 
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Makes the directory of a host that has just started.
+     * Creates the directory of a host that has just started.
      *
      * @param nowMillis the time
      * @return the directory
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Takes note of the regions that have hosts. Called again and again: if only those were noted that a caller asked
-     * for, a region that nobody had asked for of late would count as away at once when its last host is.
+     * Records the regions that have hosts. Called periodically: if only regions that callers request were recorded, a
+     * region that nobody has requested recently would count as absent at once when its last host is.
      *
-     * @param hosts the hosts that take work
+     * @param hosts the hosts that accept work
      * @param nowMillis the time
      */
     public void saw(Collection<GatewayHost> hosts, long nowMillis) {
@@ -60,48 +60,52 @@
     }
 
     /**
-     * Lists the hosts for a caller while none is about to end.
+     * Lists the hosts for a caller while none is about to shut down.
      *
-     * @param hosts the hosts that take callers
-     * @param place where the caller is; none while no configuration tells where its requests may go
+     * @param hosts the hosts that accept callers
+     * @param location the location of the caller; none while no configuration states where its requests may go
      * @param nowMillis the time
-     * @return the addresses; none if it is better for the caller to ask another host, or later
+     * @return the addresses; empty if the caller should ask another host, or later
      */
-    public List<String> list(Collection<GatewayHost> hosts, Option<CallerPlace> place, long nowMillis) {
-        return list(hosts, List.of(), place, nowMillis);
+    public List<String> list(Collection<GatewayHost> hosts, Option<CallerPlace> location, long nowMillis) {
+        return list(hosts, List.of(), location, nowMillis);
     }
 
     /**
      * Lists the hosts for a caller.
      *
-     * @param hosts the hosts that take callers
-     * @param ending the hosts that are about to end, and take work as the last of their regions
-     * @param place where the caller is; none while no configuration tells where its requests may go
+     * @param hosts the hosts that accept callers
+     * @param closing the hosts that are about to shut down and accept work as the last of their regions
+     * @param location the location of the caller; none while no configuration states where its requests may go
      * @param nowMillis the time
-     * @return the addresses; none if it is better for the caller to ask another host, or later
+     * @return the addresses; empty if the caller should ask another host, or later
      */
     public List<String> list(
-            Collection<GatewayHost> hosts, Collection<GatewayHost> ending, Option<CallerPlace> place, long nowMillis) {
+            Collection<GatewayHost> hosts,
+            Collection<GatewayHost> closing,
+            Option<CallerPlace> location,
+            long nowMillis) {
         saw(hosts, nowMillis);
-        saw(ending, nowMillis);
-        if (place.isEmpty()) {
-            // A host that has just started may know other hosts before it knows the configuration. Without the homes in
-            // it, every host would seem right for every caller.
+        saw(closing, nowMillis);
+        if (location.isEmpty()) {
+            // A host that has just started may know other hosts before it knows the configuration. Without its home
+            // regions, every host would seem suitable for every caller.
             return List.of();
         }
-        CallerPlace caller = place.get();
-        List<Predicate<GatewayHost>> right = suitableFor(caller);
-        // A host that is about to end is worth a new connection only to callers whose data must not go elsewhere;
-        // others keep what they have while nobody takes callers.
-        List<Predicate<GatewayHost>> rightThoughEnding = caller.homeRegions().isEmpty() ? List.of() : right;
-        return firstMatch(hosts, right)
-                .orElse(() -> firstMatch(ending, rightThoughEnding))
+        CallerPlace caller = location.get();
+        List<Predicate<GatewayHost>> suitable = suitableFor(caller);
+        // A host that is about to shut down is worth a new connection only to callers whose data must not go elsewhere;
+        // others keep their connections while no host accepts callers.
+        List<Predicate<GatewayHost>> suitableThoughClosing =
+                caller.homeRegions().isEmpty() ? List.of() : suitable;
+        return firstMatch(hosts, suitable)
+                .orElse(() -> firstMatch(closing, suitableThoughClosing))
                 .orElse(() -> werePresentRecently(caller, nowMillis) ? Option.some(List.of()) : Option.none())
                 .orElse(() -> firstMatch(hosts, inRegions(caller.homeRegions())))
                 .getOrElse(() -> addresses(hosts, host -> true));
     }
 
-    /** Whose hosts may have all that a caller asks for, best first. */
+    /** Returns which hosts may serve all requests of a caller, best first. */
     private static List<Predicate<GatewayHost>> suitableFor(CallerPlace caller) {
         List<Predicate<GatewayHost>> choices = new ArrayList<>();
         choices.add(host -> host.place().dataCentre().equals(caller.dataCentre())
@@ -123,10 +127,12 @@
 
     private boolean werePresentRecently(CallerPlace caller, long nowMillis) {
         return Stream.concat(Stream.of(caller.region()), caller.commonHomes().stream())
-                .anyMatch(region -> nowMillis - regionSeenAtMillis.getOrDefault(region, startedAtMillis) < ABSENCE_TIMEOUT_MILLIS);
+                .anyMatch(region ->
+                        nowMillis - regionSeenAtMillis.getOrDefault(region, startedAtMillis) < ABSENCE_TIMEOUT_MILLIS);
     }
 
-    private static Option<List<String>> firstMatch(Collection<GatewayHost> hosts, List<Predicate<GatewayHost>> choices) {
+    private static Option<List<String>> firstMatch(
+            Collection<GatewayHost> hosts, List<Predicate<GatewayHost>> choices) {
         for (Predicate<GatewayHost> choice : choices) {
             List<String> addresses = addresses(hosts, choice);
             if (!addresses.isEmpty()) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerPlace.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerPlace.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * Where a caller is and where its requests may go. Immutable and thread safe.
+ * The location of a caller and the regions that may serve its requests. Immutable and thread safe.
  *
  * @param region its region
  * @param dataCentre its data centre
- * @param homeRegions the regions that may serve part of what it may ask for, best first; empty if all may serve all
- * @param commonHomes those of them that may serve all of it
+ * @param homeRegions the regions that may serve some of its requests, best first; empty if all may serve all
+ * @param commonHomes those of them that may serve all of its requests
  */
 public record CallerPlace(String region, String dataCentre, List<String> homeRegions, List<String> commonHomes) {
     public CallerPlace {
@@ -20,11 +20,11 @@
     }
 
     /**
-     * Makes the place of a caller whose requests all have the same homes.
+     * Creates the location of a caller whose requests all have the same home regions.
      *
      * @param region its region
      * @param dataCentre its data centre
-     * @param homeRegions the regions that may serve what it may ask for, best first; empty if all may serve all
+     * @param homeRegions the regions that may serve its requests, best first; empty if all may serve all
      */
     public CallerPlace(String region, String dataCentre, List<String> homeRegions) {
         this(region, dataCentre, homeRegions, homeRegions);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Choice.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Choice.java
@@ -5,13 +5,13 @@
 import io.vavr.control.Option;
 
 /**
- * A target chosen for a request. Immutable but for the target, which is confined to its owner's thread.
+ * A target chosen for a request. Immutable but for the targets, which are confined to their owner's thread.
  *
  * @param target the target
- * @param outlook what may be expected there
- * @param readTokens the tokens of the prompt that it would have to read
+ * @param outlook the service estimate there
+ * @param readTokens the tokens of the prompt that it would have to prefill
  * @param candidates how many targets could have been chosen
- * @param source the target that keeps shared parts of the prompt which the chosen one lacks, to be copied from there
+ * @param source the target from which the chosen one may transfer the shared prefix that it lacks
  */
 public record Choice(
         GatewayTarget target, Outlook outlook, int readTokens, int candidates, Option<GatewayTarget> source) {
@@ -22,7 +22,7 @@
     }
 
     /**
-     * The time expected to its first event or answer.
+     * Returns the expected time to its first event or answer.
      *
      * @return milliseconds
      */
@@ -31,7 +31,7 @@
     }
 
     /**
-     * The part of that time that is due to other requests.
+     * Returns the part of that time that is due to other requests.
      *
      * @return milliseconds
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Demand.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Demand.java
@@ -4,12 +4,13 @@
 import java.util.Set;
 
 /**
- * What a request needs of the place that serves it. Immutable and thread safe but for its set, which its owner may add to.
+ * A request to be placed, with its route and service. Immutable and thread safe but for its set, which its owner may
+ * add to.
  *
  * @param route its route
  * @param service the service that its route chose for it
- * @param work what it asks of a target
- * @param tried the runs of targets and the regions that must not get it
+ * @param work the work that it brings to a target
+ * @param tried the target incarnations and the regions that must not get it
  */
 public record Demand(RouteRule route, ServiceRule service, Work work, Set<String> tried) {
     public Demand {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
@@ -11,27 +11,28 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * What a choice between engines has to know of the streams that run there: whether a new one would end in time, and what
- * reading its prompt takes from the others.
+ * Estimates, for the choice between engines, whether a new stream would end in time at each of them and how much its
+ * prefill delays the streams that run there.
  *
- * <p>An engine reads a chunk of a waiting prompt in each step, and each step makes one token of every stream. So whatever
- * is read delays all streams there, and an engine that reads all the time makes them several times slower than they could
- * be, although its queue is short.
+ * <p>An engine prefills a chunk of a waiting prompt in each step, and each step generates one token of every stream. So
+ * prefill delays all streams of the engine, and an engine that prefills all the time makes them several times slower
+ * than they could be, even if its queue is short.
  *
- * <p>Invariants: an unknown pace counts as the mean of those known, that of an engine without requests as the least; the
- * engines that are set apart are the same on every host that may use the same ones. Confined to its owner's thread.
+ * <p>Invariants: an unknown inter-token latency counts as the mean of the known ones, that of an engine without
+ * requests as their minimum; the reserved engines are the same on all hosts that may use the same engines. Confined to
+ * its owner's thread.
  */
 final class EngineStreamCosts {
-    /** The part of a stream's time that is planned for; callers' estimates of its length are often too low. */
+    /** Fraction of a stream's time that is planned for, as callers' estimates of its length are often too low. */
     private static final double PLANNED_TIME_FRACTION = 0.6;
 
-    /** The part of the engines that read little, for streams that end in time only there. */
+    /** Fraction of the engines that prefill little, for streams that end in time only there. */
     private static final double RESERVED_FRACTION = 0.25;
 
-    /** How many times the time of its reading counts against a prompt on an engine that is set apart. */
+    /** Factor by which the prefill time of a prompt counts against a reserved engine. */
     private static final double RESERVED_COST_FACTOR = 10;
 
-    /** With so many streams behind at each engine on the mean, engines are set apart altogether. */
+    /** Mean number of lagging streams per engine from which on the cost of reserved engines counts in full. */
     private static final double MAX_LAGGING_PER_ENGINE = 3;
 
     private final ServiceRule service;
@@ -41,40 +42,42 @@
     private final double minInterTokenMillis;
     private final Set<GatewayTarget> reserved;
 
-    private EngineStreamCosts(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
+    private EngineStreamCosts(
+            List<GatewayTarget> engines, ServiceRule service, double prefillMillisPerToken, long nowMillis) {
         this.service = service;
-        this.prefillMillisPerToken = readMillisPerToken;
+        this.prefillMillisPerToken = prefillMillisPerToken;
         StreamPace sum = StreamPace.NONE;
-        double least = Double.MAX_VALUE;
+        double minMillis = Double.MAX_VALUE;
         for (GatewayTarget engine : engines) {
-            StreamPace pace = engine.streams().all(nowMillis);
-            statsByEngine.put(engine, pace);
-            sum = sum.plus(pace);
-            least = pace.isKnown() ? Math.min(least, pace.millis()) : least;
+            StreamPace stats = engine.streams().all(nowMillis);
+            statsByEngine.put(engine, stats);
+            sum = sum.plus(stats);
+            minMillis = stats.isKnown() ? Math.min(minMillis, stats.millis()) : minMillis;
         }
         total = sum;
-        minInterTokenMillis = sum.isKnown() ? least : 0;
+        minInterTokenMillis = sum.isKnown() ? minMillis : 0;
         reserved = total.behind() == 0 ? Set.of() : reserved(engines, service);
     }
 
     /**
-     * Looks at the engines that a request may go to.
+     * Evaluates the engines that a request may be sent to.
      *
      * @param engines the engines
      * @param service their service
-     * @param readMillisPerToken what reading a token takes
+     * @param prefillMillisPerToken the time that an engine takes to prefill a token
      * @param nowMillis the time
-     * @return what is known of their streams
+     * @return the costs of their streams
      */
-    static EngineStreamCosts of(List<GatewayTarget> engines, ServiceRule service, double readMillisPerToken, long nowMillis) {
-        return new EngineStreamCosts(engines, service, readMillisPerToken, nowMillis);
+    static EngineStreamCosts of(
+            List<GatewayTarget> engines, ServiceRule service, double prefillMillisPerToken, long nowMillis) {
+        return new EngineStreamCosts(engines, service, prefillMillisPerToken, nowMillis);
     }
 
-    /** The time between two events of a stream at an engine. */
+    /** Returns the mean time between two events of a stream at an engine. */
     double interTokenMillis(GatewayTarget engine) {
-        StreamPace known = statsByEngine.get(engine);
-        if (known.isKnown()) {
-            return known.millis();
+        StreamPace stats = statsByEngine.get(engine);
+        if (stats.isKnown()) {
+            return stats.millis();
         }
         return isIdle(engine) ? minInterTokenMillis : total.millis();
     }
@@ -83,7 +86,7 @@
         return engine.all().requests() == 0;
     }
 
-    /** The time between two events at the best quarter of the engines, on the mean; zero if none is known. */
+    /** Returns the mean time between two events at the best quarter of the engines; zero if none is known. */
     double bestInterTokenMillis() {
         List<Double> millis = new ArrayList<>();
         statsByEngine.keySet().forEach(engine -> millis.add(interTokenMillis(engine)));
@@ -92,41 +95,44 @@
         return millis.stream().limit(best).mapToDouble(each -> each).average().orElse(0);
     }
 
-    /** The time that reading a token takes from streams that are behind, at an engine on the mean. */
+    /** Returns the time that prefilling a token takes from lagging streams, at a mean engine. */
     double delayCostMillisPerToken() {
         return statsByEngine.isEmpty() ? 0 : prefillMillisPerToken * total.behind() / statsByEngine.size();
     }
 
-    /** How much longer than it may a stream would take at an engine. */
-    double overrunMillis(GatewayTarget engine, Work work, double firstMillis) {
-        return overrunMillis(service, work, firstMillis, interTokenMillis(engine));
+    /** Estimates by how much a stream would exceed its time at an engine. */
+    double overrunMillis(GatewayTarget engine, Work work, double firstEventMillis) {
+        return overrunMillis(service, work, firstEventMillis, interTokenMillis(engine));
     }
 
     /**
-     * How much longer than it may a stream would take.
+     * Estimates by how much a stream would exceed its time.
      *
      * @param service its service
-     * @param work what it asks
-     * @param firstMillis the time to its first event
-     * @param paceMillis the time between two events
+     * @param work the work of the request
+     * @param firstEventMillis the time to its first event
+     * @param interTokenMillis the time between two events
      * @return milliseconds, zero if it would end in time or isn't known to be a stream
      */
-    static double overrunMillis(ServiceRule service, Work work, double firstMillis, double paceMillis) {
+    static double overrunMillis(ServiceRule service, Work work, double firstEventMillis, double interTokenMillis) {
         if (service.eventTokens() <= 0 || work.remainingMillis() <= 0) {
             return 0;
         }
         double events = work.outputTokens() / (double) service.eventTokens();
-        return Math.max(0, firstMillis + events * paceMillis - PLANNED_TIME_FRACTION * work.remainingMillis());
+        return Math.max(
+                0, firstEventMillis + events * interTokenMillis - PLANNED_TIME_FRACTION * work.remainingMillis());
     }
 
-    /** The time that reading so many tokens takes from the streams of an engine that are behind, added up over them. */
+    /**
+     * Returns the time that prefilling so many tokens takes from the lagging streams of an engine, summed over them.
+     */
     double delayCostMillis(GatewayTarget engine, double tokens) {
         return tokens * prefillMillisPerToken * statsByEngine.get(engine).behind();
     }
 
     /**
-     * What keeps prompts away from engines that are set apart for streams that would end too late elsewhere. The more
-     * streams are behind, the more it counts; while none is, all engines are alike.
+     * Returns the cost that keeps prompts away from engines reserved for streams that would end too late elsewhere. It
+     * grows with the number of lagging streams; while there are none, all engines cost the same.
      */
     double reservedCostMillis(GatewayTarget engine, int tokens) {
         if (!reserved.contains(engine) || isIdle(engine)) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
@@ -5,13 +5,13 @@
 import io.vavr.control.Option;
 
 /**
- * What an entry changed of what is believed of a target. Immutable and thread safe.
+ * The result of applying a target's entry. Immutable and thread safe.
  *
- * @param changed the target that is new or newly leaves, or none
- * @param ended the earlier run that is over, or none
+ * @param changed the target that is new or newly leaving, or none
+ * @param ended the earlier incarnation that has terminated, or none
  */
 public record EntryChange(Option<GatewayTarget> changed, Option<GatewayTarget> ended) {
-    /** Nothing worth a word. */
+    /** The entry changed neither. */
     static final EntryChange NONE = new EntryChange(Option.none(), Option.none());
 
     public EntryChange {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ForwardDelay.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ForwardDelay.java
@@ -1,30 +1,31 @@
 package org.rattanplank.core.gateway;
 
 /**
- * How much later than usual a forwarded request arrives.
+ * Computes how much later than usual a forwarded request arrives.
  *
- * <p>A request carries the time that is left when it is sent. On a crowded link, or at a host that is behind with its
- * work, it is read seconds later, and would be run for a caller that has long given up: one would see targets at work on
- * requests after their callers' time. No clock is shared between hosts, so the receiver reads its own: the sender says
- * which of the receiver's states it heard last, and how long ago. Stateless and thread safe.
+ * <p>A request carries the time that remained when it was sent. On a congested link, or at a host whose event loop is
+ * late, it is read seconds later and would be run for a caller that has timed out; symptom: targets process requests
+ * whose callers have left. Hosts share no clock, so the receiver uses its own: the sender states the last state report
+ * that it has received from the receiver, and how long ago. Stateless and thread safe.
  */
 public final class ForwardDelay {
     private ForwardDelay() {}
 
     /**
-     * Works out the delay.
+     * Computes the delay.
      *
      * @param nowMillis the receiver's clock
-     * @param echoedMillis the receiver's clock in the state that the sender heard last; zero if it heard none
-     * @param echoAgeMillis how long before the sending the sender heard it
-     * @param roundTripMillis the usual time there and back
-     * @return milliseconds beyond half of the usual time there and back; never negative
+     * @param echoedMillis the receiver's clock in the last state report that the sender received; zero if it received
+     *     none
+     * @param echoAgeMillis how long before sending the request the sender received that report
+     * @param roundTripMillis the usual network round trip
+     * @return milliseconds beyond half of the usual round trip; never negative
      */
     public static long millis(long nowMillis, long echoedMillis, long echoAgeMillis, double roundTripMillis) {
         if (echoedMillis == 0) {
             return 0;
         }
-        double underWayMillis = (double) nowMillis - echoedMillis - echoAgeMillis;
-        return Math.max(0, Math.round(underWayMillis - roundTripMillis / 2));
+        double transitMillis = (double) nowMillis - echoedMillis - echoAgeMillis;
+        return Math.max(0, Math.round(transitMillis - roundTripMillis / 2));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayConfiguration.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayConfiguration.java
@@ -12,9 +12,9 @@
 import io.vavr.control.Option;
 
 /**
- * Routes and services of one version.
+ * The routes and services of one configuration version.
  *
- * <p>Invariant: among the routes that take a request, the one with the longest prefix is found. Immutable and thread
+ * <p>Invariant: of the routes that match a request, the one with the longest prefix is found. Immutable and thread
  * safe.
  */
 public final class GatewayConfiguration {
@@ -27,24 +27,24 @@
             long version,
             Map<String, List<RouteRule>> routesByHostName,
             Map<String, ServiceRule> services,
-            CallerBounds bounds) {
+            CallerBounds limits) {
         this.version = version;
         this.routesByHostName = routesByHostName;
         this.services = services;
-        this.bounds = bounds;
+        this.bounds = limits;
     }
 
     /**
-     * Makes a configuration.
+     * Creates a configuration.
      *
      * @param version its version
      * @param routes its routes
      * @param services its services
-     * @param bounds what callers may send
+     * @param limits the limits for callers
      * @return the configuration
      */
     public static GatewayConfiguration of(
-            long version, List<RouteRule> routes, List<ServiceRule> services, CallerBounds bounds) {
+            long version, List<RouteRule> routes, List<ServiceRule> services, CallerBounds limits) {
         Map<String, List<RouteRule>> byHostName = new HashMap<>();
         for (RouteRule route : routes) {
             byHostName
@@ -56,14 +56,14 @@
         byHostName.values().forEach(list -> list.sort(longestFirst));
         Map<String, ServiceRule> byName = new HashMap<>();
         services.forEach(service -> byName.put(service.name(), service));
-        return new GatewayConfiguration(version, byHostName, byName, bounds);
+        return new GatewayConfiguration(version, byHostName, byName, limits);
     }
 
     /**
-     * Narrows routes by residency rules, each named after a route or a service.
+     * Restricts routes by residency rules, each named after a route or a service.
      *
      * @param residencies the regions that each rule allows
-     * @return the configuration, which the rules bind as well
+     * @return the configuration with the rules applied
      */
     public GatewayConfiguration within(Map<String, Set<String>> residencies) {
         if (residencies.isEmpty()) {
@@ -88,7 +88,7 @@
     }
 
     /**
-     * The version.
+     * Returns the version.
      *
      * @return a number that rises with each change
      */
@@ -97,9 +97,9 @@
     }
 
     /**
-     * What callers may send.
+     * Returns the limits for callers.
      *
-     * @return the bounds
+     * @return the limits
      */
     public CallerBounds bounds() {
         return bounds;
@@ -118,7 +118,7 @@
     /**
      * Finds the route of a request.
      *
-     * @param authority what the caller addressed, with or without a port
+     * @param authority the authority of the request, with or without a port
      * @param path the path, without its query
      * @return the route with the longest prefix, or none
      */
@@ -132,10 +132,10 @@
     }
 
     /**
-     * The regions that suit the callers of a host name: those that routes with homes allow, the most of them first.
+     * Returns the home regions of the routes of a host name, those of most routes first.
      *
-     * @param authority what the callers address
-     * @return the regions; empty if no route has homes
+     * @param authority the authority of the requests
+     * @return the regions; empty if no route has home regions
      */
     public List<String> homeRegions(String authority) {
         Map<String, Integer> routesByRegion = new TreeMap<>();
@@ -149,9 +149,9 @@
     }
 
     /**
-     * The regions that are homes of every route of a host name that has some.
+     * Returns the regions that are homes of all routes of a host name that have home regions.
      *
-     * @param authority what the callers address
+     * @param authority the authority of the requests
      * @return the regions, in the order of {@link #homeRegions}
      */
     public List<String> commonHomeRegions(String authority) {
@@ -165,9 +165,9 @@
     }
 
     /**
-     * The homes of routes that have some, for logs.
+     * Returns the home regions of the routes that have some, for logs.
      *
-     * @return the homes by the routes' names
+     * @return the home regions by the routes' names
      */
     public Map<String, Set<String>> homes() {
         Map<String, Set<String>> homes = new TreeMap<>();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
@@ -5,13 +5,13 @@
 import org.rattanplank.core.host.Place;
 
 /**
- * An entry host as it enters itself in the store. Immutable and thread safe.
+ * An entry host as registered in the store. Immutable and thread safe.
  *
  * @param name its name
- * @param incarnation the identifier of this run of its process
- * @param place where it stands
- * @param callerAddress where callers reach it, IP:PORT
- * @param peerAddress where other hosts reach it, IP:PORT
+ * @param incarnation the identifier of this incarnation of its process
+ * @param place its location
+ * @param callerAddress the address for callers, IP:PORT
+ * @param peerAddress the address for other hosts, IP:PORT
  */
 public record GatewayHost(String name, long incarnation, Place place, String callerAddress, String peerAddress) {
     public GatewayHost {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
@@ -7,23 +7,23 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * What this host believes of one run of a target of its region.
+ * This host's view of one incarnation of a target of its region.
  *
- * <p>Invariants: a run known to leave never takes work again; a cold one gets no more than its gate lets through. A
- * later run of the same target is another object, so that nothing of the earlier one is believed of it. Confined to its
- * owner's thread.
+ * <p>Invariants: an incarnation known to be leaving never gets requests again; a cold one gets no more requests than
+ * its rate limit allows. A later incarnation of the same target is another object, so that no state of the earlier one
+ * is applied to it. Confined to its owner's thread.
  */
 public final class GatewayTarget {
-    /** A target that reports no slots is taken to work on so many requests at once. */
+    /** Slots assumed for a target that reports none. */
     private static final int DEFAULT_SLOTS = 8;
 
-    /** The part of an engine's memory that may be planned for; the rest is for what estimates miss. */
+    /** Fraction of an engine's KV cache that may be planned for; the rest covers estimation errors. */
     private static final double USABLE_KV_CACHE_FRACTION = 0.9;
 
-    /** The part of an engine's memory that is taken to keep parts of prompts; running requests hold the rest. */
+    /** Fraction of an engine's KV cache that is assumed to hold cached prompt parts; running requests hold the rest. */
     private static final double PREFIX_CACHE_FRACTION = 0.5;
 
-    /** Bytes of any answer so recently show that a target lives, whatever one connection does. */
+    /** Bytes of any answer within this time show that a target is alive, whatever happens on a single connection. */
     private static final long ACTIVITY_TIMEOUT_MILLIS = 1_000;
 
     private static final long SECOND_MILLIS = 1_000;
@@ -46,7 +46,7 @@
     private long backOffUntilMillis;
     private SentWork own = SentWork.NONE;
 
-    /** The sum of all hosts' work, kept rather than worked out: each choice asks for it of each target. */
+    /** The sum of all hosts' work, maintained incrementally as each choice reads it for each target. */
     private SentWork all = SentWork.NONE;
 
     GatewayTarget(TargetEntry entry, long nowMillis) {
@@ -58,25 +58,25 @@
     }
 
     /**
-     * The identifier.
+     * Returns the identifier.
      *
-     * @return the identifier, which a later run of the target may have as well
+     * @return the identifier, which a later incarnation of the target may share
      */
     public String id() {
         return run.id();
     }
 
     /**
-     * The run.
+     * Returns the incarnation.
      *
-     * @return which run of the target this is
+     * @return which incarnation of the target this is
      */
     public TargetRun run() {
         return run;
     }
 
     /**
-     * The run by its text, as logs and other hosts name it.
+     * Returns the text of the incarnation, as in logs and messages between hosts.
      *
      * @return the text
      */
@@ -85,16 +85,16 @@
     }
 
     /**
-     * What the target says of itself.
+     * Returns the newest entry of the target.
      *
-     * @return the newest entry
+     * @return the entry
      */
     public TargetEntry entry() {
         return entry;
     }
 
     /**
-     * What this host has under way there.
+     * Returns the work that this host has in flight there.
      *
      * @return the work
      */
@@ -103,7 +103,7 @@
     }
 
     /**
-     * What is under way there from all hosts, as far as known.
+     * Returns the work that all hosts have in flight there, as far as reported.
      *
      * @return the work
      */
@@ -112,16 +112,16 @@
     }
 
     /**
-     * Whether it takes no more work.
+     * Returns whether it accepts no more requests.
      *
-     * @return whether it is known to leave
+     * @return whether it is known to be leaving
      */
     public boolean isLeaving() {
         return leaving;
     }
 
     /**
-     * The requests that it works on at once.
+     * Returns the number of requests that it processes concurrently.
      *
      * @return its slots
      */
@@ -129,15 +129,15 @@
         return entry.slots() > 0 ? entry.slots() : DEFAULT_SLOTS;
     }
 
-    /** Takes note that it leaves, which is never taken back. */
+    /** Marks it as leaving, which is final. */
     public void leave() {
         leaving = true;
     }
 
     /**
-     * Whether it is over, as a later run of the target has begun.
+     * Returns whether it has terminated, as a later incarnation of the target has started.
      *
-     * @return whether it is
+     * @return whether it has
      */
     public boolean hasEnded() {
         return terminated;
@@ -148,7 +148,7 @@
         terminated = true;
     }
 
-    /** Takes note that its entry can't be read any more: it gets no work until one can be read again. */
+    /** Marks its entry as unreadable: it gets no requests until a readable one arrives. */
     void entryUnreadable() {
         entryUnreadable = true;
     }
@@ -180,17 +180,17 @@
     }
 
     /**
-     * Tells whether it is cold.
+     * Returns whether it is cold.
      *
      * @param nowMillis the time
-     * @return whether it bears only few requests a second now
+     * @return whether it can sustain only a few requests a second now
      */
     public boolean isCold(long nowMillis) {
         return nowMillis < coldUntilMillis;
     }
 
-    boolean hasColdCapacity(int mostPerSecond, long nowMillis) {
-        return coldSends.count(nowMillis) < mostPerSecond;
+    boolean hasColdCapacity(int maxPerSecond, long nowMillis) {
+        return coldSends.count(nowMillis) < maxPerSecond;
     }
 
     boolean mayAccept(long nowMillis) {
@@ -202,58 +202,58 @@
     }
 
     /**
-     * Tells whether nothing has come from it for a while though it was asked.
+     * Returns whether nothing has been received from it for a while though requests are in flight.
      *
      * @param nowMillis the time
-     * @return whether it is silent
+     * @return whether it is unresponsive
      */
     public boolean isSilent(long nowMillis) {
         return nowMillis - lastActivityMillis > ACTIVITY_TIMEOUT_MILLIS;
     }
 
     /**
-     * The tokens of a prompt that it would have to read.
+     * Returns the tokens of a prompt that it would have to prefill.
      *
-     * @param work the request
-     * @return tokens that aren't believed cached
+     * @param work the work of the request
+     * @return the tokens that are not assumed to be cached
      */
     public int uncachedTokens(Work work) {
         return Math.max(0, work.promptTokens() - cachedParts.cachedTokens(work.parts()));
     }
 
-    /** How many tokens of a prompt's shared parts it keeps, as far as believed. */
+    /** Returns how many tokens of a prompt's shared parts are assumed to be cached. */
     int cachedTokens(List<PromptPart> sharedParts) {
         return cachedParts.cachedTokens(sharedParts);
     }
 
-    /** Where it stands in the order of targets for a part of prompts, which is the same on every host. */
-    long affinityScore(long partHash) {
-        return Rendezvous.mix(idHash ^ partHash);
+    /** Returns the rendezvous score of this target for a prefix, which is the same on every host. */
+    long affinityScore(long prefixHash) {
+        return Rendezvous.mix(idHash ^ prefixHash);
     }
 
-    double kvCacheShortfallTokens(Work work, long memoryTokens) {
-        return all().memoryTokens() + work.ownTokens() - USABLE_KV_CACHE_FRACTION * memoryTokens;
+    double kvCacheShortfallTokens(Work work, long kvCacheTokens) {
+        return all().memoryTokens() + work.ownTokens() - USABLE_KV_CACHE_FRACTION * kvCacheTokens;
     }
 
     /**
-     * Takes note of a request that goes there.
+     * Records a request that is sent to it.
      *
-     * @param work the request
-     * @param memoryTokens the tokens that its memory holds, zero if it is no engine
+     * @param work the work of the request
+     * @param kvCacheTokens the tokens that its KV cache holds, zero if it is no engine
      * @param nowMillis the time
-     * @return the work to be given back by {@link #release}
+     * @return the work to be passed to {@link #release}
      */
-    public SentWork reserve(Work work, long memoryTokens, long nowMillis) {
-        return reserve(work, uncachedTokens(work), memoryTokens, nowMillis);
+    public SentWork reserve(Work work, long kvCacheTokens, long nowMillis) {
+        return reserve(work, uncachedTokens(work), kvCacheTokens, nowMillis);
     }
 
-    SentWork reserve(Work work, int readTokens, long memoryTokens, long nowMillis) {
-        SentWork sent = new SentWork(1, WaitingTokens.of(work.urgency(), readTokens), work.ownTokens());
+    SentWork reserve(Work work, int prefillTokens, long kvCacheTokens, long nowMillis) {
+        SentWork sent = new SentWork(1, WaitingTokens.of(work.urgency(), prefillTokens), work.ownTokens());
         if (own.requests() == 0) {
-            // An idle target has nothing to say: its silence counts from the first question on.
+            // An idle target sends nothing: it can be unresponsive only from the first request on.
             lastActivityMillis = Math.max(lastActivityMillis, nowMillis);
         }
-        cachedParts.recordSent(work.parts(), (long) (PREFIX_CACHE_FRACTION * memoryTokens));
+        cachedParts.recordSent(work.parts(), (long) (PREFIX_CACHE_FRACTION * kvCacheTokens));
         if (isCold(nowMillis)) {
             coldSends.add(nowMillis);
         }
@@ -262,10 +262,10 @@
     }
 
     /**
-     * Takes note that a request's prompt has been read.
+     * Records that the prefill of a request has completed.
      *
-     * @param sent what was reserved
-     * @return what is left to be given back
+     * @param sent the reserved work
+     * @return the remaining work to be passed to {@link #release}
      */
     public SentWork started(SentWork sent) {
         SentWork left = new SentWork(sent.requests(), WaitingTokens.NONE, sent.memoryTokens());
@@ -275,9 +275,9 @@
     }
 
     /**
-     * Takes note that a request has ended.
+     * Records that a request has ended.
      *
-     * @param sent what was reserved and is left
+     * @param sent the reserved work that remains
      */
     public void release(SentWork sent) {
         own = own.minus(sent);
@@ -290,31 +290,31 @@
     }
 
     /**
-     * Takes note of another host's work there.
+     * Updates the work that another host has in flight there.
      *
      * @param host the other host
-     * @param sent what it has under way
+     * @param sent its work in flight
      */
     public void sentByOther(String host, SentWork sent) {
-        SentWork before = sent.requests() == 0 ? workByHost.remove(host) : workByHost.put(host, sent);
-        SentWork now = sent.requests() == 0 ? SentWork.NONE : sent;
-        all = all.plus(now).minus(before == null ? SentWork.NONE : before);
+        SentWork previous = sent.requests() == 0 ? workByHost.remove(host) : workByHost.put(host, sent);
+        SentWork current = sent.requests() == 0 ? SentWork.NONE : sent;
+        all = all.plus(current).minus(previous == null ? SentWork.NONE : previous);
     }
 
     /**
-     * Takes note of another host's work there and of its streams.
+     * Updates the work that another host has in flight there and the statistics of its streams.
      *
      * @param host the other host
-     * @param sent what it has under way
-     * @param pace how its streams get on
+     * @param sent its work in flight
+     * @param stats the statistics of its streams
      */
-    public void toldByOther(String host, SentWork sent, StreamPace pace) {
+    public void toldByOther(String host, SentWork sent, StreamPace stats) {
         sentByOther(host, sent);
-        streams.toldByOther(host, pace);
+        streams.toldByOther(host, stats);
     }
 
     /**
-     * Takes note of bytes that came from it.
+     * Records that bytes were received from it.
      *
      * @param nowMillis the time
      */
@@ -323,31 +323,31 @@
     }
 
     /**
-     * Takes note of the time between two events of one of its streams.
+     * Records the time between two events of one of its streams.
      *
      * @param millis the time
-     * @param nowMillis the time at which the second came
+     * @param nowMillis the time of the second event
      */
     public void eventAfter(double millis, long nowMillis) {
         streams.recordEventInterval(millis, nowMillis);
     }
 
     /**
-     * The streams that run there.
+     * Returns the streams that run there.
      *
-     * @return what is known of them
+     * @return the streams
      */
     public TargetStreams streams() {
         return streams;
     }
 
-    /** Takes note of an answer that was no failure of the target. */
+    /** Records an answer that was not a failure of the target. */
     public void succeeded() {
         health.recordSuccess();
     }
 
     /**
-     * Takes note of a failure.
+     * Records a failure.
      *
      * @param nowMillis the time
      */
@@ -356,7 +356,7 @@
     }
 
     /**
-     * Takes note that no connection could be had.
+     * Records that no connection could be established.
      *
      * @param nowMillis the time
      */
@@ -365,12 +365,12 @@
     }
 
     /**
-     * Takes note that it had no room.
+     * Records that it had no capacity, and sends it nothing for a while.
      *
-     * @param pauseMillis how long it gets nothing from here
+     * @param backOffMillis how long this host sends it nothing
      * @param nowMillis the time
      */
-    public void full(long pauseMillis, long nowMillis) {
-        backOffUntilMillis = nowMillis + pauseMillis;
+    public void full(long backOffMillis, long nowMillis) {
+        backOffUntilMillis = nowMillis + backOffMillis;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/HelpOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/HelpOrder.java
@@ -6,30 +6,32 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * How long a host that could tell another one what it lacks waits, so that others go first.
+ * Staggers the hosts that could send a host the store contents it lacks.
  *
- * <p>The pattern it answers is a host that starts while nobody is answered by the store: each of thirty hosts would tell it
- * everything at the same moment, some 3 MB over a link that takes 2.4 s for them. In turn, the first one that lives tells
- * it, and the others see by its next word that it knows. Stateless and thread safe.
+ * <p>It guards against a simultaneous catch-up: when a host starts while the store answers nobody, each of thirty hosts
+ * would send it everything at the same moment, some 3 MB over a link that takes 2.4 s for them. Staggered, the first
+ * live host sends it, and the others see from its next state report that it has caught up. Stateless and thread safe.
  */
 public final class HelpOrder {
-    /** A host that was told says so within its next state, at most half a second later in a large region. */
+    /**
+     * A host that has caught up reports it within its next state report, at most half a second later in a large region.
+     */
     static final long STAGGER_MILLIS = 300;
 
     private HelpOrder() {}
 
     /**
-     * How long to wait.
+     * Returns how long a host waits before it sends.
      *
-     * @param hosts the hosts that could tell it, as far as known
+     * @param hosts the known hosts that could send
      * @param self this host
-     * @param other the host that lacks something
-     * @return milliseconds; none for the host whose turn is first
+     * @param other the host that lacks store contents
+     * @return milliseconds; zero for the first host
      */
     public static long waitMillis(Set<String> hosts, String self, String other) {
-        Set<String> helpers = new HashSet<>(hosts);
-        helpers.add(self);
-        helpers.remove(other);
-        return STAGGER_MILLIS * Rendezvous.rank(helpers, other).indexOf(self);
+        Set<String> senders = new HashSet<>(hosts);
+        senders.add(self);
+        senders.remove(other);
+        return STAGGER_MILLIS * Rendezvous.rank(senders, other).indexOf(self);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkShare.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkShare.java
@@ -1,13 +1,13 @@
 package org.rattanplank.core.gateway;
 
 /**
- * Paces what a host moves in the background to a share of its link.
+ * Limits the rate of a host's background transfers to a share of its link.
  *
- * <p>Invariant: in any time span, no more bytes are counted than the share bears in it and {@link #BURST_MILLIS}, plus one
- * count. Confined to one thread.
+ * <p>Invariant: in any time span, no more bytes are counted than the share allows in it and {@link #BURST_MILLIS}, plus
+ * one count. Confined to one thread.
  */
 public final class LinkShare {
-    /** Bytes are moved in steps that are so far apart, and each step moves those of the time until the next. */
+    /** Interval between transfer steps; each step transfers the bytes of the time until the next one. */
     static final long BURST_MILLIS = 50;
 
     private final double bytesPerMilli;
@@ -18,31 +18,32 @@
     }
 
     /**
-     * Makes an unused share.
+     * Creates an unused limiter.
      *
-     * @param linkBytesPerMilli what the link takes
-     * @param share the part of it, above 0 and at most 1
-     * @return the share
+     * @param linkBytesPerMilli the bandwidth of the link
+     * @param share the fraction of it, above 0 and at most 1
+     * @return the limiter
      */
     public static LinkShare of(double linkBytesPerMilli, double share) {
         if (!(linkBytesPerMilli > 0) || !(share > 0) || share > 1) {
-            throw new IllegalArgumentException("a share of " + share + " of " + linkBytesPerMilli + " bytes/ms");
+            throw new IllegalArgumentException(
+                    "invalid link share " + share + " of " + linkBytesPerMilli + " bytes/ms");
         }
         return new LinkShare(linkBytesPerMilli * share);
     }
 
     /**
-     * Whether more bytes may be moved.
+     * Returns whether more bytes may be transferred.
      *
      * @param nowMillis the time
-     * @return whether the share bears them
+     * @return whether the share allows them
      */
     public boolean isAvailable(long nowMillis) {
         return freeAtMillis <= nowMillis + BURST_MILLIS;
     }
 
     /**
-     * How long the share is taken by what was moved.
+     * Returns how long the share is used up by earlier transfers.
      *
      * @param nowMillis the time
      * @return milliseconds, zero if it is free
@@ -52,7 +53,7 @@
     }
 
     /**
-     * Counts bytes that were moved.
+     * Counts transferred bytes.
      *
      * @param bytes how many
      * @param nowMillis the time
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LongestTimes.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LongestTimes.java
@@ -6,31 +6,31 @@
 import io.vavr.control.Option;
 
 /**
- * The longest time that each kind of request took of late, from its arrival to the end of its answer. What is expected of
- * an answer says too little where one may not be cut: streams beside many prompts take several times as long. Confined to
- * its owner's thread.
+ * Records the recent maximum duration of each kind of request, from its arrival to the end of its answer. An expected
+ * duration is not sufficient where an answer must not be interrupted: streams beside many prompts take several times as
+ * long. Confined to its owner's thread.
  */
 public final class LongestTimes {
-    /** A burst or a restart of targets is over by then; a kind that is asked for at all has been seen. */
+    /** Longer than a burst or a restart of targets; a kind that is in use at all is observed within it. */
     static final long WINDOW_MILLIS = 5_000;
 
     private final Map<String, Window> windowsByKind = new HashMap<>();
 
     /**
-     * Takes note of a whole answer, or of a request that is still under way.
+     * Records a complete answer, or a request that is still in flight.
      *
      * @param kind the kind of request
-     * @param millis what it took, or has taken so far
+     * @param millis its duration, so far if it is still in flight
      * @param nowMillis the time
      */
     public void took(String kind, long millis, long nowMillis) {
-        Window longest = windowsByKind.computeIfAbsent(kind, each -> new Window(nowMillis));
-        longest.advance(nowMillis);
-        longest.currentMaxMillis = Math.max(longest.currentMaxMillis, millis);
+        Window window = windowsByKind.computeIfAbsent(kind, each -> new Window(nowMillis));
+        window.advance(nowMillis);
+        window.currentMaxMillis = Math.max(window.currentMaxMillis, millis);
     }
 
     /**
-     * The longest time of one to two of the last spans.
+     * Returns the maximum duration within the current and the previous window.
      *
      * @param kind the kind of request
      * @param nowMillis the time
@@ -38,8 +38,8 @@
      */
     public Option<Long> longestMillis(String kind, long nowMillis) {
         return Option.of(windowsByKind.get(kind))
-                .peek(longest -> longest.advance(nowMillis))
-                .map(longest -> Math.max(longest.currentMaxMillis, longest.previousMaxMillis))
+                .peek(window -> window.advance(nowMillis))
+                .map(window -> Math.max(window.currentMaxMillis, window.previousMaxMillis))
                 .filter(millis -> millis >= 0);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanism.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanism.java
@@ -4,41 +4,39 @@
 
 import io.vavr.control.Option;
 
-/**
- * What decides in a gateway and can be switched off, to learn what it is worth. Immutable and thread safe.
- */
+/** A decision mechanism of the gateway that can be switched off to determine its value. Immutable and thread safe. */
 public enum Mechanism {
-    /** What is expected to be late while it would also wait is refused at once. */
+    /** Requests that are expected to be late and would also wait are rejected at once. */
     REFUSE_LATE,
-    /** Other regions are asked when the own one is slow. */
+    /** Requests are forwarded to other regions when this host's region is slow. */
     FORWARD,
-    /** What failed and may run again is sent again. */
+    /** Requests that failed and may run again are retried. */
     REPEAT,
-    /** Targets that say nothing to anyone are given up before a request's time is up. */
+    /** Attempts at targets that respond to nobody are abandoned before a request's time is up. */
     LEAVE_SILENT,
-    /** Targets that fail are left out for a while. */
+    /** Targets that fail are ejected for a while. */
     LEAVE_OUT_FAILING,
-    /** One engine keeps each shared part of prompts for all hosts of a region. */
+    /** Rendezvous hashing assigns each shared prompt part to one engine for all hosts of a region. */
     KEEPER,
-    /** Parts of prompts that another engine would read again count against it. */
+    /** Prompt parts that would have to be recomputed count against an engine. */
     READ_AGAIN,
-    /** Parts of prompts that another engine of the region keeps are copied from there. */
+    /** Prompt parts that another engine of the region has cached are transferred from there. */
     COPY_PARTS,
     /** Long streams go to engines that end them in time. */
     END_IN_TIME,
-    /** Prompts keep away from engines whose streams would end too late for them. */
+    /** Prompts avoid engines at which they would make streams end too late. */
     SPARE_STREAMS,
-    /** Waits for a slot and memory are part of an engine's estimate. */
+    /** The wait for a slot and KV cache memory is part of an engine's estimate. */
     ROOM,
     /** The work of the region's other hosts is part of a target's load. */
     OTHERS_WORK,
-    /** The ranks of routes tell requests apart, here and at targets. */
+    /** The ranks of routes distinguish requests, here and at targets. */
     RANK,
-    /** Requests that come before a configuration is known wait for it a moment. */
+    /** Requests that arrive before a configuration is known wait for it briefly. */
     AWAIT_CONFIGURATION;
 
     /**
-     * How it is called in settings.
+     * Returns the name in settings.
      *
      * @return its name in lower case, with hyphens
      */
@@ -47,7 +45,7 @@
     }
 
     /**
-     * Finds one by its name in settings.
+     * Finds a mechanism by its name in settings.
      *
      * @param label the name
      * @return the mechanism, or none of that name
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanisms.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanisms.java
@@ -3,12 +3,12 @@
 import java.util.Set;
 
 /**
- * Which mechanisms are in use. Immutable and thread safe.
+ * The mechanisms in use. Immutable and thread safe.
  *
- * @param without those that are switched off
+ * @param without the mechanisms that are switched off
  */
 public record Mechanisms(Set<Mechanism> without) {
-    /** All of them, as is usual. */
+    /** All mechanisms, the default. */
     public static final Mechanisms ALL = new Mechanisms(Set.of());
 
     public Mechanisms {
@@ -16,7 +16,7 @@
     }
 
     /**
-     * Tells whether one is in use.
+     * Returns whether a mechanism is in use.
      *
      * @param mechanism the mechanism
      * @return whether it is
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/OtherHosts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/OtherHosts.java
@@ -1,53 +1,58 @@
 package org.rattanplank.core.gateway;
 
-/** What the other hosts of a region do while one of them stops. Immutable and thread safe. */
+/** The availability of the other hosts of a region while one of them shuts down. Immutable and thread safe. */
 public enum OtherHosts {
-    /** One takes work, or will for longer than the host that stops could. */
+    /** One accepts work, or will for longer than the host that shuts down could. */
     TAKE {
         @Override
-        long acceptUntilMillis(long cutMillis) {
+        long acceptUntilMillis(long closeMillis) {
             return 0;
         }
     },
 
-    /** None takes work, but there are some, and the first that is back will. */
+    /** None accepts work, but there are some, and the first that is back will. */
     AWAY {
         @Override
-        long acceptUntilMillis(long cutMillis) {
-            return cutMillis - MIN_REMAINING_MILLIS;
+        long acceptUntilMillis(long closeMillis) {
+            return closeMillis - MIN_REMAINING_MILLIS;
         }
     },
 
-    /** There is none: the region is served again soonest if the host that stops ends soon. */
+    /** There is none: the region is served again soonest if the shutdown is short. */
     NONE {
         @Override
-        long acceptUntilMillis(long cutMillis) {
+        long acceptUntilMillis(long closeMillis) {
             return StopPlan.MIN_SERVE_MILLIS;
         }
     };
 
-    /** The last host of a region takes no more work when so little is left before it is cut: hardly anything ends. */
+    /**
+     * Time before the close in which the last host of a region accepts no more work, as hardly any request would end.
+     */
     static final long MIN_REMAINING_MILLIS = 1_000;
 
-    /** A host that goes on for longer by so much is left to do so; hosts know of each other that late. */
+    /**
+     * Time by which another host must be able to go on longer, as hosts learn of each other's state with that delay.
+     */
     private static final long COMPARISON_MARGIN_MILLIS = 200;
 
     /**
-     * Says what they do.
+     * Determines the availability.
      *
-     * @param exist whether there are others
-     * @param oneTakesCallers whether one takes callers
-     * @param longestWorkMillis how long one that stops as well will take work, at the longest
-     * @param ownWorkMillis how long the host that asks could
-     * @return what they do
+     * @param hasPeers whether there are other hosts
+     * @param peerAcceptsCallers whether one of them accepts callers
+     * @param maxPeerAcceptMillis the maximum time for which another host that is shutting down will accept work
+     * @param ownAcceptMillis the time for which this host could
+     * @return the availability
      */
-    public static OtherHosts of(boolean exist, boolean oneTakesCallers, long longestWorkMillis, long ownWorkMillis) {
-        if (oneTakesCallers || longestWorkMillis > ownWorkMillis + COMPARISON_MARGIN_MILLIS) {
+    public static OtherHosts of(
+            boolean hasPeers, boolean peerAcceptsCallers, long maxPeerAcceptMillis, long ownAcceptMillis) {
+        if (peerAcceptsCallers || maxPeerAcceptMillis > ownAcceptMillis + COMPARISON_MARGIN_MILLIS) {
             return TAKE;
         }
-        return exist ? AWAY : NONE;
+        return hasPeers ? AWAY : NONE;
     }
 
-    /** Until when after the word to stop a host takes work in their place. */
-    abstract long acceptUntilMillis(long cutMillis);
+    /** Returns until when after the start of a shutdown the host accepts work in place of the others. */
+    abstract long acceptUntilMillis(long closeMillis);
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Outlook.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Outlook.java
@@ -3,17 +3,18 @@
 import java.util.Objects;
 
 /**
- * What a request may expect at one place, and what it would cost others there. Immutable and thread safe.
+ * The estimate for a request at one candidate, and its cost to other requests there. Immutable and thread safe.
  *
- * @param region the region of the place, empty if there is none or it is not named
- * @param waitMillis the time that is due to other requests there; infinite if there is no place
- * @param expectedMillis the time to its first event or answer, the way there included; infinite if there is no place
- * @param delayCostMillis what reading its prompt takes from streams there that are behind
- * @param overrunMillis how much longer than it may it would take
+ * @param region the region of the candidate, empty if there is none or it is not named
+ * @param waitMillis the part of the time that is due to other requests; infinite if there is no candidate
+ * @param expectedMillis the time to the first event or answer, network round trip included; infinite if there is no
+ *     candidate
+ * @param delayCostMillis the time that its prefill takes from lagging streams there
+ * @param overrunMillis by how much it would exceed its time
  */
 public record Outlook(
         String region, double waitMillis, double expectedMillis, double delayCostMillis, double overrunMillis) {
-    /** No place may serve it. */
+    /** There is no candidate. */
     public static final Outlook NONE = new Outlook("", Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0);
 
     public Outlook {
@@ -21,29 +22,29 @@
     }
 
     /**
-     * Names the region.
+     * Sets the region.
      *
      * @param name its name
-     * @return the same outlook there
+     * @return the same estimate for that region
      */
     Outlook inRegion(String name) {
         return new Outlook(name, waitMillis, expectedMillis, delayCostMillis, overrunMillis);
     }
 
     /**
-     * What counts against the place when places are compared.
+     * Returns the cost by which candidates are compared.
      *
-     * @return milliseconds; infinite if there is no place
+     * @return milliseconds; infinite if there is no candidate
      */
     double costMillis() {
         return expectedMillis + delayCostMillis + overrunMillis;
     }
 
     /**
-     * Whether it should be refused rather than served there.
+     * Returns whether the request should be rejected rather than served there.
      *
-     * @param objectiveMillis the time to its first event that its caller hopes for
-     * @param urgency how urgent it is
+     * @param objectiveMillis the latency objective for its first event
+     * @param urgency its urgency
      * @return whether it would be late, or make others late
      */
     public boolean shouldRefuse(long objectiveMillis, Urgency urgency) {
@@ -52,10 +53,10 @@
     }
 
     /**
-     * Takes the better of two.
+     * Returns the estimate of the candidate that is expected to answer first.
      *
-     * @param other another place
-     * @return the one that is expected to answer first; this one if both are alike
+     * @param other the estimate of another candidate
+     * @return the earlier one; this one if both are equal
      */
     Outlook earlierOf(Outlook other) {
         return other.expectedMillis + other.delayCostMillis < expectedMillis + delayCostMillis ? other : this;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
@@ -6,13 +6,13 @@
 import io.vavr.control.Option;
 
 /**
- * Where a request could go at one moment: a target of the own region, or another region.
+ * The candidates for a request at one moment: a target of this host's region, or another region.
  *
- * <p>Invariants: regions that the route does not allow, or that were tried, are not among them; a region beyond its share
- * only if nothing else is. Confined to its owner's thread.
+ * <p>Invariants: regions that the route does not allow, or that are excluded, are not candidates; a region over its
+ * share is one only if no other is left. Confined to its owner's thread.
  */
 public final class Placement {
-    private final Demand demand;
+    private final Demand request;
     private final String ownRegion;
     private final Mechanisms mechanisms;
     private final Option<Choice> local;
@@ -20,158 +20,162 @@
     private final Map<String, Outlook> remoteEstimates = new HashMap<>();
 
     private Placement(
-            Demand demand,
-            Surroundings around,
+            Demand request,
+            Surroundings clusterView,
             TargetChooser chooser,
             RegionLoads loads,
             Mechanisms mechanisms,
             long nowMillis) {
-        this.demand = demand;
+        this.request = request;
         this.mechanisms = mechanisms;
-        ownRegion = around.ownRegion();
-        local = demand.route().allows(ownRegion) ? chooser.choose(demand, around.hosts(), nowMillis) : Option.none();
-        localMillis = around.beyondShare().contains(ownRegion)
+        ownRegion = clusterView.ownRegion();
+        local = request.route().allows(ownRegion)
+                ? chooser.choose(request, clusterView.hosts(), nowMillis)
+                : Option.none();
+        localMillis = clusterView.beyondShare().contains(ownRegion)
                 ? Double.POSITIVE_INFINITY
                 : local.map(choice -> choice.outlook().costMillis()).getOrElse(Double.POSITIVE_INFINITY);
-        around.wayMillis().forEach((region, wayMillis) -> {
-            boolean mayTake = demand.route().allows(region)
-                    && !demand.tried().contains(region)
-                    && !around.beyondShare().contains(region);
-            if (mayTake) {
-                remoteEstimates.put(region, outlook(region, wayMillis, chooser, loads, nowMillis));
+        clusterView.wayMillis().forEach((region, roundTripMillis) -> {
+            boolean mayServe = request.route().allows(region)
+                    && !request.tried().contains(region)
+                    && !clusterView.beyondShare().contains(region);
+            if (mayServe) {
+                remoteEstimates.put(region, outlook(region, roundTripMillis, chooser, loads, nowMillis));
             }
         });
     }
 
     /**
-     * Looks where a request could go.
+     * Determines the candidates for a request.
      *
-     * @param demand the request
-     * @param around what this host sees around it
-     * @param chooser chooses targets of its region
-     * @param loads what other regions report
-     * @param mechanisms which mechanisms are in use
+     * @param request the request
+     * @param clusterView this host's view of the cluster
+     * @param chooser chooses targets of this host's region
+     * @param loads the reports of other regions
+     * @param mechanisms the mechanisms in use
      * @param nowMillis the time
-     * @return where it could go
+     * @return the candidates
      */
     public static Placement of(
-            Demand demand,
-            Surroundings around,
+            Demand request,
+            Surroundings clusterView,
             TargetChooser chooser,
             RegionLoads loads,
             Mechanisms mechanisms,
             long nowMillis) {
-        return new Placement(demand, around, chooser, loads, mechanisms, nowMillis);
+        return new Placement(request, clusterView, chooser, loads, mechanisms, nowMillis);
     }
 
     /**
-     * The units in which regions are told how much a request adds.
+     * Returns how much a request adds to a region's load, in the units of the regions' reports.
      *
-     * @param work what it asks of a target
-     * @return the tokens of its prompt, one if it has none
+     * @param work the work of the request
+     * @return the tokens of its prompt, or one if it has none
      */
     public static int units(Work work) {
         return Math.max(1, work.promptTokens());
     }
 
     /**
-     * The best target of the own region.
+     * Returns the best target of this host's region.
      *
-     * @return the choice, or none if no target may take it
+     * @return the choice, or none if no target may accept the request
      */
     public Option<Choice> local() {
         return local;
     }
 
     /**
-     * What counts against the own region when it is compared with others.
+     * Returns the cost of this host's region for comparison with others.
      *
-     * @return milliseconds; infinite if it can't serve it, or has had its share of the work
+     * @return milliseconds; infinite if the region can't serve the request or is over its share
      */
     public double localMillis() {
         return localMillis;
     }
 
     /**
-     * Whether anything could answer.
+     * Returns whether the request can be served at all.
      *
-     * @return whether a target or another region may take it
+     * @return whether a target or another region may accept it
      */
     public boolean isPossible() {
-        return local.isDefined() || remoteEstimates.values().stream().anyMatch(each -> Double.isFinite(each.expectedMillis()));
+        return local.isDefined()
+                || remoteEstimates.values().stream().anyMatch(each -> Double.isFinite(each.expectedMillis()));
     }
 
     /**
-     * The other region to be asked.
+     * Returns the other region that the request should be forwarded to.
      *
-     * @return the region, or none to stay
+     * @return the region, or none to serve it locally
      */
     public Option<String> region() {
         Map<String, Double> expectedMillis = new HashMap<>();
-        remoteEstimates.forEach((region, outlook) -> expectedMillis.put(region, outlook.costMillis()));
-        return RegionChooser.choose(localMillis, expectedMillis, demand.route().objectiveMillis());
+        remoteEstimates.forEach((region, estimate) -> expectedMillis.put(region, estimate.costMillis()));
+        return RegionChooser.choose(localMillis, expectedMillis, request.route().objectiveMillis());
     }
 
     /**
-     * Whether it would be late for others' sake, at the place where it is expected to be answered first. Plain services
-     * say by themselves when they are full.
+     * Returns whether the request should be rejected: at the candidate that is expected to answer first it would be
+     * late, or make others late. Plain services report themselves when they are full.
      *
-     * @return whether its caller should be refused
+     * @return whether its caller should be rejected
      */
     public boolean shouldRefuse() {
-        if (!demand.service().isModel() || !mechanisms.uses(Mechanism.REFUSE_LATE)) {
+        if (!request.service().isModel() || !mechanisms.uses(Mechanism.REFUSE_LATE)) {
             return false;
         }
         return outlook()
-                .shouldRefuse(demand.route().objectiveMillis(), demand.work().urgency());
+                .shouldRefuse(request.route().objectiveMillis(), request.work().urgency());
     }
 
     /**
-     * What may be expected at the place that is expected to answer first.
+     * Returns the estimate of the candidate that is expected to answer first.
      *
-     * @return the outlook
+     * @return the estimate
      */
     public Outlook outlook() {
         Outlook best = localOutlook();
-        for (Outlook there : remoteEstimates.values()) {
-            best = best.earlierOf(there);
+        for (Outlook remoteEstimate : remoteEstimates.values()) {
+            best = best.earlierOf(remoteEstimate);
         }
         return best;
     }
 
     /**
-     * What may be expected in the own region.
+     * Returns the estimate for this host's region.
      *
-     * @return the outlook
+     * @return the estimate
      */
     public Outlook localOutlook() {
         return local.map(choice -> choice.outlook().inRegion(ownRegion)).getOrElse(Outlook.NONE);
     }
 
     /**
-     * What may be expected in another region, as far as it has told.
+     * Returns the estimate for another region according to its reports.
      *
      * @param region the region
-     * @return the outlook
+     * @return the estimate
      */
     public Outlook outlook(String region) {
         return remoteEstimates.getOrDefault(region, Outlook.NONE);
     }
 
-    private Outlook outlook(String region, double wayMillis, TargetChooser chooser, RegionLoads loads, long nowMillis) {
-        String service = demand.service().name();
-        Work work = demand.work();
-        double waitMillis = loads.expectedMillis(region, service, work.urgency(), 0, nowMillis);
+    private Outlook outlook(
+            String region, double roundTripMillis, TargetChooser chooser, RegionLoads loads, long nowMillis) {
+        String service = request.service().name();
+        Work work = request.work();
+        double queueWaitMillis = loads.expectedMillis(region, service, work.urgency(), 0, nowMillis);
         double expectedMillis = loads.expectedMillis(region, service, work.urgency(), units(work), nowMillis);
-        RegionStreams streams = loads.streams(region, service);
-        double overrunMillis =
-                EngineStreamCosts.overrunMillis(demand.service(), work, wayMillis + expectedMillis, streams.paceMillis());
+        RegionStreams streamStats = loads.streams(region, service);
+        double overrunMillis = EngineStreamCosts.overrunMillis(
+                request.service(), work, roundTripMillis + expectedMillis, streamStats.paceMillis());
         return new Outlook(
                 region,
-                wayMillis + waitMillis,
-                wayMillis + expectedMillis,
-                chooser.chargedTokens(demand.service(), work.urgency(), work.promptTokens())
-                        * streams.delayCostMillisPerToken(),
+                roundTripMillis + queueWaitMillis,
+                roundTripMillis + expectedMillis,
+                chooser.chargedTokens(request.service(), work.urgency(), work.promptTokens())
+                        * streamStats.delayCostMillisPerToken(),
                 mechanisms.uses(Mechanism.END_IN_TIME) ? overrunMillis : 0);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PromptPart.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PromptPart.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * A part of a prompt that other requests may share. Immutable and thread safe.
+ * A run of prompt tokens that other requests may share. Immutable and thread safe.
  *
  * @param id its identifier
  * @param tokens its tokens
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionChooser.java
@@ -5,16 +5,19 @@
 import io.vavr.control.Option;
 
 /**
- * Whether a request is served in its own region or in another one.
+ * Decides whether a request is served in this host's region or in another one.
  *
- * <p>Invariant: work leaves the region only if it gains by it, also when the regions' reports are somewhat wrong; so two
- * regions under the same load don't swap work. Stateless and thread safe.
+ * <p>Invariant: a request leaves the region only if it gains by it, even when the regions' reports are somewhat
+ * inaccurate, so that two regions under the same load don't exchange requests. Stateless and thread safe.
  */
 public final class RegionChooser {
-    /** While the own region is expected to answer within this part of the objective, nothing is gained elsewhere. */
+    /**
+     * While this host's region is expected to answer within this fraction of the latency objective, nothing is gained
+     * elsewhere.
+     */
     static final double LOCAL_OBJECTIVE_FRACTION = 0.4;
 
-    /** Another region must be expected to be faster by this factor, the way there included. */
+    /** Factor by which another region must be expected to be faster, the network round trip included. */
     static final double MIN_SPEEDUP_FACTOR = 1.3;
 
     private RegionChooser() {}
@@ -22,10 +25,11 @@
     /**
      * Chooses a region.
      *
-     * @param localMillis the time expected in the own region; infinite if it can't serve the request
-     * @param remoteMillis the time expected in each other region that may serve it, the way included
-     * @param objectiveMillis the time that callers hope for
-     * @return the other region, or none to stay
+     * @param localMillis the time expected in this host's region; infinite if it can't serve the request
+     * @param remoteMillis the time expected in each other region that may serve the request, the network round trip
+     *     included
+     * @param objectiveMillis the latency objective
+     * @return the other region, or none to serve the request locally
      */
     public static Option<String> choose(double localMillis, Map<String, Double> remoteMillis, long objectiveMillis) {
         if (localMillis <= LOCAL_OBJECTIVE_FRACTION * objectiveMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
@@ -5,27 +5,27 @@
 import java.util.Map;
 
 /**
- * How soon other regions are expected to answer, as their hosts report it.
+ * Estimates how soon other regions would answer, from the reports of their hosts.
  *
- * <p>Invariant: a report counts for a while only, and what this host has sent there since is added to it. Confined to
- * its owner's thread.
+ * <p>Invariant: a report is valid for a limited time only, and the requests that this host has sent there since are
+ * added to it. Confined to its owner's thread.
  */
 public final class RegionLoads {
-    /** A region not heard of for so long, beyond the time between its reports, is taken to be out of reach. */
+    /** Time without a report, beyond the interval between reports, after which a region is considered unreachable. */
     public static final long REPORT_MILLIS = 3_000;
 
     private final Map<String, Map<String, EnumMap<Urgency, Load>>> byRegion = new HashMap<>();
     private final Map<String, Map<String, RegionStreams>> streamStatsByRegion = new HashMap<>();
 
     /**
-     * Takes a report.
+     * Updates the load of a region from a report.
      *
      * @param region the region
      * @param service the service
      * @param urgency the urgency of the work that it is about
-     * @param expectedMillis the time to an answer that its best target is expected to take; infinite if none may be used
-     * @param perTokenMillis how much each further token of a prompt adds, spread over its targets
-     * @param untilMillis until when the report counts
+     * @param expectedMillis the expected time to an answer of its best target; infinite if none may be used
+     * @param perTokenMillis the time that each further token of a prompt adds, spread over its targets
+     * @param untilMillis when the report expires
      */
     public void reported(
             String region,
@@ -40,36 +40,36 @@
     }
 
     /**
-     * Takes a report of a region's streams.
+     * Updates the statistics of a region's streams from a report.
      *
      * @param region the region
      * @param service the service
-     * @param streams how its streams get on
+     * @param streamStats the statistics of its streams
      */
-    public void reported(String region, String service, RegionStreams streams) {
-        streamStatsByRegion.computeIfAbsent(region, name -> new HashMap<>()).put(service, streams);
+    public void reported(String region, String service, RegionStreams streamStats) {
+        streamStatsByRegion.computeIfAbsent(region, name -> new HashMap<>()).put(service, streamStats);
     }
 
     /**
-     * How streams get on in another region.
+     * Returns the statistics of the streams of another region.
      *
      * @param region the region
      * @param service their service
-     * @return what it reported last
+     * @return the statistics that it reported last
      */
     public RegionStreams streams(String region, String service) {
         return streamStatsByRegion.getOrDefault(region, Map.of()).getOrDefault(service, RegionStreams.NONE);
     }
 
     /**
-     * Expects the time to an answer of another region, without the way there.
+     * Estimates the time to an answer of another region, without the network round trip.
      *
      * @param region the region
      * @param service the service
-     * @param urgency how urgent the request is
+     * @param urgency the urgency of the request
      * @param tokens the tokens of the prompt
      * @param nowMillis the time
-     * @return milliseconds, or infinite if the region is not known to serve it
+     * @return milliseconds, or infinite if the region is not known to serve the service
      */
     public double expectedMillis(String region, String service, Urgency urgency, int tokens, long nowMillis) {
         Load load = loads(region, service).get(urgency);
@@ -80,15 +80,16 @@
     }
 
     /**
-     * Takes note of a request that this host sends there. The other hosts of its region have the same report and send as
-     * much; what they send is not told before the next report. Counting its own alone, each of thirty hosts would go on
-     * sending to the region that looked best, and one would see forwards that arrive at many times what was expected.
+     * Records a request that this host sends to a region. The other hosts of this host's region have the same report
+     * and send as much, which is not reported before the next report. If only its own requests were counted, each of
+     * thirty hosts would go on sending to the region that looked best; symptom: forwarded requests take many times as
+     * long as expected.
      *
      * @param region the region
      * @param service the service
-     * @param urgency how urgent it is; it delays none that is more urgent
+     * @param urgency the urgency of the request; it delays none that is more urgent
      * @param tokens the tokens of its prompt
-     * @param hosts the hosts of this host's region, itself included
+     * @param hosts the number of hosts of this host's region, itself included
      */
     public void sent(String region, String service, Urgency urgency, int tokens, int hosts) {
         loads(region, service).forEach((other, load) -> {
@@ -99,12 +100,12 @@
     }
 
     /**
-     * Takes note that a region refused a request: its load has changed since it was reported. Until it reports again,
-     * more requests would go there and come back, each a crossing of the distance late.
+     * Records that a region rejected a request, as its load has changed since its report. Until it reports again, more
+     * requests would be sent there and come back, each late by a network round trip.
      *
      * @param region the region
      * @param service the service
-     * @param urgency how urgent the request was; a more urgent one may be welcome
+     * @param urgency the urgency of the request; more urgent ones may still be accepted
      */
     public void refused(String region, String service, Urgency urgency) {
         loads(region, service).forEach((each, load) -> {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionView.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionView.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 
 /**
- * The hosts of this host's region, as it sees them. Immutable and thread safe.
+ * A host's view of the hosts of its region. Immutable and thread safe.
  *
- * @param hosts their names, this one's included: those in touch and those that are entered in the store
- * @param certain whether this is surely all of them: each is in touch, and this host has run long enough to know
+ * @param hosts their names, its own included: those connected and those registered in the store
+ * @param certain whether these are definitely all of them: each is connected, and this host has run long enough to know
  */
 public record RegionView(Set<String> hosts, boolean certain) {
     public RegionView {
@@ -14,7 +14,7 @@
     }
 
     /**
-     * Makes the view of a host that surely knows all others.
+     * Creates a complete view.
      *
      * @param hosts the names of all hosts of the region
      * @return the view
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ReturnQueue.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ReturnQueue.java
@@ -5,48 +5,51 @@
 import java.util.Map;
 
 /**
- * When refused callers are told to come back: one after the other, as fast as this host's part of the engines could serve
- * them.
+ * Determines the Retry-After time of rejected callers: one after the other, at the rate at which this host's share of
+ * the engines could serve them.
  *
- * <p>The pattern it answers is an overload that lasts. All told the same short time come back into the same backlog, take
- * the place of others there, and are refused again. Told apart by the work that they bring, those of a short peak come
- * back soon, and those of a long one as late as is of use to them, in the order in which they were refused. What it buys:
- * on each of six days with trouble fewer callers end refused, 2.1 instead of 2.7 % and 0.4 instead of 0.8 % of all for
- * example, counted over whole days with and without it. Invariant:
- * the time told is never longer than is of use to the caller, and never shorter than {@link #MIN_RETRY_AFTER_MILLIS}. Confined to
- * its owner's thread.
+ * <p>It guards against lasting overload. Callers that are all given the same short time come back into the same
+ * backlog, displace others there, and are rejected again. Spread by the work that they bring, those of a short peak
+ * come back soon, and those of a long one as late as is of use to them, in the order in which they were rejected. On
+ * days with faults this lowers the share of callers that end rejected, for example from 2.7 to 2.1 % and from 0.8 to
+ * 0.4 %. Invariant: the time is never longer than is of use to the caller, and never shorter than {@link
+ * #MIN_RETRY_AFTER_MILLIS}. Confined to its owner's thread.
  */
 public final class ReturnQueue {
-    /** Long enough for an engine to read some prompts; a shorter time brings callers back into the same moment. */
+    /**
+     * Long enough for an engine to prefill some prompts; after a shorter time callers would meet the same load again.
+     */
     static final long MIN_RETRY_AFTER_MILLIS = 400;
 
-    /** Callers refused at one moment come back spread over this time. */
+    /** Callers rejected at one moment come back spread over this time. */
     static final long JITTER_MILLIS = 400;
 
-    /** The part of a caller's time that it may be told to wait; the rest is for its answer. */
+    /** Fraction of a caller's remaining time that it may be told to wait; the rest is for its answer. */
     static final double MAX_REMAINING_FRACTION = 0.3;
 
     private final Map<String, EnumMap<Urgency, Double>> nextReturnMillis = new HashMap<>();
 
     /**
-     * Tells a refused caller when to come back.
+     * Returns the time after which a rejected caller should retry.
      *
      * @param service the service
-     * @param urgency how urgent the caller's request is
-     * @param costMillis how much of the time of this host's part of the engines it takes
+     * @param urgency the urgency of the request
+     * @param costMillis the time that the request takes of this host's share of the engines
      * @param remainingMillis the time that its caller has left
      * @param draw a number from 0 up to, but not including, 1
      * @param nowMillis the time
-     * @return how long it should wait, in milliseconds
+     * @return the time, in milliseconds
      */
     public long returnAfter(
             String service, Urgency urgency, double costMillis, long remainingMillis, double draw, long nowMillis) {
-        EnumMap<Urgency, Double> byUrgency = nextReturnMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
-        double mostMillis = Math.max(MIN_RETRY_AFTER_MILLIS, MAX_REMAINING_FRACTION * remainingMillis);
-        double next = Math.max(byUrgency.getOrDefault(urgency, 0.0), nowMillis);
-        // Those that could be told only the most don't lengthen the queue: what comes then comes too late for it.
-        byUrgency.put(urgency, Math.min(next + costMillis, nowMillis + mostMillis));
-        double waitMillis = next - nowMillis + MIN_RETRY_AFTER_MILLIS + JITTER_MILLIS * draw;
-        return Math.round(Math.min(waitMillis, mostMillis));
+        EnumMap<Urgency, Double> byUrgency =
+                nextReturnMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
+        double maxMillis = Math.max(MIN_RETRY_AFTER_MILLIS, MAX_REMAINING_FRACTION * remainingMillis);
+        double nextMillis = Math.max(byUrgency.getOrDefault(urgency, 0.0), nowMillis);
+        // Callers that could only be given the maximum don't lengthen the queue: whatever comes later comes too late
+        // for it.
+        byUrgency.put(urgency, Math.min(nextMillis + costMillis, nowMillis + maxMillis));
+        double retryAfterMillis = nextMillis - nowMillis + MIN_RETRY_AFTER_MILLIS + JITTER_MILLIS * draw;
+        return Math.round(Math.min(retryAfterMillis, maxMillis));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteKind.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteKind.java
@@ -1,15 +1,15 @@
 package org.rattanplank.core.gateway;
 
-/** What a route's requests are, which decides what may be sent twice. Immutable and thread safe. */
+/** The kind of a route's requests, which decides whether they may be sent twice. Immutable and thread safe. */
 public enum RouteKind {
-    /** One answer; running it again does no harm. */
+    /** A single answer; running the request again does no harm. */
     SAFE {
         @Override
         public boolean isIdempotent(boolean resumable) {
             return true;
         }
     },
-    /** One answer; it may run once at most. */
+    /** A single answer; the request may run at most once. */
     UNSAFE {
         @Override
         public boolean isIdempotent(boolean resumable) {
@@ -25,7 +25,7 @@
     };
 
     /**
-     * Tells whether a request may run more than once.
+     * Returns whether a request may run more than once.
      *
      * @param resumable whether the route's streams may be resumed
      * @return whether a second run is allowed
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
@@ -6,18 +6,18 @@
 import java.util.Set;
 
 /**
- * A route: which requests it takes and how they are served. Immutable and thread safe.
+ * A route: the requests that it matches and how they are served. Immutable and thread safe.
  *
  * @param name its name, unique in a configuration
- * @param hostName the name that callers address, in lower case
- * @param pathPrefix the start of the paths that it takes
- * @param kind what its requests are
- * @param resumable whether its streams may go on at another target
- * @param services where its requests go; those of weight 0 get none
- * @param maxAttempts the most targets that one request may be sent to
- * @param timeoutMillis the longest time until its final answer
- * @param objectiveMillis the time to the answer, of a stream to the first event, that callers hope for
- * @param gapMillis the longest pause between events that callers hope for, zero if it isn't a stream
+ * @param hostName the host name of its requests, in lower case
+ * @param pathPrefix the prefix of the paths that it matches
+ * @param kind the kind of its requests
+ * @param resumable whether its streams may be resumed at another target
+ * @param services the services of its requests; those of weight 0 get none
+ * @param maxAttempts the maximum number of targets that one request may be sent to
+ * @param timeoutMillis the maximum time until its final answer
+ * @param objectiveMillis the latency objective: the time to the answer, of a stream to the first event
+ * @param gapMillis the objective for the longest pause between events, zero if it isn't a stream
  * @param rank its rank among the routes, 0 first
  * @param homeRegions the only regions that may serve it; empty if all may
  */
@@ -34,7 +34,7 @@
         long gapMillis,
         int rank,
         Set<String> homeRegions) {
-    /** No region has this name: the home of a route that no region may serve. */
+    /** The name of no region: the home of a route that no region may serve. */
     static final String NO_REGION = "";
 
     public RouteRule {
@@ -48,12 +48,12 @@
             throw new IllegalArgumentException("route " + name + " has no service");
         }
         if (maxAttempts < 1 || timeoutMillis <= 0) {
-            throw new IllegalArgumentException("route " + name + " allows no attempt or no time");
+            throw new IllegalArgumentException("route " + name + " needs at least one attempt and a positive timeout");
         }
     }
 
     /**
-     * Tells whether a request of this route may run more than once.
+     * Returns whether a request of this route may run more than once.
      *
      * @return whether it may
      */
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Tells whether a region may serve this route.
+     * Returns whether a region may serve this route.
      *
      * @param region the region
      * @return whether it may
@@ -72,14 +72,14 @@
     }
 
     /**
-     * Narrows the regions that may serve it.
+     * Restricts the regions that may serve it.
      *
      * @param regions the regions that a further rule allows
-     * @return the route, which both rules bind; if no region satisfies both, none may serve it
+     * @return the route with both rules applied; if no region satisfies both, none may serve it
      */
     public RouteRule within(Set<String> regions) {
-        Set<String> both = new HashSet<>(homeRegions.isEmpty() ? regions : homeRegions);
-        both.retainAll(regions);
+        Set<String> common = new HashSet<>(homeRegions.isEmpty() ? regions : homeRegions);
+        common.retainAll(regions);
         return new RouteRule(
                 name,
                 hostName,
@@ -92,21 +92,21 @@
                 objectiveMillis,
                 gapMillis,
                 rank,
-                both.isEmpty() ? Set.of(NO_REGION) : both);
+                common.isEmpty() ? Set.of(NO_REGION) : common);
     }
 
     /**
-     * Picks the service of one request by the weights.
+     * Picks the service of one request by weight.
      *
      * @param draw a number from 0 up to, but not including, 1
      * @return the service
      */
     public String service(double draw) {
         long total = services.stream().mapToLong(WeightedService::weight).sum();
-        double left = draw * total;
+        double remaining = draw * total;
         for (WeightedService each : services) {
-            left -= each.weight();
-            if (left < 0) {
+            remaining -= each.weight();
+            if (remaining < 0) {
                 return each.service();
             }
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentRequest.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentRequest.java
@@ -1,21 +1,23 @@
 package org.rattanplank.core.gateway;
 
 /**
- * A request under way at a target, accounted for from its sending to its end.
+ * A request in flight at a target, accounted for from its sending to its end.
  *
- * <p>Invariant: what it reserves at the target is given back once. Confined to its owner's thread.
+ * <p>Invariant: what it reserves at the target is released once. Confined to its owner's thread.
  */
 public final class SentRequest {
-    /** The part of its time that a stream should not need: its last events and its way back take some of it. */
+    /**
+     * Fraction of its time that a stream should not need: its last events and the network round trip take some of it.
+     */
     private static final double RESERVED_TIME_FRACTION = 0.25;
 
-    /** A stream that has outlived its caller's estimate is taken to go on for this part of what it has made. */
+    /** A stream that exceeds its caller's estimate is assumed to go on for this fraction of what it has generated. */
     private static final double RESIDUAL_FRACTION = 0.35;
 
-    /** The part of the present pace that an engine may still come to at its best. */
+    /** Fraction of the current inter-token latency that an engine may still reach at its best. */
     private static final double BEST_INTER_TOKEN_FRACTION = 0.4;
 
-    /** Reading that takes longer changes where other hosts should send theirs, before they are told in turn. */
+    /** A prefill that takes longer changes where other hosts should send theirs before the next regular report. */
     private static final double LARGE_PREFILL_MILLIS = 50;
 
     private final GatewayTarget target;
@@ -51,32 +53,32 @@
     }
 
     /**
-     * Takes note of a request that is sent.
+     * Records a request that is sent.
      *
-     * @param chooser what chose its target
-     * @param choice its target, and what was expected there
+     * @param chooser the chooser of its target
+     * @param choice its target, with the estimate there
      * @param service the service of the target
-     * @param work what it asks
+     * @param work the work of the request
      * @param nowMillis the time
-     * @return the account of it
+     * @return the request in flight
      */
     public static SentRequest of(TargetChooser chooser, Choice choice, ServiceRule service, Work work, long nowMillis) {
         return new SentRequest(chooser, choice, service, work, nowMillis);
     }
 
     /**
-     * Whether the region's other hosts should hear of it at once.
+     * Returns whether the region's other hosts should be notified of it at once.
      *
-     * @return whether its prompt takes long to read
+     * @return whether its prompt takes long to prefill
      */
     public boolean isLarge() {
         return prefillMillis >= LARGE_PREFILL_MILLIS;
     }
 
     /**
-     * Takes note of a part of its answer.
+     * Records an event of its answer.
      *
-     * @param success whether it is part of a success
+     * @param success whether it belongs to a successful answer
      * @param nowMillis the time
      */
     public void part(boolean success, long nowMillis) {
@@ -99,9 +101,9 @@
     }
 
     /**
-     * Takes note of the end of its answer.
+     * Records the end of its answer.
      *
-     * @param success whether it is a success
+     * @param success whether the answer is successful
      * @param nowMillis the time
      */
     public void ended(boolean success, long nowMillis) {
@@ -113,18 +115,22 @@
         release();
     }
 
-    /** Whether it would end too late at a pace, though not at the best that may be hoped for. */
-    boolean isLagging(double paceMillis, long nowMillis) {
+    /**
+     * Returns whether it would end too late at an inter-token latency, though not at the best that the engine may
+     * reach.
+     */
+    boolean isLagging(double interTokenMillis, long nowMillis) {
         if (service.eventTokens() <= 0 || work.remainingMillis() <= 0) {
             return false;
         }
         double expectedEvents = work.outputTokens() / (double) service.eventTokens();
-        double takesMillis = paceMillis * Math.max(1, Math.max(expectedEvents - events, RESIDUAL_FRACTION * events));
-        double leftMillis = sentAtMillis + (1 - RESERVED_TIME_FRACTION) * work.remainingMillis() - nowMillis;
-        return takesMillis > leftMillis && BEST_INTER_TOKEN_FRACTION * takesMillis < leftMillis;
+        double neededMillis =
+                interTokenMillis * Math.max(1, Math.max(expectedEvents - events, RESIDUAL_FRACTION * events));
+        double remainingMillis = sentAtMillis + (1 - RESERVED_TIME_FRACTION) * work.remainingMillis() - nowMillis;
+        return neededMillis > remainingMillis && BEST_INTER_TOKEN_FRACTION * neededMillis < remainingMillis;
     }
 
-    /** Gives back what it holds at its target, once. */
+    /** Releases what it has reserved at its target, once. */
     public void release() {
         if (!released) {
             released = true;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentWork.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentWork.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * What one host has under way at a target. Immutable and thread safe.
+ * The work that a host has in flight at a target. Immutable and thread safe.
  *
  * @param requests the requests
- * @param waiting the tokens that are still to be read
- * @param memoryTokens the tokens that the requests hold in memory, beside shared parts
+ * @param waiting the tokens that are still to be prefilled
+ * @param memoryTokens the KV cache tokens that the requests hold, beside shared parts
  */
 public record SentWork(int requests, WaitingTokens waiting, long memoryTokens) {
-    /** Nothing. */
+    /** No work. */
     public static final SentWork NONE = new SentWork(0, WaitingTokens.NONE, 0);
 
     public SentWork {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceRule.java
@@ -3,15 +3,15 @@
 import java.util.Objects;
 
 /**
- * What is configured of a service. Immutable and thread safe.
+ * The configuration of a service. Immutable and thread safe.
  *
  * @param name its name
  * @param maxConnections the connections that one of its targets accepts from all hosts together
  * @param coldStartMillis how long a target is cold after its start
- * @param coldPerSecond the requests a second that a cold target bears
- * @param slots the requests that one target works on at once; zero if not configured
- * @param eventTokens the tokens that one event of a stream holds; zero if not configured
- * @param memoryTokens the tokens that one engine's memory holds; zero if it is no model engine
+ * @param coldPerSecond the requests a second that a cold target sustains
+ * @param slots the requests that one target processes concurrently; zero if not configured
+ * @param eventTokens the tokens in one event of a stream; zero if not configured
+ * @param memoryTokens the capacity of one engine's KV cache, in tokens; zero if it is no model engine
  */
 public record ServiceRule(
         String name,
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Tells whether the targets are model engines.
+     * Returns whether the targets are model engines.
      *
      * @return whether they are
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingWindowCounter.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingWindowCounter.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayDeque;
 
-/** Counts events of the last span of time. Confined to its owner's thread. */
+/** Counts the events of the most recent time window. Confined to its owner's thread. */
 final class SlidingWindowCounter {
     private final long windowMillis;
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
-    SlidingWindowCounter(long spanMillis) {
-        this.windowMillis = spanMillis;
+    SlidingWindowCounter(long windowMillis) {
+        this.windowMillis = windowMillis;
     }
 
     void add(long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StopPlan.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StopPlan.java
@@ -3,33 +3,34 @@
 import io.vavr.control.Option;
 
 /**
- * What a host that was told to stop still takes, and when it ends.
+ * Decides which requests a host that is shutting down still accepts, and when it closes its connections.
  *
- * <p>Hosts of a region are often stopped one after the other, faster than each is back, since a stop lasts as long as the
- * streams that are open. If each only saw to its own end, engines that may be used would have no host that reaches them,
- * and callers would be refused, or sent to regions where their data must not go, for seconds. So of the hosts of a region
- * that stop, the one that can go on longest takes what surely ends in its time, until another host there takes callers.
- * Invariants: with another host that takes work, a stop takes as long as its own requests; late in its time nothing begins
- * that wouldn't surely end before everything is cut. Immutable and thread safe.
+ * <p>Hosts of a region are often stopped one after the other, faster than each is back, as a shutdown lasts as long as
+ * its open streams. If each considered only its own shutdown, usable engines would be reached by no host, and callers
+ * would be rejected, or sent to regions where their data must not go, for seconds. So of the hosts of a region that are
+ * shutting down, the one that can go on longest accepts requests that will definitely end within its time, until
+ * another host there accepts callers. Invariants: while another host accepts requests, a shutdown takes as long as the
+ * host's own requests; late in a shutdown no request begins that would not definitely end before its connection is
+ * closed. Immutable and thread safe.
  */
 public final class StopPlan {
     /**
-     * Connections that carry nothing are ended no sooner: callers that hold an older list still come, nearly all of them
-     * for one of the list's lifetimes at most. Longer stops would overlap when hosts are stopped in turn, and leave few
-     * that serve.
+     * Time before which idle connections are not closed: callers with an outdated list of hosts still connect, nearly
+     * all of them within one lifetime of the list. With a longer time the shutdowns of hosts that are stopped in turn
+     * would overlap and leave few hosts that serve.
      */
     static final long MIN_SERVE_MILLIS = 1_700;
 
     /**
-     * Whatever comes later must surely end in time: a stream that begins so late may be cut in the middle. Callers that
-     * hold the longest-lived list have moved by then.
+     * Time after which a request must definitely end before the close: a stream that begins later may be closed before
+     * its end. Callers with the longest-lived list have moved by then.
      */
     static final long ACCEPT_ALL_MILLIS = 2_800;
 
-    /** What is left of the time for stopping when everything is cut: for the last answers to leave. */
+    /** Remaining part of the shutdown time when all connections are closed, in which the last answers are sent. */
     static final long CLOSE_MARGIN_MILLIS = 700;
 
-    /** A request that comes late takes less than so many times as long as the longest of late. */
+    /** A late request takes less than so many times the recent maximum of its kind. */
     private static final double DURATION_SAFETY_FACTOR = 1.5;
 
     private final long graceMillis;
@@ -39,9 +40,9 @@
     }
 
     /**
-     * Makes the plan of a stop.
+     * Creates the plan of a shutdown.
      *
-     * @param graceMillis how long the stop may take
+     * @param graceMillis how long the shutdown may take
      * @return the plan
      */
     public static StopPlan within(long graceMillis) {
@@ -49,51 +50,52 @@
     }
 
     /**
-     * Tells how much longer other hosts and callers should send work to this host.
+     * Returns how much longer other hosts and callers should send requests to this host.
      *
-     * @param stoppingMillis the time since it was told to stop
-     * @param others what the other hosts of its region do
+     * @param stoppingMillis the time since the shutdown began
+     * @param peers the availability of the other hosts of its region
      * @return milliseconds, zero if they should send none
      */
-    public long workMillis(long stoppingMillis, OtherHosts others) {
-        return Math.max(0, others.acceptUntilMillis(cutMillis()) - stoppingMillis);
+    public long workMillis(long stoppingMillis, OtherHosts peers) {
+        return Math.max(0, peers.acceptUntilMillis(cutMillis()) - stoppingMillis);
     }
 
     /**
-     * Tells whether a request may begin.
+     * Returns whether a request may begin.
      *
-     * @param stoppingMillis the time since the host was told to stop
-     * @param others what the other hosts of its region do
-     * @param longestMillis the longest time that requests of its kind took of late, if any have ended
+     * @param stoppingMillis the time since the shutdown began
+     * @param peers the availability of the other hosts of its region
+     * @param maxMillis the recent maximum duration of requests of its kind, if any have ended
      * @return whether it may
      */
-    public boolean mayBegin(long stoppingMillis, OtherHosts others, Option<Long> longestMillis) {
-        long leftMillis = cutMillis() - stoppingMillis;
+    public boolean mayBegin(long stoppingMillis, OtherHosts peers, Option<Long> maxMillis) {
+        long remainingMillis = cutMillis() - stoppingMillis;
         if (stoppingMillis < ACCEPT_ALL_MILLIS) {
-            return longestMillis.forAll(longest -> longest <= leftMillis);
+            return maxMillis.forAll(max -> max <= remainingMillis);
         }
-        return workMillis(stoppingMillis, others) > 0 && longestMillis.exists(longest -> DURATION_SAFETY_FACTOR * longest <= leftMillis);
+        return workMillis(stoppingMillis, peers) > 0
+                && maxMillis.exists(max -> DURATION_SAFETY_FACTOR * max <= remainingMillis);
     }
 
     /**
-     * Tells whether connections that carry nothing may be ended, and no new ones be taken.
+     * Returns whether idle connections may be closed and new ones rejected.
      *
-     * @param stoppingMillis the time since the host was told to stop
-     * @param others what the other hosts of its region do
-     * @param hasWork whether a request is under way
-     * @return whether the host begins to end
+     * @param stoppingMillis the time since the shutdown began
+     * @param peers the availability of the other hosts of its region
+     * @param hasWork whether a request is in flight
+     * @return whether the host may begin to close connections
      */
-    public boolean mayEnd(long stoppingMillis, OtherHosts others, boolean hasWork) {
-        if (workMillis(stoppingMillis, others) > 0) {
+    public boolean mayEnd(long stoppingMillis, OtherHosts peers, boolean hasWork) {
+        if (workMillis(stoppingMillis, peers) > 0) {
             return false;
         }
         return stoppingMillis >= ACCEPT_ALL_MILLIS || stoppingMillis >= MIN_SERVE_MILLIS && !hasWork;
     }
 
     /**
-     * When everything that is still under way is cut.
+     * Returns when all remaining connections are closed.
      *
-     * @return milliseconds since the word to stop
+     * @return milliseconds since the shutdown began
      */
     public long cutMillis() {
         return graceMillis - CLOSE_MARGIN_MILLIS;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreFollowers.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreFollowers.java
@@ -11,17 +11,17 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * Which hosts of a region follow the store, and which of these tells each of the others what it learns.
+ * Determines which hosts of a region watch the store, and which of these relays its contents to each of the others.
  *
- * <p>Invariants: hosts that the store answers go before those that it turns away, and among these the larger links first;
- * each other host has one relay, and relays have as many of them as their links bear. Hosts that know the same of each
- * other choose alike. Immutable and thread safe.
+ * <p>Invariants: hosts that the store answers go before those that it rejects, and among these the larger links first;
+ * each other host has one relay, and relays get as many of them as their links can serve. Hosts with the same view
+ * choose alike. Immutable and thread safe.
  */
 public final class StoreFollowers {
-    /** Two may be lost at once. */
+    /** Two watchers may be lost at once. */
     public static final int FEWEST = 3;
 
-    /** So many hosts have one follower among them, so that what a follower tells doesn't grow with the region. */
+    /** One watcher for so many hosts, so that what a watcher relays doesn't grow with the region. */
     public static final int HOSTS_PER_FOLLOWER = 10;
 
     private static final String KEY = "store";
@@ -29,37 +29,37 @@
     private final List<String> watchers;
     private final Map<String, String> relays;
 
-    private StoreFollowers(List<String> followers, Map<String, String> relays) {
-        this.watchers = List.copyOf(followers);
+    private StoreFollowers(List<String> watchers, Map<String, String> relays) {
+        this.watchers = List.copyOf(watchers);
         this.relays = Map.copyOf(relays);
     }
 
     /**
-     * Chooses followers.
+     * Chooses watchers.
      *
-     * @param candidates the hosts of a region that are in touch, each once
+     * @param candidates the hosts of a region that are connected, each once
      * @return the choice
      */
     public static StoreFollowers of(Collection<Candidate> candidates) {
         List<Candidate> ranked = rank(candidates);
         int count = Math.min(ranked.size(), count(ranked.size()));
-        List<Candidate> followers = ranked.subList(0, count);
-        Map<String, String> relays = relays(followers, ranked.subList(count, ranked.size()));
-        return new StoreFollowers(followers.stream().map(Candidate::name).toList(), relays);
+        List<Candidate> watchers = ranked.subList(0, count);
+        Map<String, String> relays = relays(watchers, ranked.subList(count, ranked.size()));
+        return new StoreFollowers(watchers.stream().map(Candidate::name).toList(), relays);
     }
 
     /**
-     * How many hosts of a region follow the store.
+     * Returns how many hosts of a region watch the store.
      *
-     * @param hosts the hosts of the region
-     * @return the number, which may be higher than that of the hosts
+     * @param hosts the number of hosts of the region
+     * @return the number, which may exceed that of the hosts
      */
     static int count(int hosts) {
         return Math.max(FEWEST, (hosts + HOSTS_PER_FOLLOWER - 1) / HOSTS_PER_FOLLOWER);
     }
 
     /**
-     * Whether a host follows the store.
+     * Returns whether a host watches the store.
      *
      * @param host its name
      * @return whether it does
@@ -69,9 +69,9 @@
     }
 
     /**
-     * The host that tells another one what it learns.
+     * Returns the host that relays the store's contents to another one.
      *
-     * @param host the name of a host that doesn't follow the store
+     * @param host the name of a host that doesn't watch the store
      * @return the name of its relay, or none if it is not one of the candidates
      */
     public Option<String> relayFor(String host) {
@@ -79,14 +79,14 @@
     }
 
     /**
-     * How many followers go before one where several could tell a host what it lacks.
+     * Returns how many watchers go before one, where several could send a host what it lacks.
      *
-     * @param follower the name of the follower
-     * @return the number; that of all followers if it is none
+     * @param watcher the name of the watcher
+     * @return the number; that of all watchers if it is none
      */
-    public int turn(String follower) {
-        int at = watchers.indexOf(follower);
-        return at < 0 ? watchers.size() : at;
+    public int turn(String watcher) {
+        int index = watchers.indexOf(watcher);
+        return index < 0 ? watchers.size() : index;
     }
 
     private static List<Candidate> rank(Collection<Candidate> candidates) {
@@ -101,38 +101,38 @@
         return ranked;
     }
 
-    private static Map<String, String> relays(List<Candidate> followers, List<Candidate> others) {
+    private static Map<String, String> relays(List<Candidate> watchers, List<Candidate> hosts) {
         Map<String, String> relays = new HashMap<>();
-        int[] told = new int[followers.size()];
-        for (Candidate other : others) {
-            int least = 0;
-            for (int i = 1; i < told.length; i++) {
-                if (relayLoad(followers.get(i), told[i]) < relayLoad(followers.get(least), told[least])) {
-                    least = i;
+        int[] served = new int[watchers.size()];
+        for (Candidate host : hosts) {
+            int idlest = 0;
+            for (int i = 1; i < served.length; i++) {
+                if (relayLoad(watchers.get(i), served[i]) < relayLoad(watchers.get(idlest), served[idlest])) {
+                    idlest = i;
                 }
             }
-            told[least]++;
-            relays.put(other.name(), followers.get(least).name());
+            served[idlest]++;
+            relays.put(host.name(), watchers.get(idlest).name());
         }
         return relays;
     }
 
-    /** What one more host would make of a follower's work, against its link. */
-    private static double relayLoad(Candidate follower, int told) {
-        return (told + 1) / (double) Math.max(1, follower.linkBytesPerMilli());
+    /** Returns the load of a watcher with one more host, relative to its link. */
+    private static double relayLoad(Candidate watcher, int served) {
+        return (served + 1) / (double) Math.max(1, watcher.linkBytesPerMilli());
     }
 
     /**
-     * A host that could follow the store. Immutable and thread safe.
+     * A host that could watch the store. Immutable and thread safe.
      *
      * @param name its name
      * @param answeredByStore whether the store answers it
-     * @param linkBytesPerMilli what its link takes, zero if it doesn't say
+     * @param linkBytesPerMilli the bandwidth of its link, zero if not reported
      */
     public record Candidate(String name, boolean answeredByStore, long linkBytesPerMilli) {
         public Candidate {
             if (linkBytesPerMilli < 0) {
-                throw new IllegalArgumentException("a link of " + linkBytesPerMilli + " bytes/ms");
+                throw new IllegalArgumentException("negative link rate: " + linkBytesPerMilli + " bytes/ms");
             }
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StreamPace.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StreamPace.java
@@ -1,29 +1,30 @@
 package org.rattanplank.core.gateway;
 
 /**
- * How the streams of an engine get on, as one host or all of them see it. Immutable and thread safe.
+ * Statistics of the streams of an engine, from one host or from all of them. Immutable and thread safe.
  *
- * @param streams the streams that it is about
- * @param totalMillis the times between two events of a stream, added up over the streams
- * @param behind the streams that would end too late at this pace and could still end in time at a better one
+ * @param streams the number of streams
+ * @param totalMillis the time between two events of a stream, summed over the streams
+ * @param behind the streams that would end too late at this inter-token latency and could still end in time at a better
+ *     one
  */
 public record StreamPace(int streams, double totalMillis, int behind) {
-    /** No stream is seen. */
+    /** No stream is known. */
     public static final StreamPace NONE = new StreamPace(0, 0, 0);
 
     /**
-     * Tells whether a pace is known.
+     * Returns whether an inter-token latency is known.
      *
-     * @return whether any stream is seen
+     * @return whether any stream is known
      */
     public boolean isKnown() {
         return streams > 0;
     }
 
     /**
-     * The time between two events of a stream.
+     * Returns the mean time between two events of a stream.
      *
-     * @return milliseconds on the mean, zero if it isn't known
+     * @return milliseconds, zero if it isn't known
      */
     public double millis() {
         return isKnown() ? totalMillis / streams : 0;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
@@ -11,30 +11,35 @@
 import org.rattanplank.core.host.Rendezvous;
 
 /**
- * Chooses the target of the own region that is expected to answer first.
+ * Chooses the target of this host's region that is expected to answer first.
  *
- * <p>Invariants: eligibility goes before the estimate; a cold target gets work only from the one host of the region that
- * owns it. Confined to its owner's thread.
+ * <p>Invariants: eligibility takes precedence over the estimate; a cold target receives requests only from the one host
+ * of the region that rendezvous hashing assigns to it. Confined to its owner's thread.
  */
 public final class TargetChooser {
-    /** The part of a target's connections that one host may use while it knows of others. */
+    /**
+     * Fraction of a target's connections that may be in use when a host sends to it; the rest is left to other hosts.
+     */
     private static final double CONNECTION_FRACTION = 0.9;
 
-    /** Estimates so close are drawn between at random, so that hosts with the same view don't all send to one target. */
+    /**
+     * Estimates that differ by less than this fraction are drawn between at random, so that hosts with the same view
+     * don't all send to one target.
+     */
     private static final double TIE_FRACTION = 0.02;
 
-    /** Each running generation slows the others' tokens a little; this spreads work between idle engines. */
+    /** Slowdown added for each running request, which spreads load between idle engines. */
     private static final double MILLIS_PER_RUNNING_REQUEST = 2;
 
     /**
-     * How much longer a request may wait at a target that keeps its shared parts, for each token that another one would
-     * read again: reading is paid for, and takes the time of others.
+     * Additional wait that is accepted, per token, at a target that has shared prompt parts cached over one that would
+     * recompute them: prefill is billed and delays other requests.
      */
     private static final double RECOMPUTE_COST_MILLIS_PER_TOKEN = 0.05;
 
     /**
-     * The part of the time taken from streams that are behind which counts when a request is refused or sent elsewhere:
-     * most of them survive one more prompt.
+     * Fraction of the time taken from lagging streams that counts when a request is rejected or sent elsewhere: most of
+     * these streams still end in time after one more prompt.
      */
     private static final double DELAY_COST_FRACTION = 0.8;
 
@@ -52,11 +57,11 @@
     }
 
     /**
-     * Makes a chooser.
+     * Creates a chooser.
      *
      * @param self this host's name
      * @param pool the targets of its region
-     * @param random what breaks ties
+     * @param random the random source that breaks ties
      * @return the chooser
      */
     public static TargetChooser of(String self, TargetPool pool, RandomGenerator random) {
@@ -64,12 +69,12 @@
     }
 
     /**
-     * Makes a chooser that may leave mechanisms out.
+     * Creates a chooser that may have mechanisms switched off.
      *
      * @param self this host's name
      * @param pool the targets of its region
-     * @param random what breaks ties
-     * @param mechanisms which mechanisms are in use
+     * @param random the random source that breaks ties
+     * @param mechanisms the mechanisms in use
      * @return the chooser
      */
     public static TargetChooser of(String self, TargetPool pool, RandomGenerator random, Mechanisms mechanisms) {
@@ -77,7 +82,7 @@
     }
 
     /**
-     * What is learnt of a service's times.
+     * Returns the latency model of a service.
      *
      * @param service the service
      * @return its model
@@ -90,31 +95,32 @@
      * Chooses a target.
      *
      * @param service the service
-     * @param work what is asked
-     * @param excluded the texts of runs of targets that must not be chosen
-     * @param region the hosts of this region
+     * @param work the work of the request
+     * @param excluded the texts of incarnations that must not be chosen
+     * @param regionView the hosts of this region
      * @param nowMillis the time
-     * @return the choice, or none if no target may take it
+     * @return the choice, or none if no target may accept the request
      */
     public Option<Choice> choose(
-            ServiceRule service, Work work, Set<String> excluded, RegionView region, long nowMillis) {
-        List<GatewayTarget> eligible = healthyOrAll(eligible(service, excluded, region, nowMillis), nowMillis);
+            ServiceRule service, Work work, Set<String> excluded, RegionView regionView, long nowMillis) {
+        List<GatewayTarget> eligible = healthyOrAll(eligible(service, excluded, regionView, nowMillis), nowMillis);
         List<PromptPart> shared = work.sharedParts();
         int sharedTokens = work.sharedTokens();
-        GatewayTarget keeper = mechanisms.uses(Mechanism.KEEPER) ? affinityTarget(eligible, shared) : null;
-        double readAgainMillisPerToken = mechanisms.uses(Mechanism.READ_AGAIN) ? RECOMPUTE_COST_MILLIS_PER_TOKEN : 0;
-        EngineStreamCosts paces = streamCosts(eligible, service, nowMillis);
+        GatewayTarget affinityTarget = mechanisms.uses(Mechanism.KEEPER) ? affinityTarget(eligible, shared) : null;
+        double recomputeMillisPerToken = mechanisms.uses(Mechanism.READ_AGAIN) ? RECOMPUTE_COST_MILLIS_PER_TOKEN : 0;
+        EngineStreamCosts streamCosts = streamCosts(eligible, service, nowMillis);
         GatewayTarget best = null;
         double bestMillis = Double.MAX_VALUE;
         for (GatewayTarget target : eligible) {
-            int readTokens = prefillTokens(target, work, keeper);
-            double firstMillis = expectedMillis(target, service, work, readTokens, nowMillis);
-            int readAgainTokens = target == keeper ? 0 : Math.max(0, sharedTokens - target.cachedTokens(shared));
-            double millis = firstMillis * (1 + TIE_FRACTION * random.nextDouble())
-                    + overrunMillis(paces, target, work, firstMillis)
-                    + paces.delayCostMillis(target, readTokens)
-                    + paces.reservedCostMillis(target, readTokens)
-                    + readAgainMillisPerToken * readAgainTokens;
+            int prefillTokens = prefillTokens(target, work, affinityTarget);
+            double firstEventMillis = expectedMillis(target, service, work, prefillTokens, nowMillis);
+            int recomputeTokens =
+                    target == affinityTarget ? 0 : Math.max(0, sharedTokens - target.cachedTokens(shared));
+            double millis = firstEventMillis * (1 + TIE_FRACTION * random.nextDouble())
+                    + overrunMillis(streamCosts, target, work, firstEventMillis)
+                    + streamCosts.delayCostMillis(target, prefillTokens)
+                    + streamCosts.reservedCostMillis(target, prefillTokens)
+                    + recomputeMillisPerToken * recomputeTokens;
             if (millis < bestMillis) {
                 best = target;
                 bestMillis = millis;
@@ -123,122 +129,136 @@
         if (best == null) {
             return Option.none();
         }
-        int readTokens = prefillTokens(best, work, keeper);
-        double firstMillis = expectedMillis(best, service, work, readTokens, nowMillis);
-        Outlook outlook = new Outlook(
+        int prefillTokens = prefillTokens(best, work, affinityTarget);
+        double firstEventMillis = expectedMillis(best, service, work, prefillTokens, nowMillis);
+        Outlook estimate = new Outlook(
                 "",
                 queueWaitMillis(best, service, work, nowMillis),
-                firstMillis,
+                firstEventMillis,
                 hasSpareCapacity(best, work)
                         ? 0
-                        : paces.delayCostMillis(best, chargedTokens(service, work.urgency(), readTokens)),
-                overrunMillis(paces, best, work, firstMillis));
-        return Option.some(
-                new Choice(best, outlook, readTokens, eligible.size(), transferSource(best, keeper, shared, sharedTokens)));
+                        : streamCosts.delayCostMillis(best, chargedTokens(service, work.urgency(), prefillTokens)),
+                overrunMillis(streamCosts, best, work, firstEventMillis));
+        return Option.some(new Choice(
+                best,
+                estimate,
+                prefillTokens,
+                eligible.size(),
+                transferSource(best, affinityTarget, shared, sharedTokens)));
     }
 
-    /** Expects the time to a target's first event or answer. */
+    /** Estimates the time to a target's first event or answer. */
     private double expectedMillis(
-            GatewayTarget target, ServiceRule service, Work work, int readTokens, long nowMillis) {
+            GatewayTarget target, ServiceRule service, Work work, int prefillTokens, long nowMillis) {
         LatencyModel model = model(service.name());
         int requests = target.all().requests();
         if (!service.isModel()) {
             return model.answerMillis(requests, target.slots());
         }
-        double tokens = target.all().waiting().ahead(work.urgency()) + (double) readTokens;
+        double tokens = target.all().waiting().ahead(work.urgency()) + (double) prefillTokens;
         return roomMillis(target, service, work)
                 + model.firstEventMillis(tokens, work.urgency(), nowMillis)
                 + MILLIS_PER_RUNNING_REQUEST * Math.min(requests, target.slots());
     }
 
-    /** Whether nothing waits at a target and most of its places are free: a refusal would help nobody there. */
+    /**
+     * Whether no prefill is pending at a target and most of its slots are free: rejecting a request there would help no
+     * other one.
+     */
     private static boolean hasSpareCapacity(GatewayTarget target, Work work) {
         return target.all().waiting().ahead(work.urgency()) <= 0
                 && 2 * target.all().requests() < target.slots();
     }
 
     /**
-     * The tokens of a prompt that a target would have to read. The one that keeps its shared parts has read them for any
-     * host of the region; this host alone has sent it only a few of them.
+     * Returns the tokens of a prompt that a target would have to prefill. The affinity target has the shared parts
+     * cached for every host of the region, though this host alone has sent it only a few of them.
      */
-    private static int prefillTokens(GatewayTarget target, Work work, GatewayTarget keeper) {
+    private static int prefillTokens(GatewayTarget target, Work work, GatewayTarget affinityTarget) {
         int uncachedTokens = target.uncachedTokens(work);
-        return target == keeper
+        return target == affinityTarget
                 ? Math.min(uncachedTokens, Math.max(0, work.promptTokens() - work.sharedTokens()))
                 : uncachedTokens;
     }
 
     /**
-     * Chooses a target that a request is not refused for, if there is one: one that ends a long stream soonest may have so
-     * much to read that the stream would be refused there, while another begins it in time.
+     * Chooses a target at which the request would not be rejected, if there is one. The target that would end a long
+     * stream soonest may have so much prefill pending that the stream would be rejected there, while another one begins
+     * it in time.
      *
-     * @param demand the request
-     * @param region the hosts of this region
+     * @param request the request
+     * @param regionView the hosts of this region
      * @param nowMillis the time
-     * @return the choice, or none if no target may take it
+     * @return the choice, or none if no target may accept the request
      */
-    public Option<Choice> choose(Demand demand, RegionView region, long nowMillis) {
-        Option<Choice> best = choose(demand, demand.work(), region, nowMillis);
-        if (!demand.service().isModel() || !best.exists(choice -> isRejected(choice, demand))) {
+    public Option<Choice> choose(Demand request, RegionView regionView, long nowMillis) {
+        Option<Choice> best = choose(request, request.work(), regionView, nowMillis);
+        if (!request.service().isModel() || !best.exists(choice -> isRejected(choice, request))) {
             return best;
         }
-        return choose(demand, demand.work().within(0), region, nowMillis)
-                .filter(choice -> !isRejected(choice, demand))
+        return choose(request, request.work().within(0), regionView, nowMillis)
+                .filter(choice -> !isRejected(choice, request))
                 .orElse(best);
     }
 
-    private Option<Choice> choose(Demand demand, Work work, RegionView region, long nowMillis) {
-        return choose(demand.service(), work, demand.tried(), region, nowMillis);
+    private Option<Choice> choose(Demand request, Work work, RegionView regionView, long nowMillis) {
+        return choose(request.service(), work, request.tried(), regionView, nowMillis);
     }
 
-    private static boolean isRejected(Choice choice, Demand demand) {
+    private static boolean isRejected(Choice choice, Demand request) {
         return choice.outlook()
-                .shouldRefuse(demand.route().objectiveMillis(), demand.work().urgency());
+                .shouldRefuse(request.route().objectiveMillis(), request.work().urgency());
     }
 
     /**
-     * What other regions are told of the streams that run here.
+     * Returns the statistics of the streams of this region that are reported to other regions.
      *
      * @param service their service
-     * @param region the hosts of this region
+     * @param regionView the hosts of this region
      * @param nowMillis the time
-     * @return how they get on
+     * @return the statistics
      */
-    public RegionStreams streams(ServiceRule service, RegionView region, long nowMillis) {
-        EngineStreamCosts paces = streamCosts(eligible(service, Set.of(), region, nowMillis), service, nowMillis);
-        return new RegionStreams(paces.bestInterTokenMillis(), paces.delayCostMillisPerToken());
+    public RegionStreams streams(ServiceRule service, RegionView regionView, long nowMillis) {
+        EngineStreamCosts streamCosts =
+                streamCosts(eligible(service, Set.of(), regionView, nowMillis), service, nowMillis);
+        return new RegionStreams(streamCosts.bestInterTokenMillis(), streamCosts.delayCostMillisPerToken());
     }
 
     /**
-     * The tokens for which a prompt is charged when it is refused or sent elsewhere for the streams that it delays. A large
-     * one is charged like others of its urgency: or the largest would never be served while any stream is behind.
+     * Returns the tokens for which a prompt is charged, when it is rejected or sent elsewhere because of the streams
+     * that it delays. A large prompt is charged like the mean of its urgency; otherwise the largest would never be
+     * served while any stream is lagging.
      *
      * @param service its service
      * @param urgency its urgency
-     * @param readTokens the tokens that would be read
+     * @param prefillTokens the tokens that would be prefilled
      * @return tokens
      */
-    double chargedTokens(ServiceRule service, Urgency urgency, int readTokens) {
-        return DELAY_COST_FRACTION * Math.min(readTokens, model(service.name()).usualTokens(urgency));
+    double chargedTokens(ServiceRule service, Urgency urgency, int prefillTokens) {
+        return DELAY_COST_FRACTION
+                * Math.min(prefillTokens, model(service.name()).usualTokens(urgency));
     }
 
     private EngineStreamCosts streamCosts(List<GatewayTarget> eligible, ServiceRule service, long nowMillis) {
         return mechanisms.uses(Mechanism.SPARE_STREAMS)
-                ? EngineStreamCosts.of(eligible, service, model(service.name()).readMillisPerToken(nowMillis), nowMillis)
+                ? EngineStreamCosts.of(
+                        eligible, service, model(service.name()).readMillisPerToken(nowMillis), nowMillis)
                 : EngineStreamCosts.of(eligible, service, 0, nowMillis);
     }
 
     /**
-     * How much longer a stream would take than it may. An engine that reads many prompts makes the streams beside them
-     * slow: long ones end at their time without their last events, while another engine would have ended them.
+     * Estimates by how much a stream would exceed its time. An engine that prefills many prompts slows down the streams
+     * beside them: long ones reach their time-out without their last events, while another engine would have ended
+     * them.
      */
-    private double overrunMillis(EngineStreamCosts paces, GatewayTarget target, Work work, double firstMillis) {
-        return mechanisms.uses(Mechanism.END_IN_TIME) ? paces.overrunMillis(target, work, firstMillis) : 0;
+    private double overrunMillis(
+            EngineStreamCosts streamCosts, GatewayTarget target, Work work, double firstEventMillis) {
+        return mechanisms.uses(Mechanism.END_IN_TIME) ? streamCosts.overrunMillis(target, work, firstEventMillis) : 0;
     }
 
     /**
-     * Leaves out targets that fail, unless that would leave fewer than half: when all fail alike, leaving some out helps
-     * none and takes the room of those that would have been answered. One would see refusals while targets are idle.
+     * Leaves out ejected targets unless fewer than half would remain: when all fail alike, leaving some out takes away
+     * the capacity of those that would have answered. Symptom: rejected requests while targets are idle.
      */
     private List<GatewayTarget> healthyOrAll(List<GatewayTarget> eligible, long nowMillis) {
         if (!mechanisms.uses(Mechanism.LEAVE_OUT_FAILING)) {
@@ -254,32 +274,34 @@
     }
 
     /**
-     * The target that keeps a prompt's shared parts for all hosts of the region, by their hash. Without it, each host
-     * would have its own target read them, and prompts would be read again that another target holds.
+     * Returns the affinity target of a prompt's shared parts, assigned by rendezvous hashing and the same on all hosts
+     * of the region. Without it, each host would have its own target prefill them, and prompts would be recomputed that
+     * another target has cached.
      */
     private static GatewayTarget affinityTarget(List<GatewayTarget> eligible, List<PromptPart> shared) {
         if (shared.isEmpty()) {
             return null;
         }
-        long partHash = Rendezvous.hash(shared.get(shared.size() - 1).id());
-        GatewayTarget keeper = null;
+        long prefixHash = Rendezvous.hash(shared.get(shared.size() - 1).id());
+        GatewayTarget affinityTarget = null;
         for (GatewayTarget target : eligible) {
-            if (keeper == null || target.affinityScore(partHash) > keeper.affinityScore(partHash)) {
-                keeper = target;
+            if (affinityTarget == null || target.affinityScore(prefixHash) > affinityTarget.affinityScore(prefixHash)) {
+                affinityTarget = target;
             }
         }
-        return keeper;
+        return affinityTarget;
     }
 
     /**
-     * Where the chosen target may copy shared parts from: the one that keeps them, if it is not the chosen one. Copying a
-     * part takes an engine far less time than reading it. On eight days with trouble a fifth to a quarter fewer tokens of
-     * shared parts were read again with it (1.9 instead of 2.5 million a day), and 2 to 5 % fewer tokens in all.
+     * Returns the target from which the chosen one may transfer the shared prefix: the affinity target, if it is
+     * another one. A transfer takes an engine far less time than prefill. On days with faults it saves 20 to 25 % of
+     * the recomputed tokens of shared parts (1.9 instead of 2.5 million a day), and 2 to 5 % of all prefilled tokens.
      */
     private Option<GatewayTarget> transferSource(
-            GatewayTarget chosen, GatewayTarget keeper, List<PromptPart> shared, int sharedTokens) {
-        boolean lacksParts = keeper != null && keeper != chosen && chosen.cachedTokens(shared) < sharedTokens;
-        return lacksParts && mechanisms.uses(Mechanism.COPY_PARTS) ? Option.some(keeper) : Option.none();
+            GatewayTarget chosen, GatewayTarget affinityTarget, List<PromptPart> shared, int sharedTokens) {
+        boolean lacksPrefix =
+                affinityTarget != null && affinityTarget != chosen && chosen.cachedTokens(shared) < sharedTokens;
+        return lacksPrefix && mechanisms.uses(Mechanism.COPY_PARTS) ? Option.some(affinityTarget) : Option.none();
     }
 
     private double queueWaitMillis(GatewayTarget target, ServiceRule service, Work work, long nowMillis) {
@@ -290,16 +312,16 @@
                             - model(service.name()).answerMillis(0, 1));
         }
         double tokens = target.all().waiting().ahead(work.urgency());
-        double perToken = model(service.name()).perUnitMillis(true, work.urgency(), target.slots(), nowMillis);
-        return roomMillis(target, service, work) + tokens * perToken;
+        double millisPerToken = model(service.name()).perUnitMillis(true, work.urgency(), target.slots(), nowMillis);
+        return roomMillis(target, service, work) + tokens * millisPerToken;
     }
 
     /**
-     * Expects the time that a request waits at an engine for a slot and memory.
+     * Estimates the time that a request waits at an engine for a slot and KV cache memory.
      *
      * @param target the engine
      * @param service its service
-     * @param work what is asked
+     * @param work the work of the request
      * @return milliseconds
      */
     public double roomMillis(GatewayTarget target, ServiceRule service, Work work) {
@@ -314,10 +336,11 @@
                         target.all().memoryTokens());
     }
 
-    private List<GatewayTarget> eligible(ServiceRule service, Set<String> excluded, RegionView region, long nowMillis) {
+    private List<GatewayTarget> eligible(
+            ServiceRule service, Set<String> excluded, RegionView regionView, long nowMillis) {
         List<GatewayTarget> eligible = new ArrayList<>();
         for (GatewayTarget target : pool.all()) {
-            if (isEligible(target, service, excluded, region, nowMillis)) {
+            if (isEligible(target, service, excluded, regionView, nowMillis)) {
                 eligible.add(target);
             }
         }
@@ -325,7 +348,7 @@
     }
 
     private boolean isEligible(
-            GatewayTarget target, ServiceRule service, Set<String> excluded, RegionView region, long nowMillis) {
+            GatewayTarget target, ServiceRule service, Set<String> excluded, RegionView regionView, long nowMillis) {
         if (!target.entry().service().equals(service.name()) || excluded.contains(target.runText())) {
             return false;
         }
@@ -335,20 +358,21 @@
         if (service.maxConnections() > 0 && target.all().requests() >= CONNECTION_FRACTION * service.maxConnections()) {
             return false;
         }
-        return !target.isCold(nowMillis) || mayWarmUp(target, service, region, nowMillis);
+        return !target.isCold(nowMillis) || mayWarmUp(target, service, regionView, nowMillis);
     }
 
     /**
-     * Whether this host may send to a cold target. Without one owner, each host would send as much as the target bears
-     * by itself, and it would crash again; one would see it restart in a loop. A host that isn't sure to know all others
-     * may wrongly take itself for the owner, so it sends nothing there: a warm target, or another region, has to do.
+     * Whether this host may send to a cold target. If several hosts warmed it up, each would send as much as the target
+     * sustains in total and crash it again; symptom: it restarts in a loop. A host whose view of the region may be
+     * incomplete could wrongly consider itself assigned, so it sends nothing there: a warm target, or another region,
+     * has to serve the request.
      */
-    private boolean mayWarmUp(GatewayTarget target, ServiceRule service, RegionView region, long nowMillis) {
-        if (!region.certain()
-                || !Rendezvous.rank(region.hosts(), target.id()).get(0).equals(self)) {
+    private boolean mayWarmUp(GatewayTarget target, ServiceRule service, RegionView regionView, long nowMillis) {
+        if (!regionView.certain()
+                || !Rendezvous.rank(regionView.hosts(), target.id()).get(0).equals(self)) {
             return false;
         }
-        int mostPerSecond = Math.max(1, (int) Math.floor(service.coldPerSecond()));
-        return target.hasColdCapacity(mostPerSecond, nowMillis);
+        int maxPerSecond = Math.max(1, (int) Math.floor(service.coldPerSecond()));
+        return target.hasColdCapacity(maxPerSecond, nowMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * What a target says of itself. Immutable and thread safe.
+ * The entry that a target writes about itself. Immutable and thread safe.
  *
- * @param run which run of which target says it
+ * @param run the incarnation that wrote it
  * @param service the service that it belongs to
  * @param ip its IP address
  * @param port its port
- * @param dataCentre where it stands
- * @param slots the requests that it works on at once
- * @param leaving whether it takes no new work
- * @param coldMillis how long it stays cold, as of when this was written
+ * @param dataCentre its data centre
+ * @param slots the requests that it processes concurrently
+ * @param leaving whether it accepts no new work
+ * @param coldMillis how long it stays cold, counted from the time of writing
  */
 public record TargetEntry(
         TargetRun run,
@@ -31,9 +31,9 @@
     }
 
     /**
-     * The identifier of the target.
+     * Returns the identifier of the target.
      *
-     * @return the identifier, which a later run may have as well
+     * @return the identifier, which a later incarnation may share
      */
     public String id() {
         return run.id();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
@@ -1,38 +1,46 @@
 package org.rattanplank.core.gateway;
 
 /**
- * Whether a target is left out because of what this host's own attempts met there, and how it is let back.
+ * Ejects a target because of this host's own failed attempts there, and restores it.
  *
- * <p>Invariant: while a target is left out it gets nothing; after that, one request at a time until enough of them have
- * succeeded. The time out doubles with each one in a row, up to a bound. Confined to its owner's thread.
+ * <p>Invariant: an ejected target gets no requests; after that, one at a time until enough of them have succeeded. The
+ * ejection time doubles with each ejection in a row, up to a bound. Confined to its owner's thread.
  */
 final class TargetHealth {
-    /** Connections refused or silent in a row: such a target runs nothing, and each costs its caller a time-out. */
+    /**
+     * Connections in a row that were rejected or not answered: such a target runs nothing, and each attempt costs its
+     * caller a time-out.
+     */
     static final int MAX_CONSECUTIVE_UNREACHABLE = 1;
 
-    /** Failed answers in a row. Plain services fail one request in seven by themselves; four in a row are rare then. */
+    /**
+     * Failed answers in a row. Plain services fail one request in seven by themselves, so that four in a row are rare.
+     */
     static final int MAX_CONSECUTIVE_FAILURES = 4;
 
-    /** A crashed target is back after some seconds under another identifier; a second finds a short cut's end soon. */
+    /**
+     * A crashed target is back after some seconds under another identifier; after a second the end of a short partition
+     * is noticed soon.
+     */
     static final long BASE_EJECTION_MILLIS = 1_000;
 
-    /** A lasting fault costs one trial in so long. */
+    /** A lasting fault costs one trial request per ejection. */
     static final long MAX_EJECTION_MILLIS = 4_000;
 
     private static final int SUCCESSES_TO_RESTORE = 2;
 
-    private int recordUnreachable;
+    private int consecutiveUnreachable;
     private int consecutiveFailures;
     private int ejections;
     private int successes;
     private long ejectedUntilMillis;
     private boolean ejectedAsUnreachable;
 
-    boolean isHealthy(int own, long nowMillis) {
-        return nowMillis >= ejectedUntilMillis && (ejections == 0 || own == 0);
+    boolean isHealthy(int ownRequests, long nowMillis) {
+        return nowMillis >= ejectedUntilMillis && (ejections == 0 || ownRequests == 0);
     }
 
-    /** Whether it may be asked when too few others are left: it answers, though with failures. */
+    /** Whether it may be used when too few others remain: it answers, though with failures. */
     boolean isReachable(long nowMillis) {
         return nowMillis >= ejectedUntilMillis || !ejectedAsUnreachable;
     }
@@ -43,15 +51,15 @@
 
     void recordSuccess() {
         consecutiveFailures = 0;
-        recordUnreachable = 0;
+        consecutiveUnreachable = 0;
         if (ejections > 0 && ++successes >= SUCCESSES_TO_RESTORE) {
             ejections = 0;
         }
     }
 
     void recordUnreachable(long nowMillis) {
-        recordUnreachable++;
-        if (recordUnreachable >= MAX_CONSECUTIVE_UNREACHABLE || ejections > 0) {
+        consecutiveUnreachable++;
+        if (consecutiveUnreachable >= MAX_CONSECUTIVE_UNREACHABLE || ejections > 0) {
             eject(true, nowMillis);
         }
     }
@@ -72,6 +80,6 @@
         ejections++;
         successes = 0;
         consecutiveFailures = 0;
-        recordUnreachable = 0;
+        consecutiveUnreachable = 0;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
@@ -12,20 +12,22 @@
 import io.vavr.control.Option;
 
 /**
- * The targets of this host's region and what may be sent to them.
+ * The targets of this host's region and whether requests may be sent to them.
  *
- * <p>Invariants: a target in a data centre that is being evacuated takes nothing; a run that left takes nothing even if
- * an old entry of it turns up again; of the runs of one target only the one that began last is here, and an entry of an
- * earlier one changes nothing. Confined to its owner's thread.
+ * <p>Invariants: a target in a data centre that is being evacuated gets no requests; an incarnation that left gets none
+ * even if an old entry of it arrives again; of the incarnations of one target the pool has only the one that started
+ * last, and an entry of an earlier one changes nothing. Confined to its owner's thread.
  */
 public final class TargetPool {
-    /** Entries that lapsed while the store was out are back about two seconds after it; a margin is added. */
+    /** Entries that expired during a store outage are back about two seconds after it; a margin is added. */
     static final long REMOVAL_GRACE_MILLIS = 2_300;
 
-    /** How long a target that left is remembered, longer than any old entry of it can turn up. */
+    /** How long a target that left is remembered, longer than old entries of it can still arrive. */
     private static final long DEPARTED_RETENTION_MILLIS = 120_000;
 
-    /** How long targets of a data centre count as cold after its evacuation if their entries don't say more. */
+    /**
+     * How long targets of a data centre count as cold after its evacuation unless their entries state a longer time.
+     */
     private static final long COLD_AFTER_EVACUATION_MILLIS = 1_500;
 
     private final Set<String> dataCentres;
@@ -34,7 +36,10 @@
     private final Set<String> evacuated = new HashSet<>();
     private long removalGraceUntilMillis;
 
-    /** Where targets tell their runs, all do: an entry that tells none is not a target's own, and isn't used. */
+    /**
+     * Whether any target has reported its incarnation. If one does, all do: an entry without an incarnation was not
+     * written by its target and isn't used.
+     */
     private boolean incarnationsReported;
 
     private TargetPool(Set<String> dataCentres) {
@@ -42,7 +47,7 @@
     }
 
     /**
-     * Makes an empty pool.
+     * Creates an empty pool.
      *
      * @param dataCentres the data centres of this host's region; targets elsewhere can't be reached from here
      * @return the pool
@@ -52,9 +57,9 @@
     }
 
     /**
-     * All targets of the region.
+     * Returns all targets of the region.
      *
-     * @return the targets, those that leave included
+     * @return the targets, leaving ones included
      */
     public Collection<GatewayTarget> all() {
         return targets.values();
@@ -71,11 +76,11 @@
     }
 
     /**
-     * Finds a run of a target.
+     * Finds an incarnation of a target.
      *
-     * @param text the run as other hosts name it
-     * @return the target, or none if this run is not the one that lives, as far as known; a host of an earlier version
-     *     names no run, so that its word counts only where targets tell none
+     * @param text the text of the incarnation in messages between hosts
+     * @return the target, or none if this is not its current incarnation; a host of an earlier version sends no
+     *     incarnation, so that its reports count only where targets report none
      */
     public Option<GatewayTarget> findRun(String text) {
         return find(text).orElse(() -> find(TargetRun.idFromText(text))).filter(target -> target.runText()
@@ -83,41 +88,41 @@
     }
 
     /**
-     * Takes a target's newest entry.
+     * Updates a target from its newest entry.
      *
      * @param entry the entry
      * @param nowMillis the time
-     * @return what this changed
+     * @return the resulting change
      */
     public EntryChange entered(TargetEntry entry, long nowMillis) {
         incarnationsReported |= entry.run().bornMillis() > 0;
-        GatewayTarget known = targets.get(entry.id());
-        if (known != null && entry.run().isBefore(known.run())) {
+        GatewayTarget current = targets.get(entry.id());
+        if (current != null && entry.run().isBefore(current.run())) {
             return EntryChange.NONE;
         }
-        if (known != null && known.run().equals(entry.run())) {
-            return known.update(entry, nowMillis) ? EntryChange.of(known) : EntryChange.NONE;
+        if (current != null && current.run().equals(entry.run())) {
+            return current.update(entry, nowMillis) ? EntryChange.of(current) : EntryChange.NONE;
         }
-        if (known != null) {
-            // Whatever was believed of the earlier run is wrong of this one: what it keeps, its health, that it leaves.
-            // Believed on, it would be passed over for as long as it lives, or flooded while it is cold.
+        if (current != null) {
+            // No state of the earlier incarnation holds for this one: cached parts, health or leaving. If it were
+            // retained, the target would be passed over for as long as it lives, or overloaded while it is cold.
             targets.remove(entry.id());
-            known.markTerminated();
-            departed.put(entry.id(), new Departed(known.run(), nowMillis));
+            current.markTerminated();
+            departed.put(entry.id(), new Departed(current.run(), nowMillis));
         }
-        Departed before = departed.get(entry.id());
-        boolean isNews = before == null || before.incarnation().isBefore(entry.run());
-        if (isNews && dataCentres.contains(entry.dataCentre())) {
-            GatewayTarget begun = new GatewayTarget(entry, nowMillis);
-            targets.put(entry.id(), begun);
-            return new EntryChange(Option.some(begun), Option.of(known));
+        Departed previous = departed.get(entry.id());
+        boolean isNewer = previous == null || previous.incarnation().isBefore(entry.run());
+        if (isNewer && dataCentres.contains(entry.dataCentre())) {
+            GatewayTarget started = new GatewayTarget(entry, nowMillis);
+            targets.put(entry.id(), started);
+            return new EntryChange(Option.some(started), Option.of(current));
         }
-        return new EntryChange(Option.none(), Option.of(known));
+        return new EntryChange(Option.none(), Option.of(current));
     }
 
     /**
-     * Takes note that a target's entry names no target to use any more. What is believed of it is kept for the next
-     * sound entry of the same run: the target itself says so again and again, so one that lives is soon back.
+     * Records that a target's entry names no usable target any more. Its state is retained for the next readable entry
+     * of the same incarnation: the target rewrites its entry periodically, so one that is alive is soon back.
      *
      * @param id its identifier
      */
@@ -126,7 +131,7 @@
     }
 
     /**
-     * Takes note that the store is back after a time without it.
+     * Records that the store is available again after an outage.
      *
      * @param nowMillis the time
      */
@@ -135,19 +140,19 @@
     }
 
     /**
-     * How much longer a removed entry may come back.
+     * Returns how much longer a removed entry may be restored.
      *
      * @param nowMillis the time
-     * @return milliseconds, zero if removals count at once
+     * @return milliseconds, zero if removals take effect at once
      */
     public long lenientMillis(long nowMillis) {
         return Math.max(0, removalGraceUntilMillis - nowMillis);
     }
 
     /**
-     * Lets removed entries come back, as another host that saw the store return does.
+     * Extends the time in which removed entries may be restored, as another host that saw the store recover reports it.
      *
-     * @param millis for how long
+     * @param millis the time from now
      * @param nowMillis the time
      */
     public void beLenient(long millis, long nowMillis) {
@@ -155,7 +160,7 @@
     }
 
     /**
-     * Takes note that a target has no entry any more.
+     * Records that the entry of a target was removed.
      *
      * @param id its identifier
      * @param nowMillis the time
@@ -166,8 +171,8 @@
             return;
         }
         if (nowMillis < removalGraceUntilMillis) {
-            // The entry may have lapsed while the store was out, and the target lives: dropping it now would leave the
-            // region with few targets or none for seconds, which one would see as refusals right after an outage.
+            // The entry may have expired during the store outage while the target is alive: dropping it now would leave
+            // the region with few targets or none for seconds. Symptom: rejected requests right after an outage.
             target.markMissing(nowMillis);
         } else {
             drop(id, nowMillis);
@@ -175,23 +180,23 @@
     }
 
     /**
-     * Ends the targets that stayed away.
+     * Drops the targets whose entries were not restored in time.
      *
      * @param nowMillis the time
-     * @return the identifiers of those that are gone now
+     * @return the identifiers of the dropped targets
      */
     public List<String> tick(long nowMillis) {
-        List<String> gone = new ArrayList<>();
+        List<String> removed = new ArrayList<>();
         if (nowMillis >= removalGraceUntilMillis) {
             for (GatewayTarget target : targets.values()) {
                 if (target.isMissingFor(0, nowMillis)) {
-                    gone.add(target.id());
+                    removed.add(target.id());
                 }
             }
         }
-        gone.forEach(id -> drop(id, nowMillis));
+        removed.forEach(id -> drop(id, nowMillis));
         departed.values().removeIf(each -> nowMillis - each.departedAtMillis() > DEPARTED_RETENTION_MILLIS);
-        return gone;
+        return removed;
     }
 
     /**
@@ -205,8 +210,8 @@
         if (active) {
             evacuated.add(dataCentre);
         } else if (evacuated.remove(dataCentre)) {
-            // Targets may have become cold meanwhile and their entries may say so a little later: the first burst after
-            // an evacuation would crash them.
+            // Targets may have become cold meanwhile, and their entries may report it a little later: the first burst
+            // after an evacuation would crash them.
             targets.values().stream()
                     .filter(target -> target.entry().dataCentre().equals(dataCentre))
                     .forEach(target -> target.extendColdPeriod(COLD_AFTER_EVACUATION_MILLIS, nowMillis));
@@ -214,7 +219,7 @@
     }
 
     /**
-     * The data centres that are being evacuated.
+     * Returns the data centres that are being evacuated.
      *
      * @return their names
      */
@@ -236,6 +241,6 @@
         }
     }
 
-    /** The last run of a target that left, and when that was noticed. */
+    /** The last incarnation of a target that left, and when that was noticed. */
     private record Departed(TargetRun incarnation, long departedAtMillis) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetRun.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetRun.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * One run of a target, from its start to its end. A target that starts again may do so under its identifier; it then
- * holds nothing of before, and only the time of its start tells the two runs apart. Immutable and thread safe.
+ * One incarnation of a target, from its start to its termination. A target that restarts may keep its identifier; it
+ * then holds no earlier state, and only its start time distinguishes the two incarnations. Immutable and thread safe.
  *
  * @param id the target's identifier
- * @param bornMillis the time of its start by its own clock, in milliseconds since 1970; 0 if it doesn't say
+ * @param bornMillis the start time by its own clock, in milliseconds since 1970; 0 if not reported
  */
 public record TargetRun(String id, long bornMillis) {
     private static final char SEPARATOR = '@';
@@ -15,16 +15,16 @@
     public TargetRun {
         Objects.requireNonNull(id, "id");
         if (bornMillis < 0) {
-            throw new IllegalArgumentException("a target can't have started before 1970");
+            throw new IllegalArgumentException("target start time is before 1970");
         }
     }
 
     /**
-     * Tells whether this run began before another one of the same target. Between two runs the one that began later is
-     * the one that lives: what was written of the other came late. A run that doesn't say when it began is older than
-     * any that does.
+     * Returns whether this incarnation started before another one of the same target. Of two incarnations the one that
+     * started later is alive: messages about the other one were delayed. An incarnation without a start time is older
+     * than any with one.
      *
-     * @param other the other run
+     * @param other the other incarnation
      * @return whether it did
      */
     public boolean isBefore(TargetRun other) {
@@ -32,15 +32,15 @@
     }
 
     /**
-     * How the run is named in messages between hosts and in log lines.
+     * Returns the name of the incarnation in messages between hosts and in log lines.
      *
-     * @return the identifier, followed by the time of the start if it is known
+     * @return the identifier, followed by the start time if it is known
      */
     public String text() {
         return bornMillis == 0 ? id : id + SEPARATOR + bornMillis;
     }
 
-    /** The identifier of the target in a text that ends with the time of a start. */
+    /** Returns the identifier of the target in a text that ends with a start time. */
     static String idFromText(String text) {
         return text.substring(0, Math.max(0, text.lastIndexOf(SEPARATOR)));
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
@@ -8,13 +8,16 @@
 /**
  * The streams that run at one target.
  *
- * <p>Invariant: what another host told counts until it tells anew or is lost. Confined to its owner's thread.
+ * <p>Invariant: a report of another host is valid until its next one or until that host is lost. Confined to its
+ * owner's thread.
  */
 public final class TargetStreams {
-    /** A pace is believed so long; an engine's load changes within seconds. */
+    /** How long an observed inter-token latency is valid; an engine's load changes within seconds. */
     private static final long STATS_VALIDITY_MILLIS = 3_000;
 
-    /** Some tens of streams bring that many events in a fraction of a second. */
+    /**
+     * Weight of a new event; some tens of streams produce enough events for a new mean within a fraction of a second.
+     */
     private static final double SMOOTHING = 0.05;
 
     private final Set<SentRequest> running = new LinkedHashSet<>();
@@ -22,7 +25,7 @@
     private double interTokenMillis;
     private long intervalAtMillis = Long.MIN_VALUE / 2;
 
-    /** The sum of what other hosts told, kept rather than worked out: each choice asks for it of each target. */
+    /** The sum of what other hosts reported, maintained incrementally as each choice reads it for each target. */
     private StreamPace otherHostsStats = StreamPace.NONE;
 
     void add(SentRequest stream) {
@@ -34,51 +37,52 @@
     }
 
     void recordEventInterval(double millis, long nowMillis) {
-        interTokenMillis = hasRecentInterval(nowMillis) ? interTokenMillis + SMOOTHING * (millis - interTokenMillis) : millis;
+        interTokenMillis =
+                hasRecentInterval(nowMillis) ? interTokenMillis + SMOOTHING * (millis - interTokenMillis) : millis;
         intervalAtMillis = nowMillis;
     }
 
     /**
-     * What this host sees of its own streams.
+     * Returns the statistics of this host's own streams.
      *
      * @param nowMillis the time
-     * @return how they get on
+     * @return the statistics
      */
     public StreamPace own(long nowMillis) {
         if (!hasRecentInterval(nowMillis)) {
             return StreamPace.NONE;
         }
         int streams = Math.max(1, running.size());
-        StreamPace seen = new StreamPace(streams, streams * interTokenMillis, 0);
-        double allMillis = otherHostsStats.plus(seen).millis();
-        int behind = 0;
+        StreamPace observed = new StreamPace(streams, streams * interTokenMillis, 0);
+        double totalMillis = otherHostsStats.plus(observed).millis();
+        int lagging = 0;
         for (SentRequest stream : running) {
-            if (stream.isLagging(allMillis, nowMillis)) {
-                behind++;
+            if (stream.isLagging(totalMillis, nowMillis)) {
+                lagging++;
             }
         }
-        return new StreamPace(streams, seen.totalMillis(), behind);
+        return new StreamPace(streams, observed.totalMillis(), lagging);
     }
 
     /**
-     * What all hosts of the region see.
+     * Returns the statistics of the streams of all hosts of the region.
      *
      * @param nowMillis the time
-     * @return how the target's streams get on
+     * @return the statistics
      */
     public StreamPace all(long nowMillis) {
         return otherHostsStats.plus(own(nowMillis));
     }
 
     /**
-     * Takes what another host sees of its streams there.
+     * Updates the statistics of another host's streams there.
      *
      * @param host the other host
-     * @param pace how they get on
+     * @param stats the statistics of its streams
      */
-    public void toldByOther(String host, StreamPace pace) {
-        StreamPace before = pace.isKnown() ? statsByHost.put(host, pace) : statsByHost.remove(host);
-        if (before == null && !pace.isKnown()) {
+    public void toldByOther(String host, StreamPace stats) {
+        StreamPace previous = stats.isKnown() ? statsByHost.put(host, stats) : statsByHost.remove(host);
+        if (previous == null && !stats.isKnown()) {
             return;
         }
         StreamPace sum = StreamPace.NONE;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
@@ -1,6 +1,6 @@
 package org.rattanplank.core.gateway;
 
-/** How urgent a route's requests are, as far as estimates tell them apart. Immutable and thread safe. */
+/** The urgency of a route's requests, as far as estimates distinguish it. Immutable and thread safe. */
 public enum Urgency {
     /** Served before all others. */
     FIRST(1, 1.0),
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Finds the urgency of a rank.
+     * Returns the urgency of a rank.
      *
      * @param rank a route's rank, 0 first
      * @return its urgency; ranks beyond the last are as urgent as the last
@@ -28,7 +28,7 @@
     }
 
     /**
-     * What targets are told, from 0 to 9.
+     * Returns the level that is sent to targets, from 0 to 9.
      *
      * @return the level, 0 first
      */
@@ -37,10 +37,10 @@
     }
 
     /**
-     * The part of its objective that a request may be expected to take and still be sent. The less urgent give way first,
-     * so that under overload no class is served worse than a less urgent one.
+     * Returns the factor of the latency objective up to which a request's expected time is tolerated. Less urgent
+     * requests are rejected first, so that under overload no class is served worse than a less urgent one.
      *
-     * @return the part
+     * @return the factor
      */
     public double patience() {
         return patience;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/WaitingTokens.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/WaitingTokens.java
@@ -1,23 +1,23 @@
 package org.rattanplank.core.gateway;
 
 /**
- * The tokens of prompts that aren't known to be cached, of requests without a first event, by urgency. Immutable and
- * thread safe.
+ * The pending prefill of requests without a first event, by urgency: the tokens of their prompts that aren't known to
+ * be cached. Immutable and thread safe.
  *
- * @param first of the most urgent requests
- * @param middle of the next
- * @param last of the others
+ * @param first the tokens of the most urgent requests
+ * @param middle the tokens of the next
+ * @param last the tokens of the others
  */
 public record WaitingTokens(long first, long middle, long last) {
-    /** None. */
+    /** No pending prefill. */
     public static final WaitingTokens NONE = new WaitingTokens(0, 0, 0);
 
     /**
-     * Makes the tokens of one request.
+     * Returns the pending prefill of one request.
      *
      * @param urgency its urgency
      * @param tokens its tokens
-     * @return the tokens
+     * @return the pending prefill
      */
     public static WaitingTokens of(Urgency urgency, long tokens) {
         return switch (urgency) {
@@ -28,7 +28,7 @@
     }
 
     /**
-     * The tokens that are read before a further request of an urgency.
+     * Returns the tokens that are prefilled before a further request of an urgency.
      *
      * @param urgency its urgency
      * @return the tokens of requests that are as urgent or more
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Work.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Work.java
@@ -4,48 +4,48 @@
 import java.util.Objects;
 
 /**
- * What a request asks of a target. Immutable and thread safe.
+ * The work that a request brings to a target. Immutable and thread safe.
  *
- * @param promptTokens the tokens of the prompt; zero if it is no generation
+ * @param promptTokens the tokens of the prompt; zero if the request generates no tokens
  * @param outputTokens the tokens that it is expected to generate
  * @param parts the parts of its prompt, in order; the last is the request's own
- * @param urgency how urgent it is
- * @param remainingMillis how long its whole answer may take; zero if not known
+ * @param urgency its urgency
+ * @param remainingMillis the time left for its whole answer; zero if not known
  */
 public record Work(int promptTokens, int outputTokens, List<PromptPart> parts, Urgency urgency, long remainingMillis) {
-    /** A request that is no generation. */
+    /** A request that generates no tokens. */
     public static final Work PLAIN = new Work(0, 0, List.of(), Urgency.FIRST, 0);
 
     public Work {
         parts = List.copyOf(parts);
         Objects.requireNonNull(urgency, "urgency");
         if (promptTokens < 0 || outputTokens < 0) {
-            throw new IllegalArgumentException("negative tokens");
+            throw new IllegalArgumentException("prompt or output tokens are negative");
         }
     }
 
     /**
-     * Changes the urgency.
+     * Returns the same work with another urgency.
      *
      * @param newUrgency the urgency
-     * @return the same work with it
+     * @return the work
      */
     public Work with(Urgency newUrgency) {
         return new Work(promptTokens, outputTokens, parts, newUrgency, remainingMillis);
     }
 
     /**
-     * Says how long the answer may take.
+     * Returns the same work with another remaining time.
      *
-     * @param millis the time
-     * @return the same work with it
+     * @param millis the time left for the answer
+     * @return the work
      */
     public Work within(long millis) {
         return new Work(promptTokens, outputTokens, parts, urgency, millis);
     }
 
     /**
-     * The parts that other requests share: all but the last.
+     * Returns the parts that other requests may share: all but the last.
      *
      * @return the parts
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * The tokens of the parts that other requests share.
+     * Returns the tokens of the shared parts.
      *
      * @return tokens
      */
@@ -63,7 +63,7 @@
     }
 
     /**
-     * The memory that the request needs for itself, beside what its shared parts need.
+     * Returns the KV cache tokens that the request needs for itself, beside its shared parts.
      *
      * @return tokens
      */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CallerDirectoryTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CallerDirectoryTest.java
@@ -67,7 +67,9 @@
 
     @Test
     void shouldNameAnyHostWhenHomeRegionsHaveBeenAwayForLong() {
-        assertEquals(List.of("s:80"), directory.list(List.of(suva), caller("lautoka"), CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
+        assertEquals(
+                List.of("s:80"),
+                directory.list(List.of(suva), caller("lautoka"), CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     /**
@@ -105,7 +107,8 @@
 
         assertEquals(List.of(), directory.list(List.of(suva, lautoka), mixed, 12_000));
         assertEquals(
-                List.of("s:80"), directory.list(List.of(suva, lautoka), mixed, 10_000 + CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
+                List.of("s:80"),
+                directory.list(List.of(suva, lautoka), mixed, 10_000 + CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     @Test
