--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
@@ -16,7 +16,7 @@
 
     public EntryChange {
         Objects.requireNonNull(changed, "changed");
-        Objects.requireNonNull(ended, "ended");
+        Objects.requireNonNull(ended, "terminated");
     }
 
     static EntryChange of(GatewayTarget changed) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/AdmissionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/AdmissionTest.java
@@ -7,56 +7,58 @@
 
 class AdmissionTest {
     private static final long OBJECTIVE_MILLIS = 1_000;
-    private static final double OWN_MILLIS = 100;
+    private static final double PREFILL_MILLIS = 100;
 
-    /** Callers come so many times as fast as the engine reads, for so long. */
-    private static final double OVERLOAD = 2;
+    /** Factor by which requests arrive faster than the engine prefills them during the overload. */
+    private static final double OVERLOAD_FACTOR = 2;
 
     private static final long OVERLOAD_MILLIS = 10_000;
 
     @Test
-    void shouldTakeARequestWhenItWouldBeInTime() {
+    void shouldAcceptARequestWhenItWouldBeInTime() {
         assertFalse(Admission.shouldRefuse(800, 900, OBJECTIVE_MILLIS, Urgency.MIDDLE));
         assertTrue(Admission.shouldRefuse(801, 901, OBJECTIVE_MILLIS, Urgency.MIDDLE));
     }
 
     @Test
-    void shouldRefuseTheLessUrgentFirstWhenAllWouldWaitAlike() {
+    void shouldRejectTheLessUrgentFirstWhenAllWouldWaitEqually() {
         assertFalse(Admission.shouldRefuse(850, 950, OBJECTIVE_MILLIS, Urgency.FIRST));
         assertTrue(Admission.shouldRefuse(850, 950, OBJECTIVE_MILLIS, Urgency.MIDDLE));
         assertFalse(Admission.shouldRefuse(700, 800, OBJECTIVE_MILLIS, Urgency.LAST));
         assertTrue(Admission.shouldRefuse(750, 850, OBJECTIVE_MILLIS, Urgency.LAST));
     }
 
-    /** A prompt so large that it is late by itself would never be served if any wait refused it. */
+    /** Guards against a prompt so large that it is late by itself never being served, as any wait rejects it. */
     @Test
-    void shouldTakeALargePromptWhenItHardlyWaits() {
+    void shouldAcceptALargePromptWhenItHardlyWaits() {
         assertFalse(Admission.shouldRefuse(0, 5_000, OBJECTIVE_MILLIS, Urgency.LAST));
         assertFalse(Admission.shouldRefuse(200, 5_200, OBJECTIVE_MILLIS, Urgency.LAST));
         assertTrue(Admission.shouldRefuse(300, 5_300, OBJECTIVE_MILLIS, Urgency.LAST));
     }
 
     @Test
-    void shouldLeaveItToOthersWhenNoPlaceIsKnown() {
+    void shouldNotRejectWhenThereIsNoCandidate() {
         assertFalse(Admission.shouldRefuse(
                 Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, OBJECTIVE_MILLIS, Urgency.FIRST));
     }
 
     /**
-     * Symptom: under overload nearly all that is taken is late. Sequence: callers come twice as fast as an engine reads,
-     * for ten seconds. Cause: a queue in which each waits longer than the objective serves no more than a short one.
+     * Guards against nearly all accepted requests being late under overload, here at twice the rate at which an engine
+     * prefills, for ten seconds. It comes about when each request waits in the queue for longer than the objective:
+     * such a queue serves no more than a short one.
      */
     @Test
-    void shouldAnswerAllInTimeWhenCallersComeTwiceAsFastAsAnEngineReads() {
+    void shouldAnswerAllInTimeWhenRequestsArriveTwiceAsFastAsAnEnginePrefills() {
         double freeAtMillis = 0;
         int late = 0;
         int inTime = 0;
-        for (double nowMillis = 0; nowMillis < OVERLOAD_MILLIS; nowMillis += OWN_MILLIS / OVERLOAD) {
-            double waitMillis = Math.max(0, freeAtMillis - nowMillis);
-            if (Admission.shouldRefuse(waitMillis, waitMillis + OWN_MILLIS, OBJECTIVE_MILLIS, Urgency.FIRST)) {
+        for (double nowMillis = 0; nowMillis < OVERLOAD_MILLIS; nowMillis += PREFILL_MILLIS / OVERLOAD_FACTOR) {
+            double queueWaitMillis = Math.max(0, freeAtMillis - nowMillis);
+            if (Admission.shouldRefuse(
+                    queueWaitMillis, queueWaitMillis + PREFILL_MILLIS, OBJECTIVE_MILLIS, Urgency.FIRST)) {
                 continue;
             }
-            freeAtMillis = Math.max(freeAtMillis, nowMillis) + OWN_MILLIS;
+            freeAtMillis = Math.max(freeAtMillis, nowMillis) + PREFILL_MILLIS;
             if (freeAtMillis - nowMillis > OBJECTIVE_MILLIS) {
                 late++;
             } else {
@@ -64,6 +66,6 @@
             }
         }
         assertTrue(late == 0, "late: " + late);
-        assertTrue(inTime >= OVERLOAD_MILLIS / OWN_MILLIS, "in time: " + inTime);
+        assertTrue(inTime >= OVERLOAD_MILLIS / PREFILL_MILLIS, "in time: " + inTime);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CallerDirectoryTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CallerDirectoryTest.java
@@ -24,17 +24,17 @@
     }
 
     @Test
-    void shouldNameOnlyHostsOfTheCallersRegionWhenThereAreSome() {
+    void shouldListOnlyHostsOfTheCallersRegionWhenThereAreSome() {
         assertEquals(List.of("b:80"), directory.list(List.of(suva, lautoka, labasa), caller("suva"), 1));
     }
 
     @Test
-    void shouldNameHostsOfHomeRegionsWhenTheCallersRegionHasNone() {
+    void shouldListHostsOfHomeRegionsWhenTheCallersRegionHasNone() {
         assertEquals(List.of("l:80"), directory.list(List.of(suva, lautoka), caller("lautoka"), 1));
     }
 
     @Test
-    void shouldNameTheNextHomeWhenTheBestHasNoHost() {
+    void shouldListTheNextHomeRegionWhenTheBestHasNoHost() {
         assertEquals(
                 List.of("l:80"), directory.list(List.of(lautoka, labasaElsewhere()), caller("suva", "lautoka"), 1));
     }
@@ -44,75 +44,77 @@
     }
 
     @Test
-    void shouldNameAnyHostWhenNothingHasHomes() {
+    void shouldListAnyHostWhenNoRouteHasHomeRegions() {
         assertEquals(List.of("s:80"), directory.list(List.of(suva), caller(), 1));
     }
 
     /**
-     * Symptom: homed requests are handed to hosts of other regions at a planned stop of all hosts in turn. Sequence: the
-     * home region's hosts are stopped one after the other; for a second none of them takes callers; a host that has just
-     * started, elsewhere, names itself. Cause: no other host known at this moment was taken for none at all.
+     * Guards against requests with home regions being sent to hosts of other regions during a rolling stop. All hosts
+     * of the home region are stopped in turn, so that for a second none of them accepts callers; it comes about when a
+     * host that has just started elsewhere takes the absence of another known host at this moment for a region without
+     * hosts.
      */
     @Test
-    void shouldNameNoHostWhenHostsOfHomeRegionsWereThereAMomentAgo() {
+    void shouldListNoHostWhenHomeRegionsHadHostsRecently() {
         directory.list(List.of(lautoka), caller("lautoka"), 10_000);
 
         assertEquals(List.of(), directory.list(List.of(suva), caller("lautoka"), 12_000));
     }
 
     @Test
-    void shouldNameNoHostOfOtherRegionsWhenItHasJustStarted() {
+    void shouldListNoHostOfOtherRegionsWhenItHasJustStarted() {
         assertEquals(List.of(), directory.list(List.of(suva), caller("lautoka"), 1_000));
     }
 
     @Test
-    void shouldNameAnyHostWhenHomeRegionsHaveBeenAwayForLong() {
+    void shouldListAnyHostWhenHomeRegionsHaveBeenAbsentForLong() {
         assertEquals(
                 List.of("s:80"),
                 directory.list(List.of(suva), caller("lautoka"), CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     /**
-     * Symptom: homed requests at hosts of other regions, while hosts are stopped in turn. Sequence: a host has just
-     * started; others have linked to it before it has read the configuration; a caller asks it. Cause: no homes were
-     * taken for no restriction.
+     * Guards against requests with home regions being sent to hosts of other regions during a rolling stop. A host that
+     * has just started has connections to other hosts before it has read the configuration; it comes about when missing
+     * home regions are taken for no restriction.
      */
     @Test
-    void shouldNameNoHostWhenNoConfigurationTellsTheHomes() {
+    void shouldListNoHostWhenTheHomeRegionsAreUnknown() {
         assertEquals(List.of(), directory.list(List.of(suva, lautoka, labasa), Option.none(), 60_000));
     }
 
     /**
-     * Symptom: homed callers at hosts of other regions, a third time. Sequence: a region's last host stops; nobody had
-     * asked this host for that region for a while. Cause: the time at which a region was asked for was taken for the time
-     * at which it was there.
+     * Guards against callers with a home region being sent elsewhere when a region's last host stops and nobody has
+     * requested that region from this host recently. It comes about when the time of the last request for a region is
+     * taken for the time at which the region last had hosts.
      */
     @Test
-    void shouldNameNoHostWhenTheRegionWasSeenButNotAskedForLately() {
+    void shouldListNoHostWhenTheRegionHadHostsButWasNotRequestedRecently() {
         directory.saw(List.of(lautoka), 10_000);
 
         assertEquals(List.of(), directory.list(List.of(suva), caller("lautoka"), 12_000));
     }
 
     /**
-     * Symptom: requests of routes with one home are handed to hosts of another route's home. Sequence: all hosts of the
-     * callers' region are stopped in turn; the routes of their host name have homes that share no region. Cause: the
-     * region of most routes was named at once, though the callers' own hosts were back a moment later.
+     * Guards against requests of routes with one home region being sent to another route's home during a rolling stop
+     * of all hosts of the callers' region. The routes of their host name have no home region in common; it comes about
+     * when the region of most routes is listed at once, although the callers' own hosts are back a moment later.
      */
     @Test
-    void shouldNameNoHostWhenNoHomeMayHaveAllAndTheCallersOwnHostsWereThereLately() {
-        Option<CallerPlace> mixed =
+    void shouldListNoHostWhenNoHomeRegionMayServeAllAndTheCallersRegionHadHostsRecently() {
+        Option<CallerPlace> withoutCommonHome =
                 Option.some(new CallerPlace("labasa", "labasa-hall", List.of("suva", "lautoka"), List.of()));
         directory.saw(List.of(labasa), 10_000);
 
-        assertEquals(List.of(), directory.list(List.of(suva, lautoka), mixed, 12_000));
+        assertEquals(List.of(), directory.list(List.of(suva, lautoka), withoutCommonHome, 12_000));
         assertEquals(
                 List.of("s:80"),
-                directory.list(List.of(suva, lautoka), mixed, 10_000 + CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
+                directory.list(
+                        List.of(suva, lautoka), withoutCommonHome, 10_000 + CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     @Test
-    void shouldNameAHostThatIsAboutToEndOnlyWhenNoOtherMayHaveTheRequests() {
+    void shouldListAClosingHostOnlyWhenNoOtherMayServeTheRequests() {
         assertEquals(List.of("l:80"), directory.list(List.of(suva), List.of(lautoka), caller("lautoka"), 1));
         assertEquals(List.of("s:80"), directory.list(List.of(suva), List.of(labasa), caller(), 1));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StreamPricesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EngineStreamCostsTest.java
@@ -14,13 +14,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What the accounts of running streams may not do to other requests. */
-class StreamPricesTest {
-    private static final String HALL = "suva-hall";
+/** Tests how running streams may affect other requests. */
+class EngineStreamCostsTest {
+    private static final String DATA_CENTRE = "suva-hall";
     private static final RegionView HOSTS = RegionView.certain(Set.of("h1"));
     private static final Work LONG_STREAM = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
 
-    private final TargetPool pool = TargetPool.of(Set.of(HALL));
+    private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
 
     private static Work prompt(int tokens, Urgency urgency) {
@@ -28,12 +28,12 @@
     }
 
     private GatewayTarget engine(String id) {
-        pool.entered(Samples.target(id, HALL, false, 0), 0);
+        pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
         return pool.find(id).get();
     }
 
-    private static void tell(GatewayTarget engine, int requests, int waitingTokens, StreamPace pace) {
-        engine.toldByOther("h2", new SentWork(requests, WaitingTokens.of(Urgency.FIRST, waitingTokens), 0), pace);
+    private static void report(GatewayTarget engine, int requests, int pendingTokens, StreamPace stats) {
+        engine.toldByOther("h2", new SentWork(requests, WaitingTokens.of(Urgency.FIRST, pendingTokens), 0), stats);
     }
 
     private Placement placement(Work work, long objectiveMillis) {
@@ -50,35 +50,35 @@
                 400,
                 work.urgency().ordinal(),
                 Set.of());
-        Surroundings around = new Surroundings("suva", HOSTS, Map.of(), Set.of());
+        Surroundings clusterView = new Surroundings("suva", HOSTS, Map.of(), Set.of());
         return Placement.of(
                 new Demand(route, Samples.MODEL_SERVICE, work, Set.of()),
-                around,
+                clusterView,
                 chooser,
                 new RegionLoads(),
                 Mechanisms.ALL,
                 1);
     }
 
-    /** Guards against urgent requests refused for the sake of less urgent streams, at engines with free places. */
+    /** Guards against urgent requests being rejected for less urgent streams, at engines with free slots. */
     @Test
-    void shouldTakeAnUrgentRequestWhenNothingWaitsAndMostPlacesAreFree() {
-        tell(engine("a"), 20, 0, new StreamPace(20, 20 * 150.0, 20));
+    void shouldAcceptAnUrgentRequestWhenNothingWaitsAndMostSlotsAreFree() {
+        report(engine("a"), 20, 0, new StreamPace(20, 20 * 150.0, 20));
 
         assertFalse(placement(prompt(2_000, Urgency.FIRST), 300).shouldRefuse());
     }
 
-    /** Guards against refusals while under half of the places are taken and nothing waits. */
+    /** Guards against rejections while less than half of the slots are in use and no prefill is pending. */
     @Test
-    void shouldTakeADraftWhenNothingWaitsAndMostPlacesAreFree() {
-        tell(engine("a"), 25, 0, new StreamPace(25, 25 * 150.0, 25));
+    void shouldAcceptADraftWhenNothingWaitsAndMostSlotsAreFree() {
+        report(engine("a"), 25, 0, new StreamPace(25, 25 * 150.0, 25));
 
         assertFalse(placement(prompt(6_600, Urgency.LAST), 1_200).shouldRefuse());
     }
 
-    /** Guards against refusals while engines that are set apart are idle. */
+    /** Guards against rejections while reserved engines are idle. */
     @Test
-    void shouldTakeADraftWhenAnEngineThatIsSetApartIsIdle() {
+    void shouldAcceptADraftWhenAReservedEngineIsIdle() {
         for (String id : List.of("a", "b", "c", "d")) {
             engine(id);
         }
@@ -88,30 +88,30 @@
                 .get();
         for (GatewayTarget each : pool.all()) {
             if (each != first) {
-                tell(each, 30, 32_500, new StreamPace(26, 26 * 150.0, 4));
+                report(each, 30, 32_500, new StreamPace(26, 26 * 150.0, 4));
             }
         }
 
         assertFalse(placement(prompt(6_600, Urgency.LAST), 1_200).shouldRefuse());
     }
 
-    /** Guards against two regions alike that send each other their long streams. */
+    /** Guards against two equal regions that forward their long streams to each other. */
     @Test
-    void shouldKeepALongStreamWhenTheOtherRegionIsAlike() {
+    void shouldServeALongStreamLocallyWhenTheOtherRegionIsEqual() {
         for (String id : List.of("a", "b", "c", "d")) {
             GatewayTarget each = engine(id);
             if (!id.equals("d")) {
-                tell(each, 20, 0, new StreamPace(20, 20 * 150.0, 0));
+                report(each, 20, 0, new StreamPace(20, 20 * 150.0, 0));
             }
         }
         RegionLoads loads = new RegionLoads();
         loads.reported("labasa", Samples.MODEL, Urgency.MIDDLE, 40, 0.005, 3_000);
         loads.reported("labasa", Samples.MODEL, chooser.streams(Samples.MODEL_SERVICE, HOSTS, 1));
-        Surroundings around = new Surroundings("suva", HOSTS, Map.of("labasa", 160.0), Set.of());
+        Surroundings clusterView = new Surroundings("suva", HOSTS, Map.of("labasa", 160.0), Set.of());
         RouteRule route = Samples.route("ask", "desk.example", "/a/", Set.of());
         Placement placement = Placement.of(
                 new Demand(route, Samples.MODEL_SERVICE, LONG_STREAM, Set.of()),
-                around,
+                clusterView,
                 chooser,
                 loads,
                 Mechanisms.ALL,
@@ -120,19 +120,19 @@
         assertEquals(Option.none(), placement.region());
     }
 
-    /** Guards against long streams that crowd a busy engine while another one has none. */
+    /** Guards against long streams that overload a busy engine while another one has none. */
     @Test
     void shouldSendALongStreamToAnIdleEngineWhenOthersHaveStreams() {
-        tell(engine("a"), 40, 0, new StreamPace(40, 40 * 110.0, 0));
-        tell(engine("b"), 40, 0, new StreamPace(40, 40 * 250.0, 0));
+        report(engine("a"), 40, 0, new StreamPace(40, 40 * 110.0, 0));
+        report(engine("b"), 40, 0, new StreamPace(40, 40 * 250.0, 0));
         engine("c");
 
         assertEquals("c", placement(LONG_STREAM, 1_000).local().get().target().id());
     }
 
-    /** Guards against an engine that seems to have less than nothing to read, as a caller's counts don't fit. */
+    /** Guards against a negative number of tokens to prefill, as a caller's counts are inconsistent. */
     @Test
-    void shouldNeverExpectLessThanNothingToBeReadWhenThePartsAreLargerThanThePrompt() {
+    void shouldNeverExpectNegativePrefillWhenThePartsAreLargerThanThePrompt() {
         engine("a");
         List<PromptPart> parts = List.of(new PromptPart("manual", 80_000), new PromptPart("own", 10));
         Choice choice = placement(new Work(100, 80, parts, Urgency.MIDDLE, 10_000), 1_000)
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ForwardDelayTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ForwardDelayTest.java
@@ -8,15 +8,15 @@
     private static final double ROUND_TRIP_MILLIS = 160;
 
     @Test
-    void shouldCountOneWayWhenTheLinkIsCalm() {
-        // Said at 1,000, heard at 1,080 of the same time, forwarded 300 ms later, read after another 80 ms.
+    void shouldCountHalfARoundTripWhenTheLinkIsIdle() {
+        // Sent at 1,000 by the receiver's clock, received at 1,080, forwarded 300 ms later, read after another 80 ms.
         assertEquals(80, ForwardDelay.millis(1_460, 1_000, 300, ROUND_TRIP_MILLIS));
     }
 
     /**
-     * Symptom: targets run requests two seconds after their callers' time was up. Sequence: a request with one second
-     * left is forwarded; the receiving host has just started and reads it three seconds later. Cause: the time that it
-     * was under way was not taken from the time that it had left.
+     * Guards against targets running requests seconds after their callers' time-out. A request with one second left is
+     * forwarded to a host that has just started and reads it three seconds later; it comes about when the transit time
+     * is not subtracted from the remaining time.
      */
     @Test
     void shouldCountTheWholeDelayWhenARequestIsReadLate() {
@@ -24,12 +24,12 @@
     }
 
     @Test
-    void shouldCountNothingWhenTheSenderHeardNoState() {
+    void shouldCountNothingWhenTheSenderReceivedNoState() {
         assertEquals(0, ForwardDelay.millis(4_460, 0, 4_460, ROUND_TRIP_MILLIS));
     }
 
     @Test
-    void shouldNeverBeNegativeWhenTheWayIsFasterThanUsual() {
+    void shouldNeverBeNegativeWhenTheTransferIsFasterThanUsual() {
         assertEquals(0, ForwardDelay.millis(1_310, 1_000, 300, ROUND_TRIP_MILLIS));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/GatewayConfigurationTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/GatewayConfigurationTest.java
@@ -18,13 +18,13 @@
             Samples.route("other", "else.example", "/", Set.of("lautoka")));
 
     @Test
-    void shouldTakeTheLongestPrefixWhenSeveralRoutesMatch() {
+    void shouldFindTheLongestPrefixWhenSeveralRoutesMatch() {
         assertEquals("long", configuration.route("desk.example", "/a/b/c").get().name());
         assertEquals("short", configuration.route("desk.example", "/a/bc").get().name());
     }
 
     @Test
-    void shouldPassOverPortAndCaseWhenMatchingTheHostName() {
+    void shouldIgnorePortAndCaseWhenMatchingTheHostName() {
         assertEquals(
                 "short", configuration.route("DESK.example:8080", "/a/x").get().name());
     }
@@ -36,27 +36,28 @@
     }
 
     @Test
-    void shouldNameTheHomesOfAHostNameWhenOnlySomeOfItsRoutesHaveSome() {
+    void shouldReturnTheHomeRegionsOfAHostNameWhenOnlySomeOfItsRoutesHaveSome() {
         assertEquals(Set.of("suva", "labasa"), Set.copyOf(configuration.homeRegions("desk.example")));
     }
 
     /**
-     * Symptom: homed callers are sent to any region while their own has no host. Sequence: two routes of one host name
-     * have homes that share no region. Cause: the homes that both allow, none, were taken for no homes at all.
+     * Guards against callers with home regions being sent to any region while their own has no host. Two routes of one
+     * host name have no home region in common; it comes about when the empty intersection is taken for no home regions
+     * at all.
      */
     @Test
-    void shouldNameTheRegionsOfMostRoutesFirstWhenHomesShareNone() {
-        GatewayConfiguration apart = Samples.configuration(
+    void shouldReturnTheRegionsOfMostRoutesFirstWhenThereIsNoCommonHomeRegion() {
+        GatewayConfiguration disjoint = Samples.configuration(
                 1,
                 Samples.route("a", "desk.example", "/a/", Set.of("suva", "labasa")),
                 Samples.route("b", "desk.example", "/b/", Set.of("suva")),
                 Samples.route("c", "desk.example", "/c/", Set.of("lautoka")));
 
-        assertEquals(List.of("suva", "labasa", "lautoka"), apart.homeRegions("desk.example"));
+        assertEquals(List.of("suva", "labasa", "lautoka"), disjoint.homeRegions("desk.example"));
     }
 
     @Test
-    void shouldNarrowHomesWhenAResidencyRuleNamesARouteOrItsService() {
+    void shouldRestrictHomeRegionsWhenAResidencyRuleNamesARouteOrItsService() {
         GatewayConfiguration byRoute = configuration.within(Map.of("long", Set.of("labasa", "lautoka")));
         GatewayConfiguration byService = configuration.within(Map.of(Samples.MODEL, Set.of("suva")));
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/HelpOrderTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/HelpOrderTest.java
@@ -11,32 +11,35 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class HelpOrderTest {
-    /** What is on its way between two hosts of a region, with the time between two states. */
-    private static final long TOLD_MILLIS = 600;
+    /**
+     * Time until the other hosts know that a host has caught up: the transfer within a region and the interval between
+     * two state reports.
+     */
+    private static final long REPORT_DELAY_MILLIS = 600;
 
     /**
-     * Symptom: a host that starts while the store is away serves nobody for seconds, though all others know everything.
-     * Sequence: each of thirty hosts sees that it knows nothing and tells it all of the store. Cause: nobody left it to
-     * another, and its link takes seconds for thirty copies.
+     * Guards against a host that starts during a store outage serving nobody for seconds, though all others have the
+     * store's contents. It comes about when each of thirty hosts sees that the host lacks them and sends all of them at
+     * once: its link takes seconds for thirty copies.
      */
     @Property(tries = 100)
-    void shouldLetTwoHostsAtMostTellAtOnceWhenManyCould(@ForAll @IntRange(min = 1, max = 90) int hosts) {
+    void shouldLetAtMostTwoHostsSendAtOnceWhenManyCould(@ForAll @IntRange(min = 1, max = 90) int hosts) {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < hosts; i++) {
             names.add("host-" + i);
         }
         names.add("new");
 
-        Set<Long> turns = new HashSet<>();
-        int early = 0;
+        Set<Long> delays = new HashSet<>();
+        int simultaneous = 0;
         for (int i = 0; i < hosts; i++) {
-            long waitMillis = HelpOrder.waitMillis(names, "host-" + i, "new");
-            turns.add(waitMillis);
-            early += waitMillis < TOLD_MILLIS ? 1 : 0;
+            long delayMillis = HelpOrder.waitMillis(names, "host-" + i, "new");
+            delays.add(delayMillis);
+            simultaneous += delayMillis < REPORT_DELAY_MILLIS ? 1 : 0;
         }
 
-        assertEquals(hosts, turns.size());
-        assertTrue(turns.contains(0L));
-        assertTrue(early <= 2, "at once: " + early);
+        assertEquals(hosts, delays.size());
+        assertTrue(delays.contains(0L));
+        assertTrue(simultaneous <= 2, "simultaneous senders: " + simultaneous);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LatencyModelTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LatencyModelTest.java
@@ -8,10 +8,10 @@
 class LatencyModelTest {
     private static final int TOKENS = 12_000;
 
-    /** An idle engine reads 50 tokens a millisecond, as far as nothing else is known. */
+    /** Time to the first event of an idle engine by the initial estimate of 50 tokens a millisecond. */
     private static final double IDLE_MILLIS = 40 + TOKENS * 0.02;
 
-    /** What a request of the least urgent waits while others overtake it. */
+    /** Wait of a least urgent request while others overtake it. */
     private static final double OVERTAKEN_MILLIS = 4_000;
 
     private static final long OBSERVATION_MILLIS = 200;
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void shouldExpectWhatItSawWhenTheOverloadGoesOn() {
+    void shouldExpectTheObservedTimeWhenTheOverloadContinues() {
         long nowMillis = overload();
 
         assertEquals(
@@ -40,14 +40,15 @@
     }
 
     /**
-     * Symptom: eight seconds after a peak the engines of a region are nearly idle, and its hosts still send the largest
-     * prompts to regions that have their own peak, as they expect 1 to 5 s at home. Sequence: under overload the least
-     * urgent are overtaken, and each host learns a long time for each of their tokens; the overload ends; expected to be
-     * late at home, they go elsewhere. Cause: what is not sent is not measured, and what was learnt never faded. With two
-     * hosts a region each sees so many requests that it learns in a second; with thirty it sees one in thirty.
+     * Guards against hosts that still forward the largest prompts to regions at their own peak eight seconds after an
+     * overload has ended, as they expect 1 to 5 s locally while their engines are nearly idle. Under overload the least
+     * urgent requests are overtaken, and each host's estimate of their time per token rises; after it they are expected
+     * to be late and are forwarded. It comes about when estimates don't decay, as requests that are not sent are not
+     * observed. With two hosts a region each one observes enough requests to correct its estimate within a second; with
+     * thirty it observes one in thirty.
      */
     @Test
-    void shouldExpectAnIdleEngineAgainWhenNothingWasSeenForAWhile() {
+    void shouldExpectAnIdleEngineAgainWhenNothingWasObservedForAWhile() {
         long nowMillis = overload();
 
         assertTrue(model.firstEventMillis(TOKENS, Urgency.LAST, nowMillis + 4_000) < 2 * IDLE_MILLIS);
@@ -55,16 +56,16 @@
     }
 
     @Test
-    void shouldLearnAnewWhenTheOverloadComesBack() {
+    void shouldAdaptAgainWhenTheOverloadReturns() {
         long nowMillis = overload() + 20_000;
         model.firstEventTook(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
-        double once = model.firstEventMillis(TOKENS, Urgency.LAST, nowMillis);
+        double afterOneMillis = model.firstEventMillis(TOKENS, Urgency.LAST, nowMillis);
         for (int i = 0; i < 10; i++) {
             nowMillis += OBSERVATION_MILLIS;
             model.firstEventTook(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
         }
 
-        assertTrue(once < OVERTAKEN_MILLIS / 2, "one observation says little: " + once);
+        assertTrue(afterOneMillis < OVERTAKEN_MILLIS / 2, "estimate after one observation: " + afterOneMillis);
         assertTrue(model.firstEventMillis(TOKENS, Urgency.LAST, nowMillis) > OVERTAKEN_MILLIS / 2);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkShareTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkShareTest.java
@@ -16,21 +16,24 @@
 
 class LinkShareTest {
     private static final double LINK_BYTES_PER_MILLI = 1_250;
-    private static final int PART_BYTES = 8_192;
+    private static final int CHUNK_BYTES = 8_192;
 
-    /** Guards against background bytes that fill a link, whatever there is to send and however often it is tried. */
+    /**
+     * Guards against background transfers that fill a link, whatever there is to send and however often it is
+     * attempted.
+     */
     @Property(tries = 300)
-    void shouldKeepEachSpanWithinTheShareWhenAllThatMayGoIsSent(
+    void shouldKeepEachSpanWithinTheShareWhenAllAllowedBytesAreSent(
             @ForAll @DoubleRange(min = 0.05, max = 1) double share,
             @ForAll @Size(min = 2, max = 60) List<@IntRange(min = 1, max = 200) Integer> pausesMillis) {
-        LinkShare link = LinkShare.of(LINK_BYTES_PER_MILLI, share);
+        LinkShare limiter = LinkShare.of(LINK_BYTES_PER_MILLI, share);
         List<long[]> moved = new ArrayList<>();
         long now = 0;
         for (int pause : pausesMillis) {
             now += pause;
-            while (link.isAvailable(now)) {
-                link.consume(PART_BYTES, now);
-                moved.add(new long[] {now, PART_BYTES});
+            while (limiter.isAvailable(now)) {
+                limiter.consume(CHUNK_BYTES, now);
+                moved.add(new long[] {now, CHUNK_BYTES});
             }
         }
 
@@ -40,24 +43,24 @@
                 if (each[0] >= first[0]) {
                     bytes += each[1];
                     double spanMillis = each[0] - first[0] + LinkShare.BURST_MILLIS;
-                    assertTrue(bytes <= LINK_BYTES_PER_MILLI * share * spanMillis + PART_BYTES, "bytes: " + bytes);
+                    assertTrue(bytes <= LINK_BYTES_PER_MILLI * share * spanMillis + CHUNK_BYTES, "bytes: " + bytes);
                 }
             }
         }
     }
 
     @Test
-    void shouldTellHowLongItIsTakenWhenBytesWereMoved() {
-        LinkShare link = LinkShare.of(LINK_BYTES_PER_MILLI, 0.5);
+    void shouldReturnTheDelayWhenBytesWereTransferred() {
+        LinkShare limiter = LinkShare.of(LINK_BYTES_PER_MILLI, 0.5);
 
-        link.consume(62_500, 1_000);
+        limiter.consume(62_500, 1_000);
 
-        assertEquals(100, link.delayMillis(1_000));
-        assertEquals(0, link.delayMillis(1_100));
+        assertEquals(100, limiter.delayMillis(1_000));
+        assertEquals(0, limiter.delayMillis(1_100));
     }
 
     @Test
-    void shouldRefuseAShareWhenItIsNone() {
+    void shouldRejectAShareWhenItOrTheLinkIsZero() {
         assertThrows(IllegalArgumentException.class, () -> LinkShare.of(LINK_BYTES_PER_MILLI, 0));
         assertThrows(IllegalArgumentException.class, () -> LinkShare.of(0, 1));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/PlacementTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/PlacementTest.java
@@ -13,27 +13,27 @@
 class PlacementTest {
     private static final String OWN = "suva";
     private static final String OTHER = "labasa";
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final long UNTIL_MILLIS = 3_000;
-    private static final double WAY_MILLIS = 160;
+    private static final double ROUND_TRIP_MILLIS = 160;
     private static final Work LONG_STREAM = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
 
-    private final TargetPool pool = TargetPool.of(Set.of(HALL));
+    private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
     private final RegionLoads loads = new RegionLoads();
 
-    /** Where a long stream goes from an engine at which two events are so far apart. */
-    private Option<String> regionOfLongStream(double ownPaceMillis, double otherPaceMillis) {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.find("a").get().eventAfter(ownPaceMillis, 0);
+    /** Returns the region of a long stream, given the inter-token latency in the own and in the other region. */
+    private Option<String> regionOfLongStream(double ownInterTokenMillis, double otherInterTokenMillis) {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.find("a").get().eventAfter(ownInterTokenMillis, 0);
         loads.reported(OTHER, Samples.MODEL, Urgency.MIDDLE, 40, 0, UNTIL_MILLIS);
-        loads.reported(OTHER, Samples.MODEL, new RegionStreams(otherPaceMillis, 0));
+        loads.reported(OTHER, Samples.MODEL, new RegionStreams(otherInterTokenMillis, 0));
         RouteRule route = Samples.route("ask", "desk.example", "/a/", Set.of());
-        Surroundings around =
-                new Surroundings(OWN, RegionView.certain(Set.of("h1")), Map.of(OTHER, WAY_MILLIS), Set.of());
+        Surroundings clusterView =
+                new Surroundings(OWN, RegionView.certain(Set.of("h1")), Map.of(OTHER, ROUND_TRIP_MILLIS), Set.of());
         return Placement.of(
                         new Demand(route, Samples.MODEL_SERVICE, LONG_STREAM, Set.of()),
-                        around,
+                        clusterView,
                         chooser,
                         loads,
                         Mechanisms.ALL,
@@ -41,15 +41,18 @@
                 .region();
     }
 
-    /** Guards against long streams that begin at once at home and end too late, while another region ends them. */
+    /**
+     * Guards against long streams that begin at once locally and end too late, while another region would end them in
+     * time.
+     */
     @Test
-    void shouldSendALongStreamToTheRegionThatEndsItInTime() {
+    void shouldForwardALongStreamWhenOnlyTheOtherRegionEndsItInTime() {
         assertEquals(Option.of(OTHER), regionOfLongStream(250, 60));
     }
 
     /** Guards against long streams sent to a region that begins them as soon and ends them later. */
     @Test
-    void shouldKeepALongStreamWhenTheOtherRegionIsSlower() {
+    void shouldServeALongStreamLocallyWhenTheOtherRegionIsSlower() {
         assertEquals(Option.none(), regionOfLongStream(100, 250));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionChooserTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionChooserTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void shouldLeaveWhenAnotherRegionIsClearlyFaster() {
+    void shouldForwardWhenAnotherRegionIsClearlyFaster() {
         assertEquals(Option.of("y"), RegionChooser.choose(900, Map.of("x", 800.0, "y", 300.0), OBJECTIVE_MILLIS));
     }
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void shouldLeaveWhenTheOwnRegionCannotServe() {
+    void shouldForwardWhenTheOwnRegionCannotServe() {
         assertEquals(
                 Option.of("x"), RegionChooser.choose(Double.POSITIVE_INFINITY, Map.of("x", 5_000.0), OBJECTIVE_MILLIS));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionLoadsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionLoadsTest.java
@@ -15,7 +15,7 @@
     private static final double REPORTED_MILLIS = 90;
     private static final double OBJECTIVE_MILLIS = 1_000;
 
-    /** An engine that reads 50 tokens a millisecond, spread over 24 of them. */
+    /** An engine that prefills 50 tokens a millisecond, spread over 24 of them. */
     private static final double PER_TOKEN_MILLIS = 0.02 / 24;
 
     private final RegionLoads loads = new RegionLoads();
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void shouldAddWhatWasSentWhenTheRegionHasNotReportedSince() {
+    void shouldAddSentRequestsWhenTheRegionHasNotReportedSince() {
         report(50);
         assertEquals(60, expectedMillis(0));
         loads.sent(REGION, SERVICE, Urgency.FIRST, 200, 1);
@@ -38,7 +38,7 @@
         assertEquals(80, expectedMillis(0));
     }
 
-    /** Guards against urgent requests refused as late because less urgent ones were sent to the same region. */
+    /** Guards against urgent requests being rejected as late because less urgent ones were sent to the same region. */
     @Test
     void shouldExpectNoLaterAnswerToAnUrgentRequestWhenALessUrgentOneWasSent() {
         report(50);
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Symptom: forwards arrive at up to twenty times what their senders expected. Sequence: thirty hosts of a region at its
-     * peak get one report of another region, and each forwards ten drafts before the next one. Cause: each added its own
-     * to the report, and not what the others sent at the same time.
+     * Guards against forwarded requests taking up to twenty times as long as expected. Thirty hosts of a region at its
+     * peak receive one report of another region, and each forwards ten drafts before the next one; it comes about when
+     * a host adds only its own requests to the report, and not what the others send at the same time.
      */
     @Test
     void shouldFillARegionOnlyToTheObjectiveWhenManyHostsForwardByOneReport() {
@@ -67,16 +67,17 @@
         }
 
         double oneEachMillis = HOSTS * DRAFT_TOKENS * PER_TOKEN_MILLIS;
-        assertTrue(REPORTED_MILLIS + sentMillis <= OBJECTIVE_MILLIS + oneEachMillis, "ms of work: " + sentMillis);
-        assertTrue(sentMillis >= (OBJECTIVE_MILLIS - REPORTED_MILLIS) / 2, "ms of work: " + sentMillis);
+        assertTrue(REPORTED_MILLIS + sentMillis <= OBJECTIVE_MILLIS + oneEachMillis, "work sent, ms: " + sentMillis);
+        assertTrue(sentMillis >= (OBJECTIVE_MILLIS - REPORTED_MILLIS) / 2, "work sent, ms: " + sentMillis);
     }
 
     /**
-     * Symptom: requests go to another region and come back, two crossings late. Sequence: its targets are evacuated; it
-     * refuses a request. Cause: its report from before was believed until it was seconds old.
+     * Guards against requests being sent to another region and coming back, late by two network round trips. Its
+     * targets are evacuated and it rejects a request; it comes about when its earlier report counts until it expires,
+     * seconds later.
      */
     @Test
-    void shouldSendNothingWhenTheRegionRefusedUntilItReportsAgain() {
+    void shouldSendNothingWhenTheRegionRejectedUntilItReportsAgain() {
         report(50);
         loads.refused(REGION, SERVICE, Urgency.FIRST);
         assertEquals(Double.POSITIVE_INFINITY, expectedMillis(0));
@@ -86,14 +87,14 @@
     }
 
     @Test
-    void shouldGoOnSendingTheMoreUrgentWhenTheRegionRefusedALessUrgentRequest() {
+    void shouldContinueSendingTheMoreUrgentWhenTheRegionRejectedALessUrgentRequest() {
         report(50);
         loads.refused(REGION, SERVICE, Urgency.LAST);
         assertEquals(60, expectedMillis(0));
     }
 
     @Test
-    void shouldSendNothingWhenTheRegionSaysThatItCanNotServe() {
+    void shouldSendNothingWhenTheRegionReportsThatItCannotServe() {
         report(Double.POSITIVE_INFINITY);
         assertEquals(Double.POSITIVE_INFINITY, expectedMillis(0));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ReturnQueueTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ReturnQueueTest.java
@@ -15,47 +15,47 @@
 
     private final ReturnQueue queue = new ReturnQueue();
 
-    private long refuse(Urgency urgency, long nowMillis) {
+    private long reject(Urgency urgency, long nowMillis) {
         return queue.returnAfter(SERVICE, urgency, COST_MILLIS, REMAINING_MILLIS, 0, nowMillis);
     }
 
     /**
-     * Symptom: callers that were refused are refused again. Sequence: an overload lasts some seconds; all that are refused
-     * in it are told the same short time. Cause: they come back together, into the backlog that refused them.
+     * Guards against rejected callers being rejected again. An overload lasts some seconds; it comes about when all
+     * callers rejected in it are given the same short time, and come back together into the backlog that rejected them.
      */
     @Test
-    void shouldCallThemBackOneAfterTheOtherWhenManyAreRefusedAtOnce() {
-        List<Long> told = new ArrayList<>();
+    void shouldSpreadCallersWhenManyAreRejectedAtOnce() {
+        List<Long> retryAfterMillis = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            told.add(refuse(Urgency.FIRST, 0));
+            retryAfterMillis.add(reject(Urgency.FIRST, 0));
         }
 
-        for (int i = 0; i < told.size(); i++) {
-            assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS + i * (long) COST_MILLIS, told.get(i));
+        for (int i = 0; i < retryAfterMillis.size(); i++) {
+            assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS + i * (long) COST_MILLIS, retryAfterMillis.get(i));
         }
     }
 
     @Test
-    void shouldNeverTellATimeThatIsOfNoUse() {
+    void shouldNeverExceedTheUsefulTimeWhenManyAreRejected() {
         for (int i = 0; i < 1_000; i++) {
-            assertTrue(refuse(Urgency.FIRST, i) <= ReturnQueue.MAX_REMAINING_FRACTION * REMAINING_MILLIS);
+            assertTrue(reject(Urgency.FIRST, i) <= ReturnQueue.MAX_REMAINING_FRACTION * REMAINING_MILLIS);
         }
     }
 
     @Test
-    void shouldCallBackSoonAgainWhenTheOverloadIsOver() {
+    void shouldReturnTheMinimumAgainWhenTheOverloadIsOver() {
         for (int i = 0; i < 1_000; i++) {
-            refuse(Urgency.FIRST, 0);
+            reject(Urgency.FIRST, 0);
         }
 
-        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, refuse(Urgency.FIRST, REMAINING_MILLIS));
+        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.FIRST, REMAINING_MILLIS));
     }
 
     @Test
-    void shouldNotLetTheLessUrgentWaitForTheMoreUrgent() {
-        refuse(Urgency.FIRST, 0);
-        refuse(Urgency.FIRST, 0);
+    void shouldQueueUrgenciesSeparatelyWhenTheMoreUrgentAreRejected() {
+        reject(Urgency.FIRST, 0);
+        reject(Urgency.FIRST, 0);
 
-        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, refuse(Urgency.LAST, 0));
+        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.LAST, 0));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RouteRuleTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RouteRuleTest.java
@@ -23,7 +23,7 @@
     }
 
     @Property
-    void shouldNeverPickAServiceWithoutWeight(
+    void shouldNeverPickAServiceWhenItsWeightIsZero(
             @ForAll @DoubleRange(min = 0, max = 1, maxIncluded = false) double draw,
             @ForAll @IntRange(min = 1, max = 100) int weight) {
         RouteRule route = new RouteRule(
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/Samples.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/Samples.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Targets, routes and services for tests. */
+/** Sample targets, routes and services for tests. */
 final class Samples {
     static final String MODEL = "drafts";
     static final String PLAIN = "bookings";
@@ -13,15 +13,16 @@
     private Samples() {}
 
     static TargetEntry target(String id, String dataCentre, boolean leaving, long coldMillis) {
-        return run(id, 0, dataCentre, leaving, coldMillis);
+        return incarnation(id, 0, dataCentre, leaving, coldMillis);
     }
 
-    static TargetEntry run(String id, long bornMillis, String dataCentre, boolean leaving, long coldMillis) {
-        TargetRun run = new TargetRun(id, bornMillis);
-        return new TargetEntry(run, MODEL, "10.0.0.1", 8080, dataCentre, 64, leaving, coldMillis);
+    static TargetEntry incarnation(
+            String id, long startedAtMillis, String dataCentre, boolean leaving, long coldMillis) {
+        TargetRun incarnation = new TargetRun(id, startedAtMillis);
+        return new TargetEntry(incarnation, MODEL, "10.0.0.1", 8080, dataCentre, 64, leaving, coldMillis);
     }
 
-    static RouteRule route(String name, String hostName, String prefix, Set<String> homes) {
+    static RouteRule route(String name, String hostName, String prefix, Set<String> homeRegions) {
         return new RouteRule(
                 name,
                 hostName,
@@ -34,7 +35,7 @@
                 1_000,
                 400,
                 1,
-                homes);
+                homeRegions);
     }
 
     static GatewayConfiguration configuration(long version, RouteRule... routes) {
--- /dev/null
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedEngine.java
@@ -0,0 +1,150 @@
+package org.rattanplank.core.gateway;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+
+/**
+ * Simulates a model engine that works in steps: each step generates one token of each running stream and prefills at
+ * most one chunk of waiting prompts, the most urgent first, so that prefill slows down the streams beside it.
+ *
+ * <p>Invariant: a generation ends once, by its last token or by cancellation. Confined to one thread.
+ */
+final class SimulatedEngine {
+    static final int EVENT_TOKENS = 9;
+    static final int SLOTS = 64;
+
+    private static final double STEP_MILLIS = 3.1;
+    private static final double MILLIS_PER_RUNNING_STREAM = 0.1;
+    private static final double PREFILL_TOKENS_PER_MILLI = 57;
+    private static final int CHUNK_TOKENS = 1_024;
+    private static final long CACHE_TOKENS = 200_000;
+
+    private final VirtualTime time;
+    private final PriorityQueue<Generation> waiting = new PriorityQueue<>(
+            Comparator.<Generation>comparingInt(run -> run.work.urgency().level())
+                    .thenComparingLong(run -> run.number));
+    private final List<Generation> running = new ArrayList<>();
+    private final LinkedHashMap<String, Integer> cache = new LinkedHashMap<>(64, 0.75f, true);
+    private long cachedTokens;
+    private long submitted;
+    private boolean busy;
+
+    SimulatedEngine(VirtualTime time) {
+        this.time = time;
+    }
+
+    Generation submit(Work work, int tokens, SimulatedEngine transferSource, Listener listener) {
+        Generation run = new Generation(submitted++, work, tokens, listener);
+        run.pendingPrefillTokens = Math.max(
+                1, work.promptTokens() - Math.max(cachedTokens(work), transferableTokens(work, transferSource)));
+        waiting.add(run);
+        cacheParts(work);
+        if (!busy) {
+            step();
+        }
+        return run;
+    }
+
+    void cancel(Generation run) {
+        waiting.remove(run);
+        running.remove(run);
+    }
+
+    private static int transferableTokens(Work work, SimulatedEngine transferSource) {
+        return transferSource == null ? 0 : Math.min(work.sharedTokens(), transferSource.cachedTokens(work));
+    }
+
+    private int cachedTokens(Work work) {
+        int cached = 0;
+        for (PromptPart part : work.parts()) {
+            if (!cache.containsKey(part.id())) {
+                return cached;
+            }
+            cached += part.tokens();
+        }
+        return cached;
+    }
+
+    private void cacheParts(Work work) {
+        for (PromptPart part : work.sharedParts()) {
+            if (cache.put(part.id(), part.tokens()) == null) {
+                cachedTokens += part.tokens();
+            }
+        }
+        Iterator<Map.Entry<String, Integer>> eldest = cache.entrySet().iterator();
+        while (cachedTokens > CACHE_TOKENS && eldest.hasNext()) {
+            cachedTokens -= eldest.next().getValue();
+            eldest.remove();
+        }
+    }
+
+    private void step() {
+        busy = !running.isEmpty() || !waiting.isEmpty();
+        if (!busy) {
+            return;
+        }
+        List<Generation> decoding = new ArrayList<>(running);
+        List<Generation> starting = new ArrayList<>();
+        int prefillTokens = 0;
+        while (prefillTokens < CHUNK_TOKENS && !waiting.isEmpty() && running.size() + starting.size() < SLOTS) {
+            Generation next = waiting.peek();
+            int tokens = Math.min(next.pendingPrefillTokens, CHUNK_TOKENS - prefillTokens);
+            next.pendingPrefillTokens -= tokens;
+            prefillTokens += tokens;
+            if (next.pendingPrefillTokens > 0) {
+                break;
+            }
+            waiting.poll();
+            starting.add(next);
+        }
+        double millis =
+                STEP_MILLIS + MILLIS_PER_RUNNING_STREAM * decoding.size() + prefillTokens / PREFILL_TOKENS_PER_MILLI;
+        time.after(millis, () -> {
+            running.addAll(starting);
+            decoding.addAll(starting);
+            decoding.forEach(this::generateToken);
+            step();
+        });
+    }
+
+    private void generateToken(Generation run) {
+        if (!running.contains(run)) {
+            return;
+        }
+        run.generatedTokens++;
+        boolean ends = run.generatedTokens >= run.tokens;
+        if (ends) {
+            running.remove(run);
+        }
+        if (ends || run.generatedTokens % EVENT_TOKENS == 0 || run.generatedTokens == 1) {
+            run.listener.onEvent(ends);
+        }
+    }
+
+    /** Receives the events of a generation. */
+    interface Listener {
+        void onEvent(boolean last);
+    }
+
+    /** One request at the engine. Confined to one thread. */
+    static final class Generation {
+        private final long number;
+        private final Work work;
+        private final int tokens;
+        private final Listener listener;
+        private int pendingPrefillTokens;
+        private int generatedTokens;
+
+        private Generation(long number, Work work, int tokens, Listener listener) {
+            this.number = number;
+            this.work = work;
+            this.tokens = tokens;
+            this.listener = listener;
+        }
+    }
+}
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreFollowersTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreFollowersTest.java
@@ -30,20 +30,20 @@
         return hosts;
     }
 
-    /** Guards against hosts with small links that read and pass on large items while larger links are idle. */
+    /** Guards against hosts with small links that read and relay large items while larger links are idle. */
     @Test
     void shouldChooseTheLargeLinksWhenThereAreEnough() {
-        StoreFollowers followers = StoreFollowers.of(hosts(30, 4, 30));
+        StoreFollowers watchers = StoreFollowers.of(hosts(30, 4, 30));
 
-        assertEquals(3, followerCount(followers, 30));
+        assertEquals(3, watcherCount(watchers, 30));
         for (int i = 4; i < 30; i++) {
-            assertFalse(followers.follows("host-" + i));
+            assertFalse(watchers.follows("host-" + i));
         }
     }
 
-    /** Guards against a region that learns nothing as its followers are those that the store turns away. */
+    /** Guards against a region that receives nothing, as its watchers are hosts that the store rejects. */
     @Test
-    void shouldChooseTheSmallLinksWhenTheStoreTurnsTheLargeOnesAway() {
+    void shouldChooseTheSmallLinksWhenTheStoreRejectsTheLargeOnes() {
         List<Candidate> hosts = new ArrayList<>(hosts(6, 0, 6));
         hosts.add(new Candidate("large", false, LARGE_BYTES_PER_MILLI));
 
@@ -51,31 +51,31 @@
     }
 
     @Test
-    void shouldLetAllFollowWhenThereAreFewHosts() {
-        assertEquals(3, followerCount(StoreFollowers.of(hosts(3, 0, 0)), 3));
+    void shouldChooseAllHostsWhenThereAreFew() {
+        assertEquals(3, watcherCount(StoreFollowers.of(hosts(3, 0, 0)), 3));
     }
 
-    /** Guards against what a follower tells growing with its region, and against hosts that nobody tells. */
+    /** Guards against a relay's load growing with its region, and against hosts without a relay. */
     @Property(tries = 200)
-    void shouldGiveEachOtherHostOneTellerWhenLinksAreAlike(@ForAll @IntRange(min = 1, max = 400) int count) {
-        StoreFollowers followers = StoreFollowers.of(hosts(count, 0, count));
+    void shouldGiveEachOtherHostOneRelayWhenLinksAreEqual(@ForAll @IntRange(min = 1, max = 400) int count) {
+        StoreFollowers watchers = StoreFollowers.of(hosts(count, 0, count));
 
-        Map<String, Integer> told = new HashMap<>();
+        Map<String, Integer> relayed = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            if (!followers.follows("host-" + i)) {
-                String relay = followers.relayFor("host-" + i).get();
-                assertTrue(followers.follows(relay));
-                told.merge(relay, 1, Integer::sum);
+            if (!watchers.follows("host-" + i)) {
+                String relay = watchers.relayFor("host-" + i).get();
+                assertTrue(watchers.follows(relay));
+                relayed.merge(relay, 1, Integer::sum);
             }
         }
-        for (int each : told.values()) {
-            assertTrue(each <= StoreFollowers.HOSTS_PER_FOLLOWER, "told by one: " + each);
+        for (int each : relayed.values()) {
+            assertTrue(each <= StoreFollowers.HOSTS_PER_FOLLOWER, "hosts of one relay: " + each);
         }
     }
 
-    /** Guards against hosts that choose differently as they learnt of each other in another order. */
+    /** Guards against hosts that choose differently because they learned of each other in a different order. */
     @Property(tries = 100)
-    void shouldChooseAlikeWhenHostsAreKnownInAnotherOrder(
+    void shouldChooseTheSameWhenHostsAreKnownInAnotherOrder(
             @ForAll @IntRange(min = 1, max = 60) int count, @ForAll long seed) {
         List<Candidate> hosts = hosts(count, count / 7, count - count / 5);
         List<Candidate> shuffled = new ArrayList<>(hosts);
@@ -90,10 +90,10 @@
         }
     }
 
-    private static int followerCount(StoreFollowers followers, int hosts) {
+    private static int watcherCount(StoreFollowers watchers, int hosts) {
         int count = 0;
         for (int i = 0; i < hosts; i++) {
-            count += followers.follows("host-" + i) ? 1 : 0;
+            count += watchers.follows("host-" + i) ? 1 : 0;
         }
         return count;
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StreamKind.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StreamKind.java
@@ -4,16 +4,16 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Kinds of streamed requests that callers of a region send, with what they ask. Immutable and thread safe. */
+/** The kinds of streamed requests that callers of a region send. Immutable and thread safe. */
 enum StreamKind {
     /** A long prompt and a long answer, the least urgent. */
     DRAFT(3.36, Urgency.LAST, 1_200, 12_200, new Prompt(5_400, 6_600, 248), new Answer(42, 0.44, 124)),
     /** A short prompt and an answer of any length. */
     QUERY(5.73, Urgency.MIDDLE, 1_500, 10_000, new Prompt(200, 630, 955), new Answer(32, 0.69, 106)),
-    /** A prompt of middle length and hardly any answer, the most urgent. */
+    /** A prompt of medium length and a very short answer, the most urgent. */
     TAG(5.14, Urgency.FIRST, 2_500, 3_000, new Prompt(570, 1_800, 378), new Answer(2.5, 1.4, 10));
 
-    private final double perEngineASecond;
+    private final double perEngineAndSecond;
     private final Urgency urgency;
     private final long objectiveMillis;
     private final long timeoutMillis;
@@ -27,7 +27,7 @@
             long timeoutMillis,
             Prompt prompt,
             Answer answer) {
-        this.perEngineASecond = perEngineASecond;
+        this.perEngineAndSecond = perEngineASecond;
         this.urgency = urgency;
         this.objectiveMillis = objectiveMillis;
         this.timeoutMillis = timeoutMillis;
@@ -35,8 +35,8 @@
         this.answer = answer;
     }
 
-    double perEngineASecond() {
-        return perEngineASecond;
+    double perEngineAndSecond() {
+        return perEngineAndSecond;
     }
 
     RouteRule route() {
@@ -55,24 +55,24 @@
                 Set.of());
     }
 
-    /** Draws how many tokens an answer has. */
+    /** Draws the number of tokens of an answer. */
     int drawTokens(Random random) {
         double spread = answer.spread();
         double events = answer.meanEvents() * Math.exp(spread * random.nextGaussian() - spread * spread / 2);
-        return Math.max(1, (int) Math.round(StandInEngine.EVENT_TOKENS * Math.min(answer.mostEvents(), events)));
+        return Math.max(1, (int) Math.round(SimulatedEngine.EVENT_TOKENS * Math.min(answer.maxEvents(), events)));
     }
 
-    /** Draws what a request of this kind asks whose caller expects so many tokens. */
+    /** Draws the work of a request of this kind whose caller expects so many tokens. */
     Work drawWork(int hintTokens, long number, Random random) {
-        int common = prompt.sharedTokens() / 3;
+        int commonTokens = prompt.sharedTokens() / 3;
         List<PromptPart> parts = List.of(
-                new PromptPart(name(), common),
-                new PromptPart(name() + random.nextInt(prompt.subjects()), prompt.sharedTokens() - common),
+                new PromptPart(name(), commonTokens),
+                new PromptPart(name() + random.nextInt(prompt.subjects()), prompt.sharedTokens() - commonTokens),
                 new PromptPart("own" + number, prompt.ownTokens()));
         return new Work(prompt.sharedTokens() + prompt.ownTokens(), hintTokens, parts, urgency, timeoutMillis);
     }
 
     private record Prompt(int sharedTokens, int ownTokens, int subjects) {}
 
-    private record Answer(double meanEvents, double spread, int mostEvents) {}
+    private record Answer(double meanEvents, double spread, int maxEvents) {}
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
@@ -15,13 +15,13 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class TargetChooserTest {
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final Work DRAFT = new Work(
             12_000, 300, List.of(new PromptPart("manual", 5_000), new PromptPart("own", 7_000)), Urgency.LAST, 0);
 
     private static final Work OWN = new Work(7_000, 300, List.of(new PromptPart("own", 7_000)), Urgency.LAST, 0);
 
-    private final TargetPool pool = TargetPool.of(Set.of(HALL));
+    private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
 
     private Choice choose(long nowMillis) {
@@ -29,7 +29,7 @@
                 .get();
     }
 
-    /** Sends six drafts with prompts of their own behind the shared part. */
+    /** Sends six drafts whose prompts share only the first part. */
     private static void keepBusy(GatewayTarget target) {
         for (int i = 0; i < 6; i++) {
             List<PromptPart> parts = List.of(new PromptPart("manual", 5_000), new PromptPart("own" + i, 7_000));
@@ -39,8 +39,8 @@
 
     @Test
     void shouldSpreadWorkWhenTargetsAreAlike() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
         Choice first = chooser.choose(Samples.MODEL_SERVICE, OWN, Set.of(), RegionView.certain(Set.of("h1")), 0)
                 .get();
         first.target().reserve(OWN, 400_000, 0);
@@ -53,9 +53,9 @@
     }
 
     @Test
-    void shouldReturnToTheTargetThatKeepsThePromptWhenItIsIdleAgain() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
+    void shouldReturnToTheTargetThatHasThePromptCachedWhenItIsIdleAgain() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
         GatewayTarget first = choose(0).target();
         first.release(first.reserve(DRAFT, 400_000, 0));
 
@@ -63,16 +63,16 @@
     }
 
     /**
-     * Symptom: the same manual is read again and again by different targets. Sequence: hosts of one region get requests
-     * with the same shared part. Cause: each host chose a target by itself.
+     * Guards against the same prompt part being prefilled by different targets over and over. Hosts of one region get
+     * requests with the same shared part; it comes about when each host chooses a target independently.
      */
     @Test
     void shouldSendASharedPartToOneTargetWhenSeveralHostsGetIt() {
         Set<String> chosen = new HashSet<>();
         for (String name : List.of("h1", "h2", "h3")) {
-            TargetPool own = TargetPool.of(Set.of(HALL));
+            TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
             for (String id : List.of("a", "b", "c", "d")) {
-                own.entered(Samples.target(id, HALL, false, 0), 0);
+                own.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
             }
             TargetChooser each = TargetChooser.of(name, own, new Random(name.hashCode()));
             chosen.add(
@@ -86,19 +86,19 @@
     }
 
     @Test
-    void shouldLeaveTheKeeperOfASharedPartWhenItIsBusy() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
-        GatewayTarget keeper = choose(0).target();
-        keepBusy(keeper);
+    void shouldAvoidTheAffinityTargetWhenItIsBusy() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        GatewayTarget affinityTarget = choose(0).target();
+        keepBusy(affinityTarget);
 
-        assertTrue(!choose(1).target().id().equals(keeper.id()));
+        assertTrue(!choose(1).target().id().equals(affinityTarget.id()));
     }
 
-    /** Guards against the largest prompts being refused whenever streams are behind. */
+    /** Guards against the largest prompts being rejected whenever streams are lagging. */
     @Test
-    void shouldChargeALargePromptNoMoreThanOthersWhenStreamsAreBehind() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+    void shouldChargeALargePromptNoMoreThanOthersWhenStreamsAreLagging() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.find("a").get().toldByOther("h2", new SentWork(40, WaitingTokens.NONE, 0), new StreamPace(40, 8_000, 6));
         Work usual = new Work(12_000, 300, List.of(new PromptPart("usual", 12_000)), Urgency.LAST, 0);
         Work large = new Work(50_000, 300, List.of(new PromptPart("large", 50_000)), Urgency.LAST, 0);
@@ -119,11 +119,14 @@
                 1e-6);
     }
 
-    /** Guards against long streams refused where they end soonest, while another engine begins them in time. */
+    /**
+     * Guards against long streams being rejected at the engine that ends them soonest, while another engine begins them
+     * in time.
+     */
     @Test
-    void shouldTakeAnEngineThatBeginsALongStreamInTimeWhenItWouldBeRefusedAtTheQuickOne() {
-        pool.entered(Samples.target("slow", HALL, false, 0), 0);
-        pool.entered(Samples.target("quick", HALL, false, 0), 0);
+    void shouldChooseAnEngineThatBeginsALongStreamInTimeWhenItWouldBeRejectedAtTheFastOne() {
+        pool.entered(Samples.target("slow", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("quick", DATA_CENTRE, false, 0), 0);
         pool.find("slow").get().eventAfter(250, 0);
         pool.find("quick").get().eventAfter(60, 0);
         pool.find("quick").get().reserve(new Work(100_000, 300, List.of(), Urgency.MIDDLE, 0), 400_000, 0);
@@ -139,24 +142,27 @@
         assertEquals("slow", choice.target().id());
     }
 
-    /** Guards against drafts refused as late where a host has not sent the shared part itself, as with many hosts. */
+    /**
+     * Guards against drafts being rejected as late where a host has not sent the shared part itself, as with many
+     * hosts.
+     */
     @Test
-    void shouldExpectOnlyTheOwnPartToBeReadWhenTheKeeperHasTheSharedPartFromOtherHosts() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
+    void shouldExpectPrefillOfTheOwnPartOnlyWhenTheAffinityTargetHasTheSharedPartFromOtherHosts() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
 
         assertEquals(7_000, choose(0).readTokens());
     }
 
     /**
-     * Symptom: a seventh of all tokens that engines read are shared parts that another engine of the region keeps.
-     * Sequence: the keeper of a part is busy, and its requests go to other engines. Cause: these were not told whom to
-     * copy it from.
+     * Guards against a seventh of all prefilled tokens being shared parts that another engine of the region has cached.
+     * The affinity target of a part is busy and its requests go to other engines; it comes about when these receive no
+     * transfer source.
      */
     @Test
-    void shouldNameTheKeeperAsTheSourceWhenItIsTooBusyForTheRequest() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
+    void shouldUseTheAffinityTargetAsTransferSourceWhenItIsTooBusyForTheRequest() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
         Choice first = choose(0);
         assertTrue(first.source().isEmpty());
         keepBusy(first.target());
@@ -169,31 +175,31 @@
     }
 
     @Test
-    void shouldNameNoSourceWhenCopyingIsSwitchedOff() {
-        Mechanisms without = new Mechanisms(Set.of(Mechanism.COPY_PARTS));
-        TargetChooser copiesNothing = TargetChooser.of("h1", pool, new Random(1), without);
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("b", HALL, false, 0), 0);
-        GatewayTarget keeper = choose(0).target();
-        keepBusy(keeper);
-
-        Choice other = copiesNothing
+    void shouldUseNoTransferSourceWhenTransfersAreSwitchedOff() {
+        Mechanisms mechanisms = new Mechanisms(Set.of(Mechanism.COPY_PARTS));
+        TargetChooser withoutTransfers = TargetChooser.of("h1", pool, new Random(1), mechanisms);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        GatewayTarget affinityTarget = choose(0).target();
+        keepBusy(affinityTarget);
+
+        Choice other = withoutTransfers
                 .choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1")), 1)
                 .get();
 
-        assertTrue(other.target() != keeper);
+        assertTrue(other.target() != affinityTarget);
         assertTrue(other.source().isEmpty());
     }
 
     /**
-     * Symptom: long streams end at their time without their last events while other engines are idle. Sequence: one
-     * engine reads many prompts, so that its streams are slow; a long stream is sent there. Cause: only the time to the
-     * first event was looked at.
+     * Guards against long streams that reach their time-out without their last events while other engines are idle. One
+     * engine prefills many prompts, so that its streams are slow, and a long stream is sent there; it comes about when
+     * only the time to the first event is considered.
      */
     @Test
     void shouldSendALongStreamToAnEngineThatEndsItInTimeWhenAnotherBeginsItSooner() {
-        pool.entered(Samples.target("slow", HALL, false, 0), 0);
-        pool.entered(Samples.target("quick", HALL, false, 0), 0);
+        pool.entered(Samples.target("slow", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("quick", DATA_CENTRE, false, 0), 0);
         pool.find("slow").get().eventAfter(250, 0);
         pool.find("quick").get().eventAfter(60, 0);
         pool.find("quick").get().reserve(OWN, 400_000, 0);
@@ -206,13 +212,14 @@
     }
 
     /**
-     * Symptom: requests are refused while targets are idle. Sequence: all targets of a service fail half of what they
-     * run; each is left out after four failures in a row. Cause: leaving out went on until nobody was left.
+     * Guards against requests being rejected while targets are idle. All targets of a service fail half of their
+     * requests, and each is ejected after four failures in a row; it comes about when ejection continues until none is
+     * left.
      */
     @Test
-    void shouldGoOnAskingWhenAllTargetsFailAlike() {
+    void shouldContinueSendingWhenAllTargetsFailAlike() {
         for (String id : List.of("a", "b", "c")) {
-            pool.entered(Samples.target(id, HALL, false, 0), 0);
+            pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
             for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
                 pool.find(id).get().failed(0);
             }
@@ -222,9 +229,9 @@
     }
 
     @Test
-    void shouldLeaveOutAFailingTargetWhenMostOthersAreWell() {
+    void shouldEjectAFailingTargetWhenMostOthersAreHealthy() {
         for (String id : List.of("a", "b", "c")) {
-            pool.entered(Samples.target(id, HALL, false, 0), 0);
+            pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
         }
         for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
             pool.find("a").get().failed(0);
@@ -234,8 +241,8 @@
     }
 
     @Test
-    void shouldNotAskATargetThatCannotBeReachedWhenItIsTheOnlyOne() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+    void shouldNotSendToAnUnreachableTargetWhenItIsTheOnlyOne() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.find("a").get().unreachable(0);
 
         assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1")), 1)
@@ -243,12 +250,12 @@
     }
 
     /**
-     * Symptom: a target that has just started crashes when all hosts start at once. Sequence: each host has read the store
-     * and not yet linked to the others, or sees only some of them. Cause: each took itself for the only host, and so for
-     * the target's owner.
+     * Guards against a target that has just started crashing when all hosts start at once. Each host has read the store
+     * and is not yet connected to the others, or to only some of them; it comes about when each considers itself the
+     * only host and so the one assigned to the target.
      */
     @Property(tries = 100)
-    void shouldSendAColdTargetNothingWhenHostsAreNotSureToKnowTheOthers(
+    void shouldSendAColdTargetNothingWhenHostsMayNotKnowAllOthers(
             @ForAll @IntRange(min = 1, max = 90) int hosts, @ForAll @IntRange(min = 1, max = 90) int seen) {
         for (int i = 0; i < hosts; i++) {
             String name = "host-" + i;
@@ -256,8 +263,8 @@
             for (int j = 0; j < Math.min(seen, hosts); j++) {
                 view.add("host-" + (i + j) % hosts);
             }
-            TargetPool own = TargetPool.of(Set.of(HALL));
-            own.entered(Samples.target("cold", HALL, false, 3_000), 0);
+            TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
+            own.entered(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
             TargetChooser each = TargetChooser.of(name, own, new Random(2));
 
             assertTrue(each.choose(Samples.MODEL_SERVICE, Work.PLAIN, Set.of(), new RegionView(view, false), 10)
@@ -267,26 +274,28 @@
 
     @Test
     void shouldChooseNothingWhenAllTargetsAreExcluded() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
 
         assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of("a"), RegionView.certain(Set.of("h1")), 0)
                 .isEmpty());
     }
 
     /**
-     * Symptom: a target that has just started crashes again and again. Sequence: every host sends it what it bears by
-     * itself. Cause: no host owns it; here each of any number of hosts with the same members tries to warm it.
+     * Guards against a target that has just started crashing repeatedly. It comes about when every host sends it as
+     * much as it sustains in total, as no host is assigned to it; here each of any number of hosts with the same
+     * members tries to warm it up.
      */
     @Property(tries = 100)
-    void shouldSendAColdTargetNoMoreThanItBearsWhenAnyNumberOfHostsTry(@ForAll @IntRange(min = 1, max = 90) int hosts) {
+    void shouldSendAColdTargetNoMoreThanItSustainsWhenAnyNumberOfHostsTry(
+            @ForAll @IntRange(min = 1, max = 90) int hosts) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
             names.add("host-" + i);
         }
         int sent = 0;
         for (String name : names) {
-            TargetPool own = TargetPool.of(Set.of(HALL));
-            own.entered(Samples.target("cold", HALL, false, 3_000), 0);
+            TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
+            own.entered(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
             TargetChooser each = TargetChooser.of(name, own, new Random(2));
             for (int i = 0; i < 20; i++) {
                 sent += each.choose(
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
@@ -11,16 +11,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class TargetPoolTest {
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
 
-    private final TargetPool pool = TargetPool.of(Set.of(HALL));
+    private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
 
     private boolean usable(String id, long nowMillis) {
         return pool.find(id).exists(target -> pool.isUsable(target, nowMillis));
     }
 
     @Test
-    void shouldPassOverTargetsWhenTheyStandInAnotherRegion() {
+    void shouldIgnoreTargetsWhenTheyAreInAnotherRegion() {
         assertTrue(pool.entered(Samples.target("a", "labasa-hall", false, 0), 0)
                 .changed()
                 .isEmpty());
@@ -28,47 +28,47 @@
     }
 
     /**
-     * Symptom: a request reaches a target seconds after it said that it leaves. Sequence: the target says so; an older
-     * entry of it is read from another host. Cause: the newer word was replaced by the older one.
+     * Guards against requests reaching a target seconds after it announced that it is leaving. An older entry of it is
+     * read from another host afterwards; it comes about when the older entry replaces the newer one.
      */
     @Test
-    void shouldNeverUseATargetAgainWhenItSaidThatItLeaves() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.entered(Samples.target("a", HALL, true, 0), 10);
-        pool.entered(Samples.target("a", HALL, false, 0), 20);
+    void shouldNeverUseATargetAgainWhenItReportedThatItIsLeaving() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.entered(Samples.target("a", DATA_CENTRE, true, 0), 10);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 20);
 
         assertFalse(usable("a", 30));
     }
 
     @Test
-    void shouldNotTakeATargetBackWhenItsEntryWasRemoved() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+    void shouldNotRestoreATargetWhenItsEntryWasRemoved() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.removed("a", 10);
-        pool.entered(Samples.target("a", HALL, false, 0), 20);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 20);
 
         assertTrue(pool.find("a").isEmpty());
     }
 
     /**
-     * Symptom: a region has no targets for seconds after the store was out. Sequence: entries lapse during the outage;
-     * the first list after it lacks them; the targets enter themselves again within two seconds. Cause: a missing entry
-     * was taken for a target that has left.
+     * Guards against a region without targets for seconds after a store outage. Entries expire during the outage, the
+     * first list after it lacks them, and the targets register again within two seconds; it comes about when a missing
+     * entry is taken for a target that has left.
      */
     @Test
-    void shouldKeepATargetWhenItsEntryLapsedWithTheStoreAndComesBack() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+    void shouldKeepATargetWhenItsEntryExpiredInAnOutageAndIsRestored() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.storeReturned(1_000);
         pool.removed("a", 1_010);
 
         assertTrue(usable("a", 1_500));
-        pool.entered(Samples.target("a", HALL, false, 0), 2_900);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 2_900);
         assertTrue(pool.tick(1_000 + TargetPool.REMOVAL_GRACE_MILLIS).isEmpty());
         assertTrue(usable("a", 1_000 + TargetPool.REMOVAL_GRACE_MILLIS));
     }
 
     @Test
-    void shouldDropATargetWhenItsEntryDoesNotComeBackAfterAnOutage() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
+    void shouldDropATargetWhenItsEntryIsNotRestoredAfterAnOutage() {
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.storeReturned(1_000);
         pool.removed("a", 1_010);
 
@@ -78,29 +78,29 @@
 
     @Test
     void shouldSendNothingWhenADataCentreIsEvacuatedAndTreatItAsColdAfterwards() {
-        pool.entered(Samples.target("a", HALL, false, 0), 0);
-        pool.evacuate(HALL, true, 10);
+        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.evacuate(DATA_CENTRE, true, 10);
         assertFalse(usable("a", 20));
 
-        pool.evacuate(HALL, false, 5_000);
+        pool.evacuate(DATA_CENTRE, false, 5_000);
         assertTrue(usable("a", 5_010));
         assertTrue(pool.find("a").get().isCold(5_010));
     }
 
     /**
-     * Symptom: a target that is well gets nothing for two minutes, or a burst while it is cold. Sequence: it leaves, or
-     * crashes behind a cut, and starts again under its identifier. Cause: what was believed of the earlier run, that it
-     * left, what it keeps and that it is warm, was believed of the later one.
+     * Guards against a healthy target getting nothing for two minutes, or a burst while it is cold. It leaves, or
+     * crashes behind a partition, and restarts under its identifier; it comes about when the state of the earlier
+     * incarnation (leaving, cached parts, warm) is applied to the later one.
      */
     @Test
-    void shouldBelieveNothingOfTheEarlierRunWhenATargetStartsAgain() {
+    void shouldApplyNoStateOfTheEarlierIncarnationWhenATargetRestarts() {
         Work work = new Work(100, 10, List.of(new PromptPart("p", 90), new PromptPart("own", 10)), Urgency.FIRST, 0);
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 0);
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
         GatewayTarget earlier = pool.find("a").get();
         earlier.reserve(work, 1_000, 5);
-        pool.entered(Samples.run("a", 1_000, HALL, true, 0), 10);
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, true, 0), 10);
 
-        EntryChange change = pool.entered(Samples.run("a", 2_000, HALL, false, 500), 20);
+        EntryChange change = pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 500), 20);
         GatewayTarget later = change.changed().get();
 
         assertEquals(Option.some(earlier), change.ended());
@@ -112,33 +112,33 @@
     }
 
     @Test
-    void shouldTakeALaterRunWhenTheEarlierOneIsGone() {
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 0);
+    void shouldAddALaterIncarnationWhenTheEarlierOneWasRemoved() {
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
         pool.removed("a", 10);
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 20);
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(pool.find("a").isEmpty());
 
-        pool.entered(Samples.run("a", 2_000, HALL, false, 0), 30);
+        pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 30);
         assertTrue(usable("a", 40));
     }
 
     @Test
-    void shouldDropTheEarlierRunWhenTheLaterOneStartsInAnotherRegion() {
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 0);
+    void shouldDropTheEarlierIncarnationWhenTheLaterOneStartsInAnotherRegion() {
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
 
-        EntryChange change = pool.entered(Samples.run("a", 2_000, "labasa-hall", false, 0), 10);
+        EntryChange change = pool.entered(Samples.incarnation("a", 2_000, "labasa-hall", false, 0), 10);
 
         assertTrue(change.changed().isEmpty());
         assertEquals("a@1000", change.ended().get().runText());
         assertTrue(pool.find("a").isEmpty());
 
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 20);
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(pool.find("a").isEmpty());
     }
 
     @Test
-    void shouldFindARunOnlyWhenItIsTheOneThatLives() {
-        pool.entered(Samples.run("a", 2_000, HALL, false, 0), 0);
+    void shouldFindAnIncarnationOnlyWhenItIsTheCurrentOne() {
+        pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 0);
 
         assertTrue(pool.findRun("a@2000").isDefined());
         assertTrue(pool.findRun("a@1000").isEmpty());
@@ -146,26 +146,26 @@
     }
 
     /**
-     * Symptom: requests go to an address that nobody meant. Sequence: another writer replaces a target's entry by one that
-     * can't be read; the target's own next entry is sound. Cause: the entry before was believed on, or the target was
-     * taken for gone for good.
+     * Guards against requests to an unintended address. Another writer replaces a target's entry by an unreadable one,
+     * and the target's own next entry is readable; it comes about when the earlier entry stays in use, or the target is
+     * considered removed for good.
      */
     @Test
-    void shouldSendNothingWhileATargetsEntryCanNotBeRead() {
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 0);
+    void shouldSendNothingWhenATargetsEntryIsUnreadable() {
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
         pool.unreadable("a");
         assertFalse(usable("a", 10));
 
-        pool.entered(Samples.run("a", 1_000, HALL, false, 0), 20);
+        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(usable("a", 30));
     }
 
     @Test
-    void shouldNotUseAnEntryThatTellsNoRunWhenOthersTellTheirs() {
-        pool.entered(Samples.run("a", 0, HALL, false, 0), 0);
+    void shouldNotUseAnEntryWithoutIncarnationWhenOthersReportTheirs() {
+        pool.entered(Samples.incarnation("a", 0, DATA_CENTRE, false, 0), 0);
         assertTrue(usable("a", 10));
 
-        pool.entered(Samples.run("b", 1_000, HALL, false, 0), 20);
+        pool.entered(Samples.incarnation("b", 1_000, DATA_CENTRE, false, 0), 20);
         assertFalse(usable("a", 30));
         assertTrue(usable("b", 30));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
@@ -9,141 +9,144 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * Walks all orders in which a host may hear of two runs of one target: from the store, whose older writes may come late,
- * from other hosts, and with the store away and back in between.
+ * Covers all orders in which a host may receive events of two incarnations of one target: from the store, whose older
+ * writes may be delayed, from other hosts, and with the store unavailable and back in between.
  */
 class TargetRunSearchTest {
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final int STEPS = 5;
     private static final SentWork ONE_REQUEST = new SentWork(1, WaitingTokens.NONE, 0);
 
-    /** What a host may hear. */
-    private enum Word {
+    /** An event that a host may receive. */
+    private enum Event {
         EARLIER_READY,
-        EARLIER_LEAVES,
+        EARLIER_LEAVING,
         LATER_READY,
-        LATER_LEAVES,
+        LATER_LEAVING,
         REMOVED,
         UNREADABLE,
         STORE_RETURNED,
         TIME_PASSES,
-        OTHERS_WORK_AT_EARLIER;
+        PEER_WORK_AT_EARLIER;
 
-        private static final long EARLIER_BORN_MILLIS = 1_000;
-        private static final long LATER_BORN_MILLIS = 2_000;
+        private static final long EARLIER_START_MILLIS = 1_000;
+        private static final long LATER_START_MILLIS = 2_000;
 
-        long bornMillis() {
-            return this == LATER_READY || this == LATER_LEAVES ? LATER_BORN_MILLIS : EARLIER_BORN_MILLIS;
+        long startedAtMillis() {
+            return this == LATER_READY || this == LATER_LEAVING ? LATER_START_MILLIS : EARLIER_START_MILLIS;
         }
     }
 
-    /** What a host should believe: kept apart from the code that is tested, by the words alone. */
+    /** The expected view of a host, derived from the events alone and independent of the tested code. */
     private static final class Expected {
-        private long bornMillis;
-        private long leftBornMillis;
+        private long startedAtMillis;
+        private long departedStartedAtMillis;
         private boolean leaving;
         private boolean unreadable;
         private boolean missing;
-        private boolean lenient;
+        private boolean removalGrace;
 
-        private void hear(Word word) {
-            switch (word) {
-                case EARLIER_READY, EARLIER_LEAVES, LATER_READY, LATER_LEAVES -> enter(word);
+        private void receive(Event event) {
+            switch (event) {
+                case EARLIER_READY, EARLIER_LEAVING, LATER_READY, LATER_LEAVING -> update(event);
                 case REMOVED -> {
-                    missing = bornMillis > 0 && lenient;
+                    missing = startedAtMillis > 0 && removalGrace;
                     if (!missing) {
-                        leave();
+                        remove();
                     }
                 }
                 case UNREADABLE -> {
-                    unreadable |= bornMillis > 0;
+                    unreadable |= startedAtMillis > 0;
                 }
                 case STORE_RETURNED -> {
-                    lenient = true;
+                    removalGrace = true;
                 }
                 case TIME_PASSES -> {
-                    lenient = false;
+                    removalGrace = false;
                     if (missing) {
-                        leave();
+                        remove();
                     }
                 }
                 default -> {}
             }
         }
 
-        private void enter(Word word) {
-            if (word.bornMillis() < bornMillis || bornMillis == 0 && word.bornMillis() <= leftBornMillis) {
+        private void update(Event event) {
+            if (event.startedAtMillis() < startedAtMillis
+                    || startedAtMillis == 0 && event.startedAtMillis() <= departedStartedAtMillis) {
                 return;
             }
-            leaving &= word.bornMillis() == bornMillis;
-            bornMillis = word.bornMillis();
-            leaving |= word == Word.EARLIER_LEAVES || word == Word.LATER_LEAVES;
+            leaving &= event.startedAtMillis() == startedAtMillis;
+            startedAtMillis = event.startedAtMillis();
+            leaving |= event == Event.EARLIER_LEAVING || event == Event.LATER_LEAVING;
             unreadable = false;
             missing = false;
         }
 
-        private void leave() {
-            leftBornMillis = Math.max(leftBornMillis, bornMillis);
-            bornMillis = 0;
+        private void remove() {
+            departedStartedAtMillis = Math.max(departedStartedAtMillis, startedAtMillis);
+            startedAtMillis = 0;
             leaving = false;
             unreadable = false;
             missing = false;
         }
 
         private String text() {
-            return bornMillis == 0 ? "none" : "a@" + bornMillis + (leaving || unreadable ? " unused" : " used");
+            return startedAtMillis == 0
+                    ? "none"
+                    : "a@" + startedAtMillis + (leaving || unreadable ? " unused" : " used");
         }
     }
 
-    /** A host, its clock and what it should believe. */
+    /** A host, its clock and its expected view. */
     private static final class Host {
-        private final TargetPool pool = TargetPool.of(Set.of(HALL));
+        private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
         private final Expected expected = new Expected();
         private long nowMillis;
 
-        private void hear(Word word) {
+        private void receive(Event event) {
             nowMillis++;
-            expected.hear(word);
-            switch (word) {
-                case EARLIER_READY, LATER_READY -> enter(word, false);
-                case EARLIER_LEAVES, LATER_LEAVES -> enter(word, true);
+            expected.receive(event);
+            switch (event) {
+                case EARLIER_READY, LATER_READY -> update(event, false);
+                case EARLIER_LEAVING, LATER_LEAVING -> update(event, true);
                 case REMOVED -> pool.removed("a", nowMillis);
                 case UNREADABLE -> pool.unreadable("a");
                 case STORE_RETURNED -> pool.storeReturned(nowMillis);
                 case TIME_PASSES -> {
                     nowMillis += TargetPool.REMOVAL_GRACE_MILLIS;
                 }
-                default -> pool.findRun("a@" + Word.EARLIER_BORN_MILLIS)
+                default -> pool.findRun("a@" + Event.EARLIER_START_MILLIS)
                         .forEach(target -> target.sentByOther("h2", ONE_REQUEST));
             }
             pool.tick(nowMillis);
         }
 
-        private void enter(Word word, boolean leaving) {
-            pool.entered(Samples.run("a", word.bornMillis(), HALL, leaving, 0), nowMillis);
+        private void update(Event event, boolean leaving) {
+            pool.entered(Samples.incarnation("a", event.startedAtMillis(), DATA_CENTRE, leaving, 0), nowMillis);
         }
 
-        private String believed() {
+        private String view() {
             return pool.find("a")
                     .map(target -> target.runText() + (pool.isUsable(target, nowMillis) ? " used" : " unused"))
                     .getOrElse("none");
         }
 
-        private boolean countsWorkOfTheEarlierRunAtTheLater() {
-            return pool.findRun("a@" + Word.LATER_BORN_MILLIS)
+        private boolean countsWorkOfTheEarlierIncarnationAtTheLater() {
+            return pool.findRun("a@" + Event.LATER_START_MILLIS)
                     .exists(target -> target.all().requests() > 0);
         }
     }
 
-    private static List<List<Word>> all(int steps) {
-        List<List<Word>> sequences = new ArrayList<>();
+    private static List<List<Event>> sequences(int steps) {
+        List<List<Event>> sequences = new ArrayList<>();
         sequences.add(List.of());
         for (int i = 0; i < steps; i++) {
-            List<List<Word>> longer = new ArrayList<>();
-            for (List<Word> sequence : sequences) {
-                for (Word word : Word.values()) {
-                    List<Word> next = new ArrayList<>(sequence);
-                    next.add(word);
+            List<List<Event>> longer = new ArrayList<>();
+            for (List<Event> sequence : sequences) {
+                for (Event event : Event.values()) {
+                    List<Event> next = new ArrayList<>(sequence);
+                    next.add(event);
                     longer.add(next);
                 }
             }
@@ -153,42 +156,42 @@
     }
 
     /**
-     * Symptom: a host uses a run that is over, or passes over one that lives. Sequence: any order of words of two runs.
-     * Cause: words of the earlier run were applied to the later one.
+     * Guards against a host that uses a terminated incarnation, or passes over a live one. It comes about when events
+     * of the earlier incarnation, in any order, are applied to the later one.
      */
     @Test
-    void shouldBelieveTheLaterRunAloneWhenWordsOfBothComeInAnyOrder() {
-        for (List<Word> sequence : all(STEPS)) {
+    void shouldUseTheLaterIncarnationOnlyWhenEventsOfBothArriveInAnyOrder() {
+        for (List<Event> sequence : sequences(STEPS)) {
             Host host = new Host();
-            for (Word word : sequence) {
-                host.hear(word);
-                assertEquals(host.expected.text(), host.believed(), sequence::toString);
+            for (Event event : sequence) {
+                host.receive(event);
+                assertEquals(host.expected.text(), host.view(), sequence::toString);
             }
-            assertEquals(false, host.countsWorkOfTheEarlierRunAtTheLater(), sequence::toString);
+            assertEquals(false, host.countsWorkOfTheEarlierIncarnationAtTheLater(), sequence::toString);
         }
     }
 
     /**
-     * Symptom: hosts of a region disagree on a target for good. Sequence: they hear different words on both sides of a
-     * cut, which heals; the run that lives enters itself again. Cause: what one believed kept it from the newer word.
-     * Whatever each of them heard, all believe the same afterwards.
+     * Guards against hosts of a region that disagree on a target permanently. They receive different events on both
+     * sides of a partition, which heals, and the live incarnation registers again; it comes about when their earlier
+     * view keeps them from the newer entry. Whatever each of them received, all have the same view afterwards.
      */
     @Test
-    void shouldUseTheLivingRunWhenItEntersItselfAgainAfterACut() {
-        for (List<Word> sequence : all(STEPS)) {
-            if (tellsTheEndOfTheLaterRun(sequence)) {
+    void shouldUseTheLiveIncarnationWhenItRegistersAgainAfterAPartition() {
+        for (List<Event> sequence : sequences(STEPS)) {
+            if (endsTheLaterIncarnation(sequence)) {
                 continue;
             }
             Host host = new Host();
-            sequence.forEach(host::hear);
-            host.hear(Word.TIME_PASSES);
-            host.hear(Word.LATER_READY);
-            assertEquals("a@" + Word.LATER_BORN_MILLIS + " used", host.believed(), sequence::toString);
+            sequence.forEach(host::receive);
+            host.receive(Event.TIME_PASSES);
+            host.receive(Event.LATER_READY);
+            assertEquals("a@" + Event.LATER_START_MILLIS + " used", host.view(), sequence::toString);
         }
     }
 
-    private static boolean tellsTheEndOfTheLaterRun(List<Word> sequence) {
-        int entered = sequence.indexOf(Word.LATER_READY);
-        return sequence.contains(Word.LATER_LEAVES) || entered >= 0 && sequence.lastIndexOf(Word.REMOVED) > entered;
+    private static boolean endsTheLaterIncarnation(List<Event> sequence) {
+        int entered = sequence.indexOf(Event.LATER_READY);
+        return sequence.contains(Event.LATER_LEAVING) || entered >= 0 && sequence.lastIndexOf(Event.REMOVED) > entered;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
@@ -9,30 +9,30 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Which streams count at an engine, and for how long. */
+/** Tests which streams count at an engine, and for how long. */
 class TargetStreamsTest {
-    private static final String HALL = "suva-hall";
+    private static final String DATA_CENTRE = "suva-hall";
     private static final RegionView HOSTS = RegionView.certain(Set.of("h1", "h2"));
 
-    /** A hundred events. */
+    /** A stream of a hundred events. */
     private static final Work STREAM = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
 
     private static final long FIRST_EVENT_MILLIS = 1_000;
 
-    /** All of the stream takes 5 s. */
+    /** The whole stream takes 5 s. */
     private static final long FAST_MILLIS = 50;
 
-    /** The rest takes 9.8 s, of which 6.4 s are left; at the best that may be hoped for, 3.9 s. */
+    /** The rest takes 9.8 s, of which 6.4 s are left; at the best inter-token latency it takes 3.9 s. */
     private static final long SLOW_MILLIS = 100;
 
-    /** At the best that may be hoped for, the rest takes 9.8 s. */
+    /** Even at the best inter-token latency the rest takes 9.8 s. */
     private static final long HOPELESS_MILLIS = 250;
 
-    private final TargetPool pool = TargetPool.of(Set.of(HALL));
+    private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
 
     private GatewayTarget engine(String id) {
-        pool.entered(Samples.target(id, HALL, false, 0), 0);
+        pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
         return pool.find(id).get();
     }
 
@@ -45,11 +45,11 @@
         return SentRequest.of(chooser, choice(work, 0), Samples.MODEL_SERVICE, work, 0);
     }
 
-    /** A stream whose second event has come so long after its first. */
-    private SentRequest running(Work work, long paceMillis) {
+    /** Returns a stream whose second event came so long after its first. */
+    private SentRequest running(Work work, long interTokenMillis) {
         SentRequest stream = sent(work);
         stream.part(true, FIRST_EVENT_MILLIS);
-        stream.part(true, FIRST_EVENT_MILLIS + paceMillis);
+        stream.part(true, FIRST_EVENT_MILLIS + interTokenMillis);
         return stream;
     }
 
@@ -65,13 +65,13 @@
         assertEquals(new StreamPace(1, SLOW_MILLIS, 1), engine.streams().own(nowMillis));
     }
 
-    private int behindAt(long paceMillis) {
+    private int laggingAt(long interTokenMillis) {
         GatewayTarget engine = engine("a");
-        running(STREAM, paceMillis);
-        return engine.streams().own(FIRST_EVENT_MILLIS + paceMillis).behind();
+        running(STREAM, interTokenMillis);
+        return engine.streams().own(FIRST_EVENT_MILLIS + interTokenMillis).behind();
     }
 
-    /** Guards against prompts kept from an engine for the sake of streams that have been answered whole. */
+    /** Guards against prompts being kept from an engine because of streams that have been answered completely. */
     @Test
     void shouldNotCountAStreamWhenItHasEnded() {
         assertOneLeftAfter(stream -> stream.ended(true, FIRST_EVENT_MILLIS + SLOW_MILLIS));
@@ -89,7 +89,7 @@
         assertOneLeftAfter(SentRequest::release);
     }
 
-    /** Guards against a stream that counts for good, as an event on its way comes after its caller has left. */
+    /** Guards against a stream that counts forever, as an event in transit arrives after its caller has left. */
     @Test
     void shouldNotCountAStreamWhenItsFirstEventComesAfterItsRelease() {
         GatewayTarget engine = engine("a");
@@ -102,27 +102,30 @@
         assertEquals(1, engine.streams().own(FIRST_EVENT_MILLIS + SLOW_MILLIS).streams());
     }
 
-    /** Guards against long streams that end without their last events, as nothing is kept from their engine. */
+    /** Guards against long streams that end without their last events, as no prompts are kept from their engine. */
     @Test
-    void shouldCountAStreamAsBehindWhenItsEventsTakeLongerThanItsTime() {
-        assertEquals(1, behindAt(SLOW_MILLIS));
+    void shouldCountAStreamAsLaggingWhenItsEventsTakeLongerThanItsTime() {
+        assertEquals(1, laggingAt(SLOW_MILLIS));
     }
 
-    /** Guards against prompts refused for the sake of streams that end in time. */
+    /** Guards against prompts being rejected because of streams that end in time. */
     @Test
-    void shouldNotCountAStreamAsBehindWhenItIsOnTime() {
-        assertEquals(0, behindAt(FAST_MILLIS));
+    void shouldNotCountAStreamAsLaggingWhenItIsOnTime() {
+        assertEquals(0, laggingAt(FAST_MILLIS));
     }
 
-    /** Guards against prompts refused for the sake of streams that nothing can save. */
+    /** Guards against prompts being rejected because of streams that would end too late in any case. */
     @Test
-    void shouldNotCountAStreamAsBehindWhenItIsTooLateAtTheBestPace() {
-        assertEquals(0, behindAt(HOPELESS_MILLIS));
+    void shouldNotCountAStreamAsLaggingWhenItIsTooLateAtTheBestLatency() {
+        assertEquals(0, laggingAt(HOPELESS_MILLIS));
     }
 
-    /** Guards against a host with few streams that takes their pace for the engine's, which all hosts see together. */
+    /**
+     * Guards against a host with few streams that takes their inter-token latency for that of the engine, which all
+     * hosts observe together.
+     */
     @Test
-    void shouldCountAStreamAsBehindWhenTheEngineIsSlowForOtherHosts() {
+    void shouldCountAStreamAsLaggingWhenTheEngineIsSlowForOtherHosts() {
         GatewayTarget engine = engine("a");
         running(STREAM, FAST_MILLIS);
         engine.toldByOther("h2", SentWork.NONE, new StreamPace(9, 9.0 * SLOW_MILLIS, 0));
@@ -130,9 +133,9 @@
         assertEquals(1, engine.streams().own(FIRST_EVENT_MILLIS + FAST_MILLIS).behind());
     }
 
-    /** Guards against an engine that seems slow for good, as a host's streams there have ended or the host is lost. */
+    /** Guards against an engine that seems slow forever, as a host's streams there have ended or the host is lost. */
     @Test
-    void shouldTakeOutAnotherHostsPaceWhenItTellsOfNone() {
+    void shouldRemoveAnotherHostsStatsWhenItReportsNone() {
         TargetStreams streams = engine("a").streams();
         StreamPace third = new StreamPace(2, 2.0 * FAST_MILLIS, 0);
         streams.toldByOther("h2", new StreamPace(9, 9.0 * SLOW_MILLIS, 4));
@@ -143,19 +146,22 @@
         assertEquals(third, streams.all(0));
     }
 
-    /** Guards against another host's streams counted once more with each of its words. */
+    /** Guards against another host's streams being counted again with each of its reports. */
     @Test
-    void shouldCountAnotherHostsPaceOnceWhenItTellsAnew() {
+    void shouldCountAnotherHostsStatsOnceWhenItReportsAgain() {
         TargetStreams streams = engine("a").streams();
         streams.toldByOther("h2", new StreamPace(9, 9.0 * SLOW_MILLIS, 4));
-        StreamPace anew = new StreamPace(3, 3.0 * FAST_MILLIS, 1);
+        StreamPace newer = new StreamPace(3, 3.0 * FAST_MILLIS, 1);
 
-        streams.toldByOther("h2", anew);
+        streams.toldByOther("h2", newer);
 
-        assertEquals(anew, streams.all(0));
+        assertEquals(newer, streams.all(0));
     }
 
-    /** Guards against long streams that crowd an engine whose pace nobody knows, as if it were the fastest. */
+    /**
+     * Guards against long streams that overload an engine whose inter-token latency is unknown, as if it were the
+     * fastest.
+     */
     @Test
     void shouldSendALongStreamToAKnownFastEngineWhenAnUnknownOneHasRequestsAndTheMeanIsSlow() {
         SentWork some = new SentWork(4, WaitingTokens.NONE, 0);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/VirtualTime.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/VirtualTime.java
@@ -3,19 +3,19 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** A clock that jumps from one task to the next. Confined to one thread. */
+/** A clock that advances from one task to the next. Confined to one thread. */
 final class VirtualTime {
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingDouble(Task::atMillis).thenComparingLong(Task::number));
     private double nowMillis;
-    private long planned;
+    private long scheduled;
 
     long nowMillis() {
         return Math.round(nowMillis);
     }
 
     void after(double millis, Runnable task) {
-        tasks.add(new Task(nowMillis + millis, planned++, task));
+        tasks.add(new Task(nowMillis + millis, scheduled++, task));
     }
 
     void every(double millis, Runnable task) {
