--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetHealth.java
@@ -8,7 +8,7 @@
  */
 final class TargetHealth {
     /**
-     * Connections in a row that were rejected or not answered: such a target runs nothing, and each attempt costs its
+     * Connections in a row that were refused or not answered: such a target runs nothing, and each attempt costs its
      * caller a time-out.
      */
     static final int MAX_CONSECUTIVE_UNREACHABLE = 1;
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
@@ -41,20 +41,20 @@
     void shouldLeaveNoRegionUnservedWhenAHostOfItCouldStillServe() {
         int gaps = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
-            Simulation walk = new Simulation(seed);
-            walk.run();
-            assertTrue(walk.longestGapMillis <= GAP_MILLIS, "seed " + seed + ": " + walk.longestGapMillis + " ms");
-            gaps += walk.stops > 2 ? 1 : 0;
+            Simulation simulation = new Simulation(seed);
+            simulation.run();
+            assertTrue(simulation.maxGapMillis <= GAP_MILLIS, "seed " + seed + ": " + simulation.maxGapMillis + " ms");
+            gaps += simulation.stops > 2 ? 1 : 0;
         }
-        assertEquals(SEEDS, gaps, "walks with several stops");
+        assertEquals(SEEDS, gaps, "simulations with several stops");
     }
 
     @Test
     void shouldSendNoCallerElsewhereWhenItsRegionHadHostsRecently() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            Simulation walk = new Simulation(seed);
-            walk.run();
-            assertEquals(List.of(), walk.misdirected, "seed " + seed);
+            Simulation simulation = new Simulation(seed);
+            simulation.run();
+            assertEquals(List.of(), simulation.misdirected, "seed " + seed);
         }
     }
 
@@ -103,7 +103,7 @@
         private final long[] unservedSinceMillis = new long[REGIONS];
         private final List<String> misdirected = new ArrayList<>();
         private final long delayMillis;
-        private long longestGapMillis;
+        private long maxGapMillis;
         private int stops;
 
         private Simulation(int seed) {
@@ -185,21 +185,22 @@
         }
 
         private OtherHosts peers(Host host, long now) {
-            long seenAtMillis = now - delayMillis;
-            boolean exist = false;
-            boolean oneTakes = false;
-            long longestMillis = 0;
+            long observedAtMillis = now - delayMillis;
+            boolean hasPeers = false;
+            boolean peerAcceptsCallers = false;
+            long maxAcceptMillis = 0;
             for (Host each : hosts) {
                 if (each != host && each.region == host.region) {
-                    exist = true;
-                    oneTakes |= each.acceptedCallersAt(seenAtMillis);
-                    if (!each.acceptedCallersAt(seenAtMillis)) {
-                        longestMillis = Math.max(longestMillis, each.acceptMillisAt(seenAtMillis) - delayMillis);
+                    hasPeers = true;
+                    peerAcceptsCallers |= each.acceptedCallersAt(observedAtMillis);
+                    if (!each.acceptedCallersAt(observedAtMillis)) {
+                        maxAcceptMillis =
+                                Math.max(maxAcceptMillis, each.acceptMillisAt(observedAtMillis) - delayMillis);
                     }
                 }
             }
-            long ownMillis = plan.workMillis(host.stoppingMillis(now), OtherHosts.AWAY);
-            return OtherHosts.of(exist, oneTakes, longestMillis, ownMillis);
+            long ownAcceptMillis = plan.workMillis(host.stoppingMillis(now), OtherHosts.AWAY);
+            return OtherHosts.of(hasPeers, peerAcceptsCallers, maxAcceptMillis, ownAcceptMillis);
         }
 
         /**
@@ -207,8 +208,9 @@
          */
         private boolean couldServe(Host host, long now) {
             boolean stopping = host.stopRequestedAtMillis >= 0;
-            long left = plan.cutMillis() - host.stoppingMillis(now);
-            return host.running && (stopping ? left > OtherHosts.MIN_REMAINING_MILLIS : host.acceptsCallers(now));
+            long remainingMillis = plan.cutMillis() - host.stoppingMillis(now);
+            return host.running
+                    && (stopping ? remainingMillis > OtherHosts.MIN_REMAINING_MILLIS : host.acceptsCallers(now));
         }
 
         /** A host alone in its region is back soonest if it shuts down soon. */
@@ -219,55 +221,55 @@
         private void recordGaps(long now) {
             for (int region = 0; region < REGIONS; region++) {
                 int own = region;
-                boolean reached = hosts.stream().anyMatch(host -> host.region == own && host.acceptMillisAt(now) > 0);
-                boolean could = hosts.stream()
+                boolean isServed = hosts.stream().anyMatch(host -> host.region == own && host.acceptMillisAt(now) > 0);
+                boolean couldBeServed = hosts.stream()
                         .anyMatch(host -> host.region == own
                                 && couldServe(host, now)
                                 && !(host.stopRequestedAtMillis >= 0 && isAlone(host)));
-                if (reached || !could) {
+                if (isServed || !couldBeServed) {
                     unservedSinceMillis[region] = now;
                 }
-                longestGapMillis = Math.max(longestGapMillis, now - unservedSinceMillis[region]);
+                maxGapMillis = Math.max(maxGapMillis, now - unservedSinceMillis[region]);
             }
         }
 
         private void queryDirectories(long now) {
-            for (Host asked : hosts) {
-                if (asked.running) {
-                    List<GatewayHost> takers = visibleHosts(asked, now, true);
-                    List<GatewayHost> last = visibleHosts(asked, now, false);
-                    asked.directory.saw(takers, now);
-                    asked.directory.saw(last, now);
+            for (Host queried : hosts) {
+                if (queried.running) {
+                    List<GatewayHost> accepting = visibleHosts(queried, now, true);
+                    List<GatewayHost> closing = visibleHosts(queried, now, false);
+                    queried.directory.saw(accepting, now);
+                    queried.directory.saw(closing, now);
                     for (int caller = 0; caller < REGIONS; caller++) {
-                        query(asked, caller, takers, last, now);
+                        query(queried, caller, accepting, closing, now);
                     }
                 }
             }
         }
 
-        private List<GatewayHost> visibleHosts(Host asked, long now, boolean takers) {
-            List<GatewayHost> seen = new ArrayList<>();
+        private List<GatewayHost> visibleHosts(Host queried, long now, boolean accepting) {
+            List<GatewayHost> visible = new ArrayList<>();
             for (Host host : hosts) {
-                long atMillis = host == asked ? now : now - delayMillis;
-                boolean takesCallers = host.acceptedCallersAt(atMillis);
-                if (takers ? takesCallers : !takesCallers && host.acceptMillisAt(atMillis) > 0) {
-                    seen.add(host.entry);
+                long atMillis = host == queried ? now : now - delayMillis;
+                boolean acceptsCallers = host.acceptedCallersAt(atMillis);
+                if (accepting ? acceptsCallers : !acceptsCallers && host.acceptMillisAt(atMillis) > 0) {
+                    visible.add(host.entry);
                 }
             }
-            return seen;
+            return visible;
         }
 
         /**
          * Requests the list of a caller whose requests have two homes without a common one: only its own region may
          * serve all of them.
          */
-        private void query(Host asked, int caller, List<GatewayHost> takers, List<GatewayHost> last, long now) {
-            List<String> homes = List.of("r" + (caller + 1) % REGIONS, "r" + (caller + 2) % REGIONS);
-            CallerPlace place = new CallerPlace("r" + caller, "d" + caller, homes, List.of());
-            List<String> named = asked.directory.list(takers, last, Option.some(place), now);
-            boolean away = named.stream().anyMatch(address -> !address.startsWith("h" + caller));
-            if (away && hadHostsRecently(caller, now)) {
-                misdirected.add(now + " ms: " + asked.entry.name() + " names " + named + " for r" + caller);
+        private void query(Host queried, int caller, List<GatewayHost> accepting, List<GatewayHost> closing, long now) {
+            List<String> homeRegions = List.of("r" + (caller + 1) % REGIONS, "r" + (caller + 2) % REGIONS);
+            CallerPlace location = new CallerPlace("r" + caller, "d" + caller, homeRegions, List.of());
+            List<String> listed = queried.directory.list(accepting, closing, Option.some(location), now);
+            boolean isElsewhere = listed.stream().anyMatch(address -> !address.startsWith("h" + caller));
+            if (isElsewhere && hadHostsRecently(caller, now)) {
+                misdirected.add(now + " ms: " + queried.entry.name() + " lists " + listed + " for r" + caller);
             }
         }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedEngine.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedEngine.java
@@ -25,9 +25,9 @@
     private static final long CACHE_TOKENS = 200_000;
 
     private final VirtualTime time;
-    private final PriorityQueue<Generation> waiting = new PriorityQueue<>(
-            Comparator.<Generation>comparingInt(run -> run.work.urgency().level())
-                    .thenComparingLong(run -> run.number));
+    private final PriorityQueue<Generation> waiting = new PriorityQueue<>(Comparator.<Generation>comparingInt(
+                    generation -> generation.work.urgency().level())
+            .thenComparingLong(generation -> generation.number));
     private final List<Generation> running = new ArrayList<>();
     private final LinkedHashMap<String, Integer> cache = new LinkedHashMap<>(64, 0.75f, true);
     private long cachedTokens;
@@ -39,20 +39,20 @@
     }
 
     Generation submit(Work work, int tokens, SimulatedEngine transferSource, Listener listener) {
-        Generation run = new Generation(submitted++, work, tokens, listener);
-        run.pendingPrefillTokens = Math.max(
+        Generation generation = new Generation(submitted++, work, tokens, listener);
+        generation.pendingPrefillTokens = Math.max(
                 1, work.promptTokens() - Math.max(cachedTokens(work), transferableTokens(work, transferSource)));
-        waiting.add(run);
+        waiting.add(generation);
         cacheParts(work);
         if (!busy) {
             step();
         }
-        return run;
+        return generation;
     }
 
-    void cancel(Generation run) {
-        waiting.remove(run);
-        running.remove(run);
+    void cancel(Generation generation) {
+        waiting.remove(generation);
+        running.remove(generation);
     }
 
     private static int transferableTokens(Work work, SimulatedEngine transferSource) {
@@ -112,17 +112,17 @@
         });
     }
 
-    private void generateToken(Generation run) {
-        if (!running.contains(run)) {
+    private void generateToken(Generation generation) {
+        if (!running.contains(generation)) {
             return;
         }
-        run.generatedTokens++;
-        boolean ends = run.generatedTokens >= run.tokens;
-        if (ends) {
-            running.remove(run);
+        generation.generatedTokens++;
+        boolean isLast = generation.generatedTokens >= generation.tokens;
+        if (isLast) {
+            running.remove(generation);
         }
-        if (ends || run.generatedTokens % EVENT_TOKENS == 0 || run.generatedTokens == 1) {
-            run.listener.onEvent(ends);
+        if (isLast || generation.generatedTokens % EVENT_TOKENS == 0 || generation.generatedTokens == 1) {
+            generation.listener.onEvent(isLast);
         }
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
@@ -92,8 +92,8 @@
                 / (double) calls.get(kind).size();
     }
 
-    private static double served(List<Call> some, double from, double to) {
-        List<Call> part = some.subList((int) (from * some.size()), (int) (to * some.size()));
+    private static double served(List<Call> subset, double from, double to) {
+        List<Call> part = subset.subList((int) (from * subset.size()), (int) (to * subset.size()));
         return part.stream().filter(call -> call.served).count() / (double) Math.max(1, part.size());
     }
 
@@ -117,9 +117,9 @@
         private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
         private final TargetChooser chooser;
 
-        private Host(String name, Random draws) {
+        private Host(String name, Random random) {
             this.name = name;
-            chooser = TargetChooser.of(name, pool, draws);
+            chooser = TargetChooser.of(name, pool, random);
             engines.keySet().stream()
                     .sorted()
                     .forEach(id -> pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0));
@@ -161,9 +161,9 @@
             long now = time.nowMillis();
             long remainingMillis = arrivedAtMillis + work.remainingMillis() - now;
             Work remaining = work.within(remainingMillis);
-            Demand demand = new Demand(kind.route(), SERVICE, remaining, Set.of());
+            Demand request = new Demand(kind.route(), SERVICE, remaining, Set.of());
             Placement placement =
-                    Placement.of(demand, clusterView, host.chooser, new RegionLoads(), Mechanisms.ALL, now);
+                    Placement.of(request, clusterView, host.chooser, new RegionLoads(), Mechanisms.ALL, now);
             if (placement.local().isEmpty() || placement.shouldRefuse()) {
                 retryOnce();
                 return;
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
@@ -191,7 +191,8 @@
     }
 
     private static boolean endsTheLaterIncarnation(List<Event> sequence) {
-        int entered = sequence.indexOf(Event.LATER_READY);
-        return sequence.contains(Event.LATER_LEAVING) || entered >= 0 && sequence.lastIndexOf(Event.REMOVED) > entered;
+        int registered = sequence.indexOf(Event.LATER_READY);
+        return sequence.contains(Event.LATER_LEAVING)
+                || registered >= 0 && sequence.lastIndexOf(Event.REMOVED) > registered;
     }
 }
