--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Choice.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Choice.java
@@ -17,8 +17,8 @@
         GatewayTarget target, Outlook outlook, int readTokens, int candidates, Option<GatewayTarget> source) {
     public Choice {
         Objects.requireNonNull(target, "target");
-        Objects.requireNonNull(outlook, "estimate");
-        Objects.requireNonNull(source, "transferSource");
+        Objects.requireNonNull(outlook, "outlook");
+        Objects.requireNonNull(source, "source");
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Demand.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Demand.java
@@ -17,6 +17,6 @@
         Objects.requireNonNull(route, "route");
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(work, "work");
-        Objects.requireNonNull(tried, "excluded");
+        Objects.requireNonNull(tried, "tried");
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
@@ -16,7 +16,7 @@
 
     public EntryChange {
         Objects.requireNonNull(changed, "changed");
-        Objects.requireNonNull(ended, "terminated");
+        Objects.requireNonNull(ended, "ended");
     }
 
     static EntryChange of(GatewayTarget changed) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
@@ -16,7 +16,7 @@
 public record GatewayHost(String name, long incarnation, Place place, String callerAddress, String peerAddress) {
     public GatewayHost {
         Objects.requireNonNull(name, "name");
-        Objects.requireNonNull(place, "location");
+        Objects.requireNonNull(place, "place");
         Objects.requireNonNull(callerAddress, "callerAddress");
         Objects.requireNonNull(peerAddress, "peerAddress");
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ReturnQueue.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ReturnQueue.java
@@ -24,7 +24,7 @@
     /** Callers rejected at one moment come back spread over this time. */
     static final long JITTER_MILLIS = 400;
 
-    /** Fraction of a caller's remaining time that it may be told to wait; the rest is for its answer. */
+    /** Fraction of a caller's remaining time that may be spent waiting; the rest is for its answer. */
     static final double MAX_REMAINING_FRACTION = 0.3;
 
     private final Map<String, EnumMap<Urgency, Double>> nextReturnMillis = new HashMap<>();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentWork.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentWork.java
@@ -14,7 +14,7 @@
     public static final SentWork NONE = new SentWork(0, WaitingTokens.NONE, 0);
 
     public SentWork {
-        Objects.requireNonNull(waiting, "prefillBacklog");
+        Objects.requireNonNull(waiting, "waiting");
     }
 
     SentWork plus(SentWork other) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Surroundings.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Surroundings.java
@@ -15,7 +15,7 @@
 public record Surroundings(String ownRegion, RegionView hosts, Map<String, Double> wayMillis, Set<String> beyondShare) {
     public Surroundings {
         Objects.requireNonNull(ownRegion, "ownRegion");
-        Objects.requireNonNull(hosts, "regionView");
+        Objects.requireNonNull(hosts, "hosts");
         wayMillis = Map.copyOf(wayMillis);
         beyondShare = Set.copyOf(beyondShare);
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
@@ -24,7 +24,7 @@
         boolean leaving,
         long coldMillis) {
     public TargetEntry {
-        Objects.requireNonNull(run, "incarnation");
+        Objects.requireNonNull(run, "run");
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(ip, "ip");
         Objects.requireNonNull(dataCentre, "dataCentre");
