--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingCount.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SlidingWindowCounter.java
@@ -2,13 +2,13 @@
 
 import java.util.ArrayDeque;
 
-/** Counts events of the last span of time. Confined to its owner's thread. */
-final class SlidingCount {
-    private final long spanMillis;
+/** Counts the events of the most recent time window. Confined to its owner's thread. */
+final class SlidingWindowCounter {
+    private final long windowMillis;
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
-    SlidingCount(long spanMillis) {
-        this.spanMillis = spanMillis;
+    SlidingWindowCounter(long windowMillis) {
+        this.windowMillis = windowMillis;
     }
 
     void add(long nowMillis) {
@@ -22,7 +22,7 @@
     }
 
     private void expire(long nowMillis) {
-        while (!times.isEmpty() && times.peekFirst() <= nowMillis - spanMillis) {
+        while (!times.isEmpty() && times.peekFirst() <= nowMillis - windowMillis) {
             times.removeFirst();
         }
     }
