--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewChange.java
@@ -27,7 +27,7 @@
         long lastSentAtMillis) {
     ViewChange {
         Objects.requireNonNull(proposed, "proposed");
-        Objects.requireNonNull(awaitedHosts, "awaited");
+        Objects.requireNonNull(awaitedHosts, "awaitedHosts");
     }
 
     static ViewChange byStore(ClaimView proposed, long nowMillis) {
