--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
@@ -142,7 +142,7 @@
     }
 
     /**
-     * Returns whether no further requests of callers can be answered.
+     * Returns whether no further requests can be accepted from callers.
      *
      * @return whether the output of every connection has been shut down
      */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/HttpClientRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/HttpClientRequest.java
@@ -22,10 +22,10 @@
      * Creates a GET request.
      *
      * @param uri the path and query
-     * @param limitMillis how long it may take while no bytes of the response are received
+     * @param timeoutMillis how long it may take while no bytes of the response are received
      * @return the request
      */
-    public static HttpClientRequest get(String uri, long limitMillis) {
-        return new HttpClientRequest("GET", uri, new byte[0], limitMillis);
+    public static HttpClientRequest get(String uri, long timeoutMillis) {
+        return new HttpClientRequest("GET", uri, new byte[0], timeoutMillis);
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/LogEvent.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/LogEvent.java
@@ -6,7 +6,7 @@
 public enum LogEvent {
     /** The process has started and serves its ports. */
     STARTED,
-    /** The process was requested to stop and accepts no more work. */
+    /** The process was requested to stop and accepts no more callers. */
     STOPPING,
     /** The process terminates. */
     STOPPED,
