--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
@@ -27,7 +27,7 @@
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
-import org.rattanplank.core.gateway.CallerBounds;
+import org.rattanplank.core.gateway.CallerLimits;
 import org.rattanplank.gateway.http.Headers;
 import org.rattanplank.gateway.http.WaitingBytes;
 
@@ -58,7 +58,7 @@
     private static final long FIRST_REQUEST_GRACE_MILLIS = 500;
 
     private final CallerServer server;
-    private final CallerBounds bounds;
+    private final CallerLimits bounds;
     private Channel channel;
     private HttpRequest incompleteRequest;
     private List<ByteBuf> bodyChunks = new ArrayList<>();
@@ -75,7 +75,7 @@
     private long firstByteAtMillis;
     private long readMillis;
 
-    CallerConnection(CallerServer server, CallerBounds bounds) {
+    CallerConnection(CallerServer server, CallerLimits bounds) {
         this.server = server;
         this.bounds = bounds;
     }
@@ -206,7 +206,7 @@
             return;
         }
         if (incompleteRequest != null && idleMillis > bounds.idleTimeoutMillis()
-                || incompleteRequest == null && receivingRequest && idleMillis > bounds.headTimeoutMillis()) {
+                || incompleteRequest == null && receivingRequest && idleMillis > bounds.headerTimeoutMillis()) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT);
         } else if (idleMillis > bounds.idleTimeoutMillis()) {
             closeIfIdle();
@@ -215,7 +215,7 @@
 
     private long applicableTimeoutMillis() {
         return receivingRequest && incompleteRequest == null && !closing
-                ? bounds.headTimeoutMillis()
+                ? bounds.headerTimeoutMillis()
                 : bounds.idleTimeoutMillis();
     }
 
