--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/HostList.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/HostList.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The platform's list of hosts, which lags. Immutable and thread safe.
+ * The platform's host list, which lags behind the actual state. Immutable and thread safe.
  *
- * @param revision the list's revision, which grows with each change
+ * @param revision the list's revision, which increases with each change
  * @param hosts all listed hosts
  */
 public record HostList(long revision, List<ListedHost> hosts) {
@@ -14,7 +14,7 @@
     }
 
     /**
-     * Makes a list with no hosts.
+     * Creates a list without hosts.
      *
      * @return the empty list
      */
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Finds all targets.
+     * Returns all targets.
      *
      * @return the listed targets
      */
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Finds all entry hosts.
+     * Returns all entry hosts.
      *
      * @return the listed entry hosts
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/HostRole.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/HostRole.java
@@ -1,8 +1,8 @@
 package org.rattanplank.core.host;
 
-/** What a listed host does. */
+/** Role of a listed host. */
 public enum HostRole {
-    /** Takes requests from callers. */
+    /** Accepts requests from callers. */
     ENTRY,
     /** Runs requests for one service. */
     TARGET
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * One host as the platform lists it. Immutable and thread safe.
+ * A host in the platform's host list. Immutable and thread safe.
  *
  * @param name the host's name, unique over all hosts
- * @param role what the host does
- * @param place where it stands
+ * @param role the host's role
+ * @param place the host's location
  * @param address the IP address
  * @param port the port for callers of an entry host, or the port of a target
  * @param peerPort the port for other entry hosts, zero for a target
  * @param service the service that a target runs, empty for an entry host
- * @param leaving whether the platform is about to take the host away
+ * @param leaving whether the platform is about to remove the host
  */
 public record ListedHost(
         String name,
@@ -26,13 +26,13 @@
     public ListedHost {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(role, "role");
-        Objects.requireNonNull(place, "place");
+        Objects.requireNonNull(place, "location");
         Objects.requireNonNull(address, "address");
         service = Objects.requireNonNullElse(service, "");
     }
 
     /**
-     * Tells whether this is a target.
+     * Returns whether this host is a target.
      *
      * @return whether the host runs requests
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/Place.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/Place.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Where a host stands. Immutable and thread safe; neither name is empty.
+ * The region and data centre of a host. Immutable and thread safe; neither name is empty.
  *
  * @param region the region's name
  * @param dataCentre the data centre's name, unique over all regions
@@ -13,16 +13,16 @@
         Objects.requireNonNull(region, "region");
         Objects.requireNonNull(dataCentre, "dataCentre");
         if (region.isEmpty() || dataCentre.isEmpty()) {
-            throw new IllegalArgumentException("a place needs a region and a data centre");
+            throw new IllegalArgumentException("a location needs a region and a data centre");
         }
     }
 
     /**
-     * Makes a place.
+     * Creates a location.
      *
      * @param region the region's name
      * @param dataCentre the data centre's name
-     * @return the place
+     * @return the location
      */
     public static Place of(String region, String dataCentre) {
         return new Place(region, dataCentre);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/Rendezvous.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/Rendezvous.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing: every host that knows the same members ranks them in the same order, with no agreement.
+ * Rendezvous hashing: every host that knows the same members ranks them in the same order, without coordination.
  *
- * <p>Invariant: the order of two members does not depend on any third. Stateless and thread safe.
+ * <p>Invariant: the relative order of two members does not depend on any other member. Stateless and thread safe.
  */
 public final class Rendezvous {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -16,10 +16,10 @@
     private Rendezvous() {}
 
     /**
-     * Ranks members for a key.
+     * Returns the members ranked for a key.
      *
      * @param members the members, each once
-     * @param key what a member is wanted for
+     * @param key the key that the members are ranked for
      * @return the members, best first
      */
     public static List<String> rank(Collection<String> members, String key) {
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Hashes a text.
+     * Returns the hash of a text.
      *
      * @param text the text
      * @return a hash that is the same on every host
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Spreads the bits of a number over all of its 64 bits.
+     * Mixes the bits of a number so that each affects all 64 bits.
      *
      * @param value the number
      * @return the mixed number
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Account.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Account.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * A firm's account. Immutable and thread safe.
+ * A client account. Immutable and thread safe.
  *
  * @param name the account's name
  * @param tokenSha256 the SHA-256 of its bearer token in lower-case hexadecimal
@@ -21,7 +21,7 @@
         Objects.requireNonNull(homeDataCentre, "homeDataCentre");
         residency = Objects.requireNonNullElse(residency, "");
         if (!(weight > 0)) {
-            throw new IllegalArgumentException("an account's weight is above zero: " + name);
+            throw new IllegalArgumentException("an account's weight must be above zero: " + name);
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyStep.java
@@ -6,14 +6,14 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.schema.intent.IntentFault;
 
-/** What an apply wants next, or how it ended. Immutable and thread safe. */
+/** State of an apply operation: the next store call, or the result. Immutable and thread safe. */
 public sealed interface ApplyStep {
 
     /**
-     * Call the platform's store and hand the reply to {@link Apply#replied}.
+     * Call the platform's store and pass the reply to {@link Apply#replied}.
      *
-     * @param command what to do
-     * @param delayMillis how long to wait before
+     * @param command the command
+     * @param delayMillis how long to wait before the call
      */
     record CallStore(StoreCommand command, long delayMillis) implements ApplyStep {
         public CallStore {
@@ -24,14 +24,14 @@
     /**
      * The change is in the store.
      *
-     * @param generation the generation that holds it
-     * @param digest the digest of the newest document that was seen to hold it
+     * @param generation the generation that contains it
+     * @param digest the digest of the newest document that was observed to contain it
      * @param changed whether there was anything to change
      */
     record Done(long generation, String digest, boolean changed) implements ApplyStep {}
 
     /**
-     * Nothing was applied: the folder merged with the newest document has faults.
+     * Nothing was applied: the folder, merged with the newest document, has faults.
      *
      * @param faults the faults
      */
@@ -54,9 +54,9 @@
     }
 
     /**
-     * The store could not be reached often enough.
+     * The operation was abandoned, for example because store calls failed too often.
      *
-     * @param surelyNotApplied whether the change surely has no effect; otherwise apply the same folder again
+     * @param surelyNotApplied whether the change definitely had no effect; otherwise apply the same folder again
      * @param reason a short sentence
      */
     record Failed(boolean surelyNotApplied, String reason) implements ApplyStep {}
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/CanonicalJson.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/CanonicalJson.java
@@ -13,9 +13,9 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
 /**
- * Writes JSON so that equal values give equal text: fields sorted, no blanks.
+ * Serializes JSON so that equal values give equal text: fields are sorted, without whitespace.
  *
- * <p>Invariant: the text depends on nothing but the value. Stateless and thread safe.
+ * <p>Invariant: the text depends only on the value. Stateless and thread safe.
  */
 final class CanonicalJson {
     private static final ObjectMapper JSON = JsonMapper.builder()
@@ -29,7 +29,7 @@
         try {
             return JSON.writeValueAsString(JSON.treeToValue(node, Object.class));
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not a JSON value", e);
+            throw new IllegalArgumentException("the node is not a JSON value", e);
         }
     }
 
@@ -38,7 +38,7 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             return HexFormat.of().formatHex(digest.digest(text.getBytes(StandardCharsets.UTF_8)));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is missing from this Java platform", e);
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Configuration.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Configuration.java
@@ -11,15 +11,15 @@
  *
  * <p>Invariant: two configurations with the same generation and digest hold the same intents.
  *
- * @param generation the generation, which only grows; zero before any was learned
+ * @param generation the generation, which only increases; zero before any was received
  * @param digest the SHA-256 of the merged document in lower-case hexadecimal
  * @param services the services by name
  * @param accounts the accounts by name
  * @param residencies the regions that each residency label allows
- * @param shares the share of work that each region takes, where it is limited, from zero to one
- * @param retiring the hosts and targets that are to leave
+ * @param shares the share of work that each region accepts, where it is limited, from zero to one
+ * @param retiring the hosts and targets to be retired
  * @param limits the limits of accounts by account name
- * @param regions the data centres of each region that the files name
+ * @param regions the data centres of each region that the files define
  */
 public record Configuration(
         long generation,
@@ -42,15 +42,15 @@
     }
 
     /**
-     * Makes a configuration without limits or named regions.
+     * Creates a configuration without limits or regions.
      *
      * @param generation the generation
      * @param digest the digest of the merged document
      * @param services the services by name
      * @param accounts the accounts by name
      * @param residencies the regions that each residency label allows
-     * @param shares the share of work that each region takes
-     * @param retiring the hosts and targets that are to leave
+     * @param shares the share of work that each region accepts
+     * @param retiring the hosts and targets to be retired
      */
     public Configuration(
             long generation,
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Makes the configuration of a host that has learned none.
+     * Returns the configuration of a host that has received none.
      *
      * @return the empty configuration
      */
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Finds a service.
+     * Returns a service.
      *
      * @param name its name
      * @return the service, or none
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Finds an account.
+     * Returns an account.
      *
      * @param name its name
      * @return the account, or none
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Finds the limit of an account.
+     * Returns the limit of an account.
      *
      * @param account the account's name
      * @return the limit, or none
@@ -103,7 +103,7 @@
     }
 
     /**
-     * Finds the regions in which data may be served; data of unknown residency stays at home.
+     * Returns the regions in which data may be processed; data of unknown residency stays in its home region.
      *
      * @param homeRegion the home region of the data's account
      * @param label the residency label, or none
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationChange.java
@@ -12,38 +12,38 @@
 import io.vavr.control.Option;
 
 /**
- * A change of configuration: what an operator last saw, and what the operator's folder holds now.
+ * A configuration change: the document that an operator last saw, and the desired content of the operator's folder.
  *
- * <p>Invariant: applied to a newer document, it changes no file that the operator did not change. Immutable and thread
- * safe.
+ * <p>Invariant: applied to a newer document, the change modifies no file that the operator did not change. Immutable
+ * and thread safe.
  *
  * @param base the document that the operator last saw
- * @param wanted the operator's files by name
+ * @param desired the operator's files by name
  * @param changeId the identity of the change
  */
-public record ConfigurationChange(Document base, SortedMap<String, JsonNode> wanted, String changeId) {
+public record ConfigurationChange(Document base, SortedMap<String, JsonNode> desired, String changeId) {
     public ConfigurationChange {
-        wanted = java.util.Collections.unmodifiableSortedMap(new TreeMap<>(wanted));
+        desired = java.util.Collections.unmodifiableSortedMap(new TreeMap<>(desired));
     }
 
     /**
      * Applies the change to the newest document, file by file.
      *
      * @param newest the newest document
-     * @return the next generation, the newest document itself if there is nothing to change, or all conflicts
+     * @return the next generation, the newest document itself if nothing changes, or all conflicts
      */
     public Either<List<ConfigurationConflict>, Document> applyTo(Document newest) {
         List<ConfigurationConflict> conflicts = new ArrayList<>();
         SortedMap<String, JsonNode> merged = new TreeMap<>();
         for (String name : names(newest)) {
-            Option<JsonNode> before = Option.of(base.files().get(name));
-            Option<JsonNode> ours = Option.of(wanted.get(name));
+            Option<JsonNode> previous = Option.of(base.files().get(name));
+            Option<JsonNode> ours = Option.of(desired.get(name));
             Option<JsonNode> theirs = Option.of(newest.files().get(name));
-            if (!ours.equals(before) && !theirs.equals(before) && !ours.equals(theirs)) {
-                conflicts.add(new ConfigurationConflict(name, reason(before, ours, theirs)));
+            if (!ours.equals(previous) && !theirs.equals(previous) && !ours.equals(theirs)) {
+                conflicts.add(new ConfigurationConflict(name, reason(previous, ours, theirs)));
                 continue;
             }
-            Option<JsonNode> result = ours.equals(before) ? theirs : ours;
+            Option<JsonNode> result = ours.equals(previous) ? theirs : ours;
             result.forEach(content -> merged.put(name, content));
         }
         if (!conflicts.isEmpty()) {
@@ -54,14 +54,14 @@
 
     private SortedSet<String> names(Document newest) {
         SortedSet<String> names = new TreeSet<>(base.files().keySet());
-        names.addAll(wanted.keySet());
+        names.addAll(desired.keySet());
         names.addAll(newest.files().keySet());
         return names;
     }
 
     private static ConfigurationConflict.Reason reason(
-            Option<JsonNode> before, Option<JsonNode> ours, Option<JsonNode> theirs) {
-        if (before.isEmpty()) {
+            Option<JsonNode> previous, Option<JsonNode> ours, Option<JsonNode> theirs) {
+        if (previous.isEmpty()) {
             return ConfigurationConflict.Reason.BOTH_ADDED;
         }
         if (ours.isEmpty()) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationConflict.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationConflict.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * One file that two operators changed at once in ways that cannot both hold. Immutable and thread safe.
+ * A file that two operators changed concurrently in incompatible ways. Immutable and thread safe.
  *
  * @param file the file's name
- * @param reason how the changes clash
+ * @param reason how the changes conflict
  */
 public record ConfigurationConflict(String file, Reason reason) {
     public ConfigurationConflict {
@@ -14,7 +14,7 @@
         Objects.requireNonNull(reason, "reason");
     }
 
-    /** How two changes of one file clash. */
+    /** How two changes of one file conflict. */
     public enum Reason {
         /** Both added the file with different contents. */
         BOTH_ADDED("both added it with different contents"),
@@ -25,19 +25,19 @@
         /** The other change removed the file and this one changes it. */
         REMOVED_THERE("another operator removed it, you changed it");
 
-        private final String words;
+        private final String description;
 
-        Reason(String words) {
-            this.words = words;
+        Reason(String description) {
+            this.description = description;
         }
 
         /**
-         * Says it to an operator.
+         * Returns a description for operators.
          *
          * @return a short sentence
          */
         public String words() {
-            return words;
+            return description;
         }
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationStep.java
@@ -5,14 +5,14 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.schema.message.ControlMessage;
 
-/** Something that the configuration of a host wants done. Immutable and thread safe. */
+/** An action that the configuration manager of a host requests. Immutable and thread safe. */
 public sealed interface ConfigurationStep {
 
     /**
-     * Call the platform's store.
+     * Calls the platform's store.
      *
-     * @param callId the call, which its reply carries
-     * @param command what to do
+     * @param callId the id of the call, which its reply carries
+     * @param command the command
      */
     record CallStore(long callId, StoreCommand command) implements ConfigurationStep {
         public CallStore {
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Send a message to another entry host.
+     * Sends a message to another entry host.
      *
      * @param host the other host
      * @param message the message
@@ -33,7 +33,7 @@
     }
 
     /**
-     * This configuration is now in force at this host.
+     * This configuration is now active at this host.
      *
      * @param configuration the configuration
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Configurations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Configurations.java
@@ -23,76 +23,77 @@
 import org.rattanplank.schema.message.ControlMessage;
 
 /**
- * Learns each new generation of the configuration, from the store, a watch or another host, and passes it on.
+ * Receives each new generation of the configuration from the store, a watch or another host, activates it and pushes it
+ * to peers.
  *
- * <p>Invariants: the generation in force never falls; of two documents with the same generation the one learned first
- * stays in force, and the other is counted. A host that has just started puts its first generation into force only when
- * the store and one peer were heard or had time to answer, and never one that is older than what a peer told of. Thread
- * safe; one lock guards all state, and no other lock is taken while it is held.
+ * <p>Invariants: the active generation never decreases; of two documents with the same generation, the one received
+ * first stays active and the other is counted. A host that has just started activates its first generation only after
+ * the store and one peer have answered or the startup grace period has passed, and never a generation older than one
+ * that a peer reported. Thread safe; one lock guards all state, and no other lock is taken while it is held.
  */
 public final class Configurations {
-    /** The store's key of the newest generation. */
+    /** Store key of the newest generation. */
     public static final String KEY = "rattanplank/configuration";
 
-    private static final long START_GRACE_MILLIS = 2_000;
+    private static final long STARTUP_GRACE_MILLIS = 2_000;
     private static final long PULL_TIMEOUT_MILLIS = 1_500;
-    private static final long REMOTE_PATIENCE_MILLIS = 300;
-    private static final int KEPT_DOCUMENTS = 8;
+    private static final long REMOTE_PULL_DELAY_MILLIS = 300;
+    private static final int MAX_RECENT_DOCUMENTS = 8;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final NodeIdentity self;
     private final SplittableRandom random;
-    private final StoreReader reader;
-    private final Deque<Document> kept = new ArrayDeque<>();
-    private final Map<String, Long> heardGenerations = new TreeMap<>();
+    private final StoreReadScheduler readScheduler;
+    private final Deque<Document> recentDocuments = new ArrayDeque<>();
+    private final Map<String, Long> peerGenerations = new TreeMap<>();
     private Configuration current = Configuration.empty();
-    private Option<Document> waiting = Option.none();
+    private Option<Document> pending = Option.none();
     private PeerView peers = PeerView.empty();
     private Option<Long> startMillis = Option.none();
-    private boolean peerHeard;
-    private long highestHeard;
+    private boolean anyPeerReported;
+    private long maxReportedGeneration;
     private long behindSinceMillis;
-    private Option<Long> pulledMillis = Option.none();
-    private int pulls;
+    private Option<Long> pullSentMillis = Option.none();
+    private int pullCount;
     private int disagreements;
 
     private Configurations(NodeIdentity self) {
         this.self = self;
         random = new SplittableRandom(Rendezvous.hash(self.host()) ^ self.incarnation());
-        reader = new StoreReader(self.host(), random);
+        readScheduler = new StoreReadScheduler(self.host(), random);
     }
 
     /**
-     * Makes the configuration of a host that has learned none.
+     * Creates the manager of a host that has received no configuration.
      *
      * @param self the host
-     * @return the configuration's keeper
+     * @return the configuration manager
      */
     public static Configurations of(NodeIdentity self) {
         return new Configurations(self);
     }
 
     /**
-     * The configuration in force.
+     * Returns the active configuration.
      *
-     * @return the newest that was learned
+     * @return the newest activated configuration
      */
     public Configuration current() {
         return locked(() -> current);
     }
 
     /**
-     * Tells whether this host read the store lately.
+     * Returns whether this host recently read the store.
      *
      * @param nowMillis the time
-     * @return whether a read succeeded within some seconds
+     * @return whether a read succeeded within the last seconds
      */
     public boolean isStoreReachable(long nowMillis) {
-        return locked(() -> reader.isReachable(nowMillis));
+        return locked(() -> readScheduler.isReachable(nowMillis));
     }
 
     /**
-     * Counts documents that were passed over because another one with the same generation is in force.
+     * Returns the number of documents ignored because another one with the same generation is active.
      *
      * @return the count, which stays zero unless the store lost or forked its history
      */
@@ -101,156 +102,156 @@
     }
 
     /**
-     * Counts watches that were found silent while the store had news.
+     * Returns the number of watches that were detected as unresponsive while the store had newer data.
      *
      * @return the count
      */
     public int silentWatches() {
-        return locked(reader::silentWatches);
+        return locked(readScheduler::unresponsiveWatches);
     }
 
     /**
-     * Takes note of the hosts that this one can learn from.
+     * Updates the hosts that this one can receive the configuration from.
      *
      * @param view the hosts
      * @param nowMillis the time
      */
     public void peers(PeerView view, long nowMillis) {
         locked(() -> {
-            start(nowMillis);
+            recordStart(nowMillis);
             peers = view;
             return List.of();
         });
     }
 
     /**
-     * Takes the end of a call to the store.
+     * Handles the reply to a store call.
      *
      * @param callId the call
-     * @param reply its end
+     * @param reply the reply
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return locked(() -> {
-            start(nowMillis);
-            List<ConfigurationStep> steps = new ArrayList<>();
+            recordStart(nowMillis);
+            List<ConfigurationStep> actions = new ArrayList<>();
             if (reply instanceof StoreReply.Found found) {
                 Option<Document> document = found.entry().flatMap(Configurations::parse);
                 long generation = document.map(Document::generation).getOrElse(0L);
-                reader.found(found.revision(), generation, nowMillis);
-                document.forEach(read -> learn(read, nowMillis, steps));
-                putWaitingIntoForce(nowMillis, steps);
+                readScheduler.readSucceeded(found.revision(), generation, nowMillis);
+                document.forEach(received -> documentReceived(received, nowMillis, actions));
+                activatePending(nowMillis, actions);
             } else if (reply instanceof StoreReply.Unsure || reply instanceof StoreReply.Unavailable) {
-                reader.failed(callId, nowMillis);
+                readScheduler.readFailed(callId, nowMillis);
             }
-            return steps;
+            return actions;
         });
     }
 
     /**
-     * Takes changes of watched keys.
+     * Handles changes of watched keys.
      *
-     * @param entries the entries that were written
-     * @param revision the store's revision after them
+     * @param entries the written entries
+     * @param revision the store revision after the changes
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
         return locked(() -> {
-            start(nowMillis);
-            List<ConfigurationStep> steps = new ArrayList<>();
+            recordStart(nowMillis);
+            List<ConfigurationStep> actions = new ArrayList<>();
             for (StoreEntry entry : entries) {
                 if (entry.key().equals(KEY)) {
                     parse(entry).forEach(document -> {
-                        reader.changed(revision, document.generation());
-                        learn(document, nowMillis, steps);
+                        readScheduler.watchUpdated(revision, document.generation());
+                        documentReceived(document, nowMillis, actions);
                     });
                 }
             }
-            return steps;
+            return actions;
         });
     }
 
     /**
-     * Takes note that a watch broke.
+     * Records that a watch failed.
      *
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> watchBroken(long nowMillis) {
         return locked(() -> {
-            reader.watchBroken(nowMillis);
+            readScheduler.watchFailed(nowMillis);
             return List.of();
         });
     }
 
     /**
-     * Takes a message of another host.
+     * Handles a message from another host.
      *
      * @param host the other host
      * @param message the message
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> receive(String host, ControlMessage message, long nowMillis) {
         return locked(() -> {
-            start(nowMillis);
-            List<ConfigurationStep> steps = new ArrayList<>();
+            recordStart(nowMillis);
+            List<ConfigurationStep> actions = new ArrayList<>();
             if (message instanceof ConfigurationPull pull) {
-                answer(host, pull).forEach(push -> steps.add(new ConfigurationStep.Send(host, push)));
+                answerPull(host, pull).forEach(push -> actions.add(new ConfigurationStep.Send(host, push)));
             } else if (message instanceof ConfigurationPush push) {
-                pushed(host, push, nowMillis, steps);
+                pushReceived(host, push, nowMillis, actions);
             }
-            return steps;
+            return actions;
         });
     }
 
     /**
-     * Takes note of the generation in force at another host.
+     * Records the active generation of another host.
      *
      * @param host the other host
      * @param generation its generation
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> heard(String host, long generation, long nowMillis) {
         return locked(() -> {
-            start(nowMillis);
-            List<ConfigurationStep> steps = new ArrayList<>();
-            heardGenerations.merge(host, generation, Math::max);
-            peerHeard = true;
-            if (generation > highestHeard) {
-                highestHeard = generation;
+            recordStart(nowMillis);
+            List<ConfigurationStep> actions = new ArrayList<>();
+            peerGenerations.merge(host, generation, Math::max);
+            anyPeerReported = true;
+            if (generation > maxReportedGeneration) {
+                maxReportedGeneration = generation;
                 behindSinceMillis = nowMillis;
             }
-            pull(nowMillis, steps);
-            putWaitingIntoForce(nowMillis, steps);
-            return steps;
+            pull(nowMillis, actions);
+            activatePending(nowMillis, actions);
+            return actions;
         });
     }
 
     /**
-     * Lets time pass.
+     * Advances time and performs what is due.
      *
      * @param nowMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<ConfigurationStep> tick(long nowMillis) {
         return locked(() -> {
-            start(nowMillis);
-            List<ConfigurationStep> steps = new ArrayList<>();
-            heardGenerations.keySet().removeIf(host -> !isKnown(host));
-            for (StoreCommand command : reader.tick(KEY, peers, nowMillis)) {
-                steps.add(new ConfigurationStep.CallStore(reader.callId(command), command));
+            recordStart(nowMillis);
+            List<ConfigurationStep> actions = new ArrayList<>();
+            peerGenerations.keySet().removeIf(host -> !isKnown(host));
+            for (StoreCommand command : readScheduler.tick(KEY, peers, nowMillis)) {
+                actions.add(new ConfigurationStep.CallStore(readScheduler.callId(command), command));
             }
-            putWaitingIntoForce(nowMillis, steps);
-            pull(nowMillis, steps);
-            return steps;
+            activatePending(nowMillis, actions);
+            pull(nowMillis, actions);
+            return actions;
         });
     }
 
-    private void start(long nowMillis) {
+    private void recordStart(long nowMillis) {
         startMillis = startMillis.orElse(Option.some(nowMillis));
     }
 
@@ -258,129 +259,133 @@
         return Document.parse(entry.value()).toOption();
     }
 
-    private void learn(Document document, long nowMillis, List<ConfigurationStep> steps) {
+    private void documentReceived(Document document, long nowMillis, List<ConfigurationStep> actions) {
         if (document.generation() == current.generation() && !document.digest().equals(current.digest())) {
             disagreements++;
         }
-        if (document.generation() <= newestLearned()) {
+        if (document.generation() <= newestKnownGeneration()) {
             return;
         }
         if (current.generation() > 0) {
-            putIntoForce(document, steps);
+            activate(document, actions);
             return;
         }
-        waiting = Option.some(document);
-        putWaitingIntoForce(nowMillis, steps);
+        pending = Option.some(document);
+        activatePending(nowMillis, actions);
     }
 
-    private long newestLearned() {
-        return Math.max(current.generation(), waiting.map(Document::generation).getOrElse(0L));
+    private long newestKnownGeneration() {
+        return Math.max(current.generation(), pending.map(Document::generation).getOrElse(0L));
     }
 
-    private void putWaitingIntoForce(long nowMillis, List<ConfigurationStep> steps) {
-        // A host that restarts knows nothing. One old answer, from a lagging store or from a peer that is behind, would
-        // bring back a generation that had been replaced; one would notice a retired host that gets work again.
-        boolean late = startMillis.exists(start -> nowMillis - start >= START_GRACE_MILLIS);
-        boolean peersAsked = peers.listed().isEmpty() || peerHeard;
-        boolean asked = late || (peersAsked && reader.isAnswered());
-        if (asked && waiting.exists(document -> document.generation() >= highestHeard)) {
-            Document document = waiting.get();
-            waiting = Option.none();
-            putIntoForce(document, steps);
+    private void activatePending(long nowMillis, List<ConfigurationStep> actions) {
+        // A restarted host has no state. A single stale answer from a lagging store or peer would activate a generation
+        // that was already replaced; symptom: a retired host receives work again.
+        boolean graceExpired = startMillis.exists(start -> nowMillis - start >= STARTUP_GRACE_MILLIS);
+        boolean peersAnswered = peers.listed().isEmpty() || anyPeerReported;
+        boolean answered = graceExpired || (peersAnswered && readScheduler.hasFirstReadEnded());
+        if (answered && pending.exists(document -> document.generation() >= maxReportedGeneration)) {
+            Document document = pending.get();
+            pending = Option.none();
+            activate(document, actions);
         }
     }
 
-    private void putIntoForce(Document document, List<ConfigurationStep> steps) {
-        Option<Configuration> read = Documents.read(document).toOption();
-        if (read.isEmpty()) {
+    private void activate(Document document, List<ConfigurationStep> actions) {
+        Option<Configuration> parsed = Documents.read(document).toOption();
+        if (parsed.isEmpty()) {
             return;
         }
-        current = read.get();
-        pulledMillis = Option.none();
-        kept.addFirst(document);
-        while (kept.size() > KEPT_DOCUMENTS) {
-            kept.removeLast();
+        current = parsed.get();
+        pullSentMillis = Option.none();
+        recentDocuments.addFirst(document);
+        while (recentDocuments.size() > MAX_RECENT_DOCUMENTS) {
+            recentDocuments.removeLast();
         }
-        steps.add(new ConfigurationStep.InForce(current));
-        passOn(document, steps);
+        actions.add(new ConfigurationStep.InForce(current));
+        pushToPeers(document, actions);
     }
 
-    private void passOn(Document document, List<ConfigurationStep> steps) {
-        Map<Long, ConfigurationPush> changes = new TreeMap<>();
+    private void pushToPeers(Document document, List<ConfigurationStep> actions) {
+        Map<Long, ConfigurationPush> pushes = new TreeMap<>();
         for (LocalPeer peer : peers.live()) {
-            long there = heardGenerations.getOrDefault(peer.host(), 0L);
-            if (there >= document.generation()) {
+            long peerGeneration = peerGenerations.getOrDefault(peer.host(), 0L);
+            if (peerGeneration >= document.generation()) {
                 continue;
             }
-            // Without the base at hand nothing is sent: the peer asks when it hears the new generation in a heartbeat.
-            keptDocument(there).forEach(base -> {
+            // Without the base document nothing is sent: the peer pulls when a heartbeat reports the new generation.
+            recentDocument(peerGeneration).forEach(base -> {
                 ConfigurationPush push =
-                        changes.computeIfAbsent(there, generation -> DocumentDelta.change(base, document));
-                steps.add(new ConfigurationStep.Send(peer.host(), push));
+                        pushes.computeIfAbsent(peerGeneration, generation -> DocumentDelta.deltaPush(base, document));
+                actions.add(new ConfigurationStep.Send(peer.host(), push));
             });
         }
     }
 
-    private void pushed(String host, ConfigurationPush push, long nowMillis, List<ConfigurationStep> steps) {
-        heardGenerations.merge(host, push.generation(), Math::max);
-        if (push.generation() <= newestLearned()) {
+    private void pushReceived(String host, ConfigurationPush push, long nowMillis, List<ConfigurationStep> actions) {
+        peerGenerations.merge(host, push.generation(), Math::max);
+        if (push.generation() <= newestKnownGeneration()) {
             return;
         }
-        Document base = kept.isEmpty() ? Document.empty() : kept.getFirst();
+        Document base = recentDocuments.isEmpty() ? Document.empty() : recentDocuments.getFirst();
         Option<Document> document = DocumentDelta.read(push, base);
         if (document.isDefined()) {
-            learn(document.get(), nowMillis, steps);
+            documentReceived(document.get(), nowMillis, actions);
         } else {
-            highestHeard = Math.max(highestHeard, push.generation());
-            pull(nowMillis, steps);
+            maxReportedGeneration = Math.max(maxReportedGeneration, push.generation());
+            pull(nowMillis, actions);
         }
     }
 
-    private Option<ConfigurationPush> answer(String host, ConfigurationPull pull) {
-        heardGenerations.merge(host, pull.have(), Math::max);
-        if (kept.isEmpty() || kept.getFirst().generation() <= pull.have()) {
+    private Option<ConfigurationPush> answerPull(String host, ConfigurationPull pull) {
+        peerGenerations.merge(host, pull.have(), Math::max);
+        if (recentDocuments.isEmpty() || recentDocuments.getFirst().generation() <= pull.have()) {
             return Option.none();
         }
-        Document newest = kept.getFirst();
-        return keptDocument(pull.have())
+        Document newest = recentDocuments.getFirst();
+        return recentDocument(pull.have())
                 .filter(base -> base.digest().equals(pull.haveDigest()))
-                .map(base -> DocumentDelta.change(base, newest))
-                .orElse(() -> Option.some(DocumentDelta.whole(newest)));
+                .map(base -> DocumentDelta.deltaPush(base, newest))
+                .orElse(() -> Option.some(DocumentDelta.fullPush(newest)));
     }
 
-    private Option<Document> keptDocument(long generation) {
-        return Option.ofOptional(kept.stream()
+    private Option<Document> recentDocument(long generation) {
+        return Option.ofOptional(recentDocuments.stream()
                 .filter(document -> document.generation() == generation)
                 .findFirst());
     }
 
-    private void pull(long nowMillis, List<ConfigurationStep> steps) {
-        boolean waitingForAnswer = pulledMillis.exists(sent -> nowMillis - sent < PULL_TIMEOUT_MILLIS);
-        if (highestHeard <= newestLearned() || waitingForAnswer) {
+    private void pull(long nowMillis, List<ConfigurationStep> actions) {
+        boolean pullPending = pullSentMillis.exists(sent -> nowMillis - sent < PULL_TIMEOUT_MILLIS);
+        if (maxReportedGeneration <= newestKnownGeneration() || pullPending) {
             return;
         }
-        List<String> sources = sources(nowMillis);
+        List<String> sources = pullSources(nowMillis);
         if (sources.isEmpty()) {
             return;
         }
-        String source = sources.get(pulls++ % sources.size());
-        pulledMillis = Option.some(nowMillis);
-        steps.add(new ConfigurationStep.Send(
-                source, new ConfigurationPull(highestHeard, current.generation(), current.digest())));
+        String source = sources.get(pullCount++ % sources.size());
+        pullSentMillis = Option.some(nowMillis);
+        actions.add(new ConfigurationStep.Send(
+                source, new ConfigurationPull(maxReportedGeneration, current.generation(), current.digest())));
     }
 
-    /** Finds who may be asked: hosts of the own data centre at once, others when the own store had time to answer. */
-    private List<String> sources(long nowMillis) {
-        List<String> local = ahead(peers.live().stream().map(LocalPeer::host).toList());
-        if (!local.isEmpty() || nowMillis - behindSinceMillis < REMOTE_PATIENCE_MILLIS) {
+    /**
+     * Returns the hosts to pull from: hosts of the local data centre at once, others only after the local store had
+     * time to answer.
+     */
+    private List<String> pullSources(long nowMillis) {
+        List<String> local =
+                withNewerGeneration(peers.live().stream().map(LocalPeer::host).toList());
+        if (!local.isEmpty() || nowMillis - behindSinceMillis < REMOTE_PULL_DELAY_MILLIS) {
             return Rendezvous.rank(local, self.host());
         }
-        return Rendezvous.rank(ahead(peers.remote()), self.host());
+        return Rendezvous.rank(withNewerGeneration(peers.remote()), self.host());
     }
 
-    private List<String> ahead(List<String> hosts) {
+    private List<String> withNewerGeneration(List<String> hosts) {
         return hosts.stream()
-                .filter(host -> heardGenerations.getOrDefault(host, 0L) > newestLearned())
+                .filter(host -> peerGenerations.getOrDefault(host, 0L) > newestKnownGeneration())
                 .toList();
     }
 
@@ -390,10 +395,10 @@
                 || peers.live().stream().anyMatch(peer -> peer.host().equals(host));
     }
 
-    private <T> T locked(Supplier<T> work) {
+    private <T> T locked(Supplier<T> operation) {
         lock.lock();
         try {
-            return work.get();
+            return operation.get();
         } finally {
             lock.unlock();
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Document.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Document.java
@@ -17,14 +17,14 @@
 import org.rattanplank.schema.intent.IntentFile;
 
 /**
- * One generation of the operators' files, as the store holds it.
+ * One generation of the operators' files, as stored.
  *
- * <p>Invariant: the digest is the SHA-256 of the files' canonical JSON when this class made the document; one that was
- * read keeps the digest that it came with. Immutable and thread safe.
+ * <p>Invariant: the digest is the SHA-256 of the files' canonical JSON if this class created the document; a parsed
+ * document keeps the digest it was stored with. Immutable and thread safe.
  *
- * @param generation the generation, which grows by one with each change
+ * @param generation the generation, which increases by one with each change
  * @param digest the digest of the files in lower-case hexadecimal
- * @param changeId the identity of the change that made this generation
+ * @param changeId the identity of the change that created this generation
  * @param earlierChangeIds the identities of the changes before it, newest first, bounded in number
  * @param files the intents by file name
  */
@@ -34,8 +34,8 @@
         String changeId,
         List<String> earlierChangeIds,
         SortedMap<String, JsonNode> files) {
-    /** How many earlier changes a document names, so that a writer who lost an answer finds its own change again. */
-    static final int EARLIER_CHANGES = 64;
+    /** Maximum number of earlier changes in a document; a writer that lost a reply finds its change among them. */
+    static final int MAX_EARLIER_CHANGES = 64;
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Makes the document before the first change.
+     * Returns the document before the first change.
      *
      * @return generation zero, without files
      */
@@ -56,16 +56,16 @@
     }
 
     /**
-     * Reads a document.
+     * Parses a document.
      *
-     * @param text the document as the store holds it
-     * @return the document, or why it cannot be read
+     * @param text the stored document
+     * @return the document, or the reason why it cannot be parsed
      */
     public static Try<Document> parse(String text) {
         return Try.of(() -> {
             JsonNode root = JSON.readTree(text);
             if (!root.path("files").isObject()) {
-                throw new IllegalArgumentException("a document needs its files");
+                throw new IllegalArgumentException("a document must contain the object \"files\"");
             }
             SortedMap<String, JsonNode> files = new TreeMap<>();
             root.path("files").fields().forEachRemaining(file -> files.put(file.getKey(), file.getValue()));
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Computes the digest of files.
+     * Returns the digest of files.
      *
      * @param files the intents by file name
      * @return the SHA-256 of their canonical JSON in lower-case hexadecimal
@@ -93,10 +93,10 @@
     }
 
     /**
-     * Finds the generation that a change made.
+     * Returns the generation that a change created.
      *
      * @param id the change
-     * @return its generation, or none if the change is not among the newest
+     * @return its generation, or none if the change is not among the latest
      */
     public Option<Long> generationOf(String id) {
         if (changeId.equals(id)) {
@@ -107,9 +107,9 @@
     }
 
     /**
-     * The files, for merging and checks.
+     * Returns the files for merging and checks.
      *
-     * @return the files without lines
+     * @return the files without line numbers
      */
     public List<IntentFile> intentFiles() {
         return files.entrySet().stream()
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Makes the next generation.
+     * Creates the next generation.
      *
      * @param newFiles all files of the next generation
      * @param newChangeId the identity of the change
@@ -129,12 +129,12 @@
         if (!changeId.isEmpty()) {
             earlier.add(changeId);
         }
-        earlier.addAll(earlierChangeIds.subList(0, Math.min(EARLIER_CHANGES - 1, earlierChangeIds.size())));
+        earlier.addAll(earlierChangeIds.subList(0, Math.min(MAX_EARLIER_CHANGES - 1, earlierChangeIds.size())));
         return new Document(generation + 1, digestOf(newFiles), newChangeId, earlier, newFiles);
     }
 
     /**
-     * Writes the document for the store.
+     * Serializes the document for the store.
      *
      * @return canonical JSON
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/DocumentDelta.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/DocumentDelta.java
@@ -13,15 +13,15 @@
 import org.rattanplank.schema.message.ConfigurationPush;
 
 /**
- * Turns documents into messages for other hosts and back; a change of an earlier generation carries only the files that
- * differ, so that its size follows the change and not the whole configuration. Stateless and thread safe.
+ * Converts documents to messages for other hosts and back; a delta from an earlier generation contains only the files
+ * that differ, so that its size depends on the change and not on the complete configuration. Stateless and thread safe.
  */
 final class DocumentDelta {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private DocumentDelta() {}
 
-    static ConfigurationPush whole(Document document) {
+    static ConfigurationPush fullPush(Document document) {
         return new ConfigurationPush(
                 document.generation(),
                 document.digest(),
@@ -33,7 +33,7 @@
                 List.of());
     }
 
-    static ConfigurationPush change(Document base, Document newer) {
+    static ConfigurationPush deltaPush(Document base, Document newer) {
         Map<String, String> changed = new TreeMap<>();
         newer.files().forEach((name, content) -> {
             if (!content.equals(base.files().get(name))) {
@@ -57,7 +57,10 @@
                 removed);
     }
 
-    /** Reads a message; none if it changes another document than the one at hand, or the outcome has another digest. */
+    /**
+     * Returns the document of a message; none if its base is not the given document, or the result has a different
+     * digest.
+     */
     static Option<Document> read(ConfigurationPush push, Document base) {
         if (!push.document().isEmpty()) {
             return Document.parse(push.document()).toOption();
@@ -65,11 +68,11 @@
         if (push.baseGeneration() != base.generation() || !push.baseDigest().equals(base.digest())) {
             return Option.none();
         }
-        return Try.of(() -> apply(push, base)).toOption().filter(document -> Document.digestOf(document.files())
+        return Try.of(() -> applyDelta(push, base)).toOption().filter(document -> Document.digestOf(document.files())
                 .equals(push.digest()));
     }
 
-    private static Document apply(ConfigurationPush push, Document base) throws java.io.IOException {
+    private static Document applyDelta(ConfigurationPush push, Document base) throws java.io.IOException {
         SortedMap<String, JsonNode> files = new TreeMap<>(base.files());
         for (Map.Entry<String, String> file : push.changed().entrySet()) {
             files.put(file.getKey(), JSON.readTree(file.getValue()));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Documents.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Documents.java
@@ -13,20 +13,20 @@
 import org.rattanplank.schema.intent.IntentMerge;
 
 /**
- * Turns the document that the store holds for one generation into a configuration. Stateless and thread safe.
+ * Parses the store document of one generation into a configuration. Stateless and thread safe.
  *
  * <p>The document is {@code {"generation": n, "digest": "...", "changeId": "...", "files": {"name": intent}}}; files
- * apply in the order of their names, field by field. Kinds and fields that this version does not know are passed over,
- * so that a newer tool can write for older hosts.
+ * are merged in the order of their names, field by field. Unknown kinds and fields are ignored, so that a newer tool
+ * can write documents for older hosts.
  */
 public final class Documents {
     private Documents() {}
 
     /**
-     * Reads a document.
+     * Parses a document.
      *
      * @param document the document
-     * @return the configuration, or why the document cannot be read
+     * @return the configuration, or the reason why the document cannot be parsed
      */
     public static Try<Configuration> read(String document) {
         return Document.parse(document).flatMap(Documents::read);
@@ -36,7 +36,7 @@
      * Merges the files of a document.
      *
      * @param document the document
-     * @return the configuration, or why an intent cannot be read
+     * @return the configuration, or the reason why an intent cannot be parsed
      */
     public static Try<Configuration> read(Document document) {
         return Try.of(() -> merge(document));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/IntentChecks.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/IntentChecks.java
@@ -19,8 +19,8 @@
 import org.rattanplank.schema.intent.IntentMerge;
 
 /**
- * Checks a folder of intents as a whole: names that refer to nothing, shares that do not add up, residencies that
- * nothing can meet. Stateless and thread safe.
+ * Validates a folder of intents across files: names that refer to nothing, shares that do not add up, residencies that
+ * no target can meet. Stateless and thread safe.
  */
 public final class IntentChecks {
     private static final double SHARE_TOLERANCE = 0.001;
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Checks a folder.
+     * Validates a folder.
      *
-     * @param folder the folder, whose files each fit their schema
+     * @param folder the folder, whose files each conform to their schema
      * @return all faults, none if the folder may be applied
      */
     public static List<IntentFault> check(IntentFolder folder) {
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Checks the files of a document or folder.
+     * Validates the files of a document or folder.
      *
-     * @param files the files, each of which fits its schema
+     * @param files the files, each of which conforms to its schema
      * @return all faults, none if the files may be applied
      */
     public static List<IntentFault> check(Collection<IntentFile> files) {
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Checks that listed targets can meet each residency.
+     * Checks that the targets in the host list can meet each residency.
      *
      * @param folder the folder
-     * @param list the platform's list of hosts
+     * @param list the platform's host list
      * @return the residencies with a service that no target in any allowed region runs
      */
     public static List<IntentFault> checkTargets(IntentFolder folder, HostList list) {
@@ -108,7 +108,7 @@
             String other =
                     tokens.putIfAbsent(account.content().path("tokenSha256").asText(), account.name());
             if (other != null) {
-                faults.add(account.fault("tokenSha256", "a token of its own", "the token of " + other));
+                faults.add(account.fault("tokenSha256", "a token that no other account uses", "the token of " + other));
             }
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Limit.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/Limit.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * The most that an account may ask for. Immutable and thread safe.
+ * The request limits of an account. Immutable and thread safe.
  *
  * @param account the account's name
- * @param requestsPerSecond requests a second on average, zero for no limit
- * @param concurrent requests in flight at once, zero for no limit
+ * @param requestsPerSecond maximum average requests per second, zero for no limit
+ * @param concurrent maximum requests in flight, zero for no limit
  */
 public record Limit(String account, double requestsPerSecond, int concurrent) {
     public Limit {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/Admission.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/Admission.java
@@ -7,21 +7,21 @@
 import org.rattanplank.core.request.WorkClass;
 
 /**
- * Decides whether there is room for a request: what cannot be answered in time is refused at once, the lowest class
- * first, and under overload no account gets more than its fair share.
+ * Decides whether a request is admitted: requests that cannot be answered in time are rejected at once, the lowest
+ * class first, and under overload no account gets more than its fair share.
  *
- * <p>Invariant: without a backlog nothing is refused but what could not end before its deadline on an idle target.
- * Confined to whoever owns it; it takes no lock.
+ * <p>Invariant: without a backlog, a request is rejected only if it could not complete before its deadline on an idle
+ * target. Not thread safe; the owner confines it.
  */
 public final class Admission {
-    /** The backlog, in average runs, above which accounts are held to their fair shares. */
-    static final double FAIR_SHARE_DEPTH = 1;
+    /** Backlog depth, in mean run times, above which fair shares are enforced. */
+    static final double FAIR_SHARE_MIN_DEPTH = 1;
 
-    private static final long SHORTEST_RETRY_MILLIS = 200;
-    private static final long LONGEST_RETRY_MILLIS = 30_000;
-    private static final double RETRY_SPREAD = 0.5;
+    private static final long MIN_RETRY_AFTER_MILLIS = 200;
+    private static final long MAX_RETRY_AFTER_MILLIS = 30_000;
+    private static final double RETRY_AFTER_JITTER = 0.5;
 
-    private final FairShare shares = FairShare.empty();
+    private final FairShare fairShare = FairShare.empty();
     private final RandomGenerator random;
 
     private Admission(RandomGenerator random) {
@@ -29,71 +29,77 @@
     }
 
     /**
-     * Makes an admission that has seen no request.
+     * Creates an admission control without recorded requests.
      *
-     * @param random the source of the spread of retry times
-     * @return the admission
+     * @param random the source of jitter for retry times
+     * @return the admission control
      */
     public static Admission of(RandomGenerator random) {
         return new Admission(random);
     }
 
     /**
-     * Decides on one request and takes note of it.
+     * Decides on one request and records it.
      *
      * @param request the request
      * @param weight the weight of its account
-     * @param backlog the work in its way
+     * @param backlog the work ahead of the request
      * @param nowMillis the time
-     * @return why there is no room, or none if it may go on
+     * @return the rejection, or none if the request is admitted
      */
     public Option<Refusal> admit(Request request, double weight, Backlog backlog, long nowMillis) {
-        shares.demanded(request.account(), weight, backlog.runMillis(), nowMillis);
-        Option<Refusal> refusal = refusal(request, backlog, nowMillis);
-        if (refusal.isEmpty()) {
-            shares.admitted(request.account(), backlog.runMillis());
+        fairShare.recordDemand(request.account(), weight, backlog.runMillis(), nowMillis);
+        Option<Refusal> rejection = checkAdmission(request, backlog, nowMillis);
+        if (rejection.isEmpty()) {
+            fairShare.recordAdmission(request.account(), backlog.runMillis());
         }
-        return refusal;
+        return rejection;
     }
 
     /**
-     * Refuses a request that would be late, with the time by which the backlog will have shrunk enough.
+     * Rejects a request that would miss its deadline, with the time after which the backlog will have shrunk enough.
      *
      * @param request the request
-     * @param backlog the work in its way
+     * @param backlog the work ahead of the request
      * @param nowMillis the time
-     * @return the refusal, or none if the request would end in time
+     * @return the rejection, or none if the request would complete in time
      */
     public Option<Refusal> late(Request request, Backlog backlog, long nowMillis) {
-        double leftMillis = request.deadlineMillis() - nowMillis;
-        if (backlog.runMillis() > leftMillis) {
-            return Option.some(new Refusal("it cannot end before its deadline", 0));
+        double remainingMillis = request.deadlineMillis() - nowMillis;
+        if (backlog.runMillis() > remainingMillis) {
+            return Option.some(new Refusal("the request cannot complete before its deadline", 0));
         }
-        double overMillis = backlog.waitMillis() + backlog.runMillis() - leftMillis;
-        if (overMillis <= 0) {
+        double excessMillis = backlog.waitMillis() + backlog.runMillis() - remainingMillis;
+        if (excessMillis <= 0) {
             return Option.none();
         }
-        return Option.some(new Refusal("the backlog is longer than its deadline", comeBack(overMillis)));
+        return Option.some(new Refusal("the backlog exceeds the request's deadline", retryAfterMillis(excessMillis)));
     }
 
-    private Option<Refusal> refusal(Request request, Backlog backlog, long nowMillis) {
-        double bound = longestBacklog(request.workClass());
-        if (backlog.depth() > bound) {
-            double overMillis = backlog.waitMillis() - bound * backlog.meanRunMillis();
-            return Option.some(new Refusal("work of this class waits for less load", comeBack(overMillis)));
+    private Option<Refusal> checkAdmission(Request request, Backlog backlog, long nowMillis) {
+        double maxDepth = maxBacklogDepth(request.workClass());
+        if (backlog.depth() > maxDepth) {
+            double excessMillis = backlog.waitMillis() - maxDepth * backlog.meanRunMillis();
+            return Option.some(new Refusal(
+                    "requests of this class are shed under the current load", retryAfterMillis(excessMillis)));
         }
-        long overShareMillis = backlog.depth() > FAIR_SHARE_DEPTH ? shares.overMillis(request.account()) : 0;
-        if (overShareMillis > 0) {
-            // The account may go on when it is back at its share, or when the backlog is gone, whichever comes first.
-            double backlogMillis = backlog.waitMillis() - FAIR_SHARE_DEPTH * backlog.meanRunMillis();
-            long soonestMillis = Math.round(Math.min(overShareMillis, backlogMillis));
-            return Option.some(new Refusal("the account is over its fair share", comeBack(soonestMillis)));
+        long untilWithinShareMillis =
+                backlog.depth() > FAIR_SHARE_MIN_DEPTH ? fairShare.millisUntilWithinShare(request.account()) : 0;
+        if (untilWithinShareMillis > 0) {
+            // The account is admitted again when it is back within its share or when the backlog is gone, whichever
+            // comes first.
+            double backlogMillis = backlog.waitMillis() - FAIR_SHARE_MIN_DEPTH * backlog.meanRunMillis();
+            long soonestMillis = Math.round(Math.min(untilWithinShareMillis, backlogMillis));
+            return Option.some(new Refusal("the account is over its fair share", retryAfterMillis(soonestMillis)));
         }
         return late(request, backlog, nowMillis);
     }
 
-    /** The backlog, in average runs, above which a class is shed; interactive work is shed by its deadline alone. */
-    private static double longestBacklog(WorkClass workClass) {
+    /**
+     * Returns the backlog depth, in mean run times, above which a class is shed; interactive work is shed by deadline
+     * only.
+     */
+    private static double maxBacklogDepth(WorkClass workClass) {
         return switch (workClass) {
             case INTERACTIVE -> Double.POSITIVE_INFINITY;
             case DRAFT -> 6;
@@ -101,10 +107,10 @@
         };
     }
 
-    private long comeBack(double millis) {
-        // Refused callers that all come back at one moment are the next overload; one would notice refusals in waves.
-        // Spreading the times that they are told keeps them apart.
-        double spread = millis * (1 + RETRY_SPREAD * random.nextDouble());
-        return Math.round(Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, spread)));
+    private long retryAfterMillis(double millis) {
+        // Rejected callers that all retry at the same moment cause the next overload; symptom: rejections come in
+        // waves. Jitter on the retry times spreads the retries.
+        double withJitter = millis * (1 + RETRY_AFTER_JITTER * random.nextDouble());
+        return Math.round(Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, withJitter)));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/Backlog.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/Backlog.java
@@ -1,18 +1,18 @@
 package org.rattanplank.core.limit;
 
 /**
- * How much work is in the way of a request. Immutable and thread safe.
+ * The work ahead of a request. Immutable and thread safe.
  *
- * @param waitMillis how long the request would wait before it runs
- * @param runMillis how long it would run
- * @param meanRunMillis how long requests of its service run on average
+ * @param waitMillis how long the request would wait in the queue
+ * @param runMillis how long the request would run
+ * @param meanRunMillis the mean run time of requests of its service
  */
 public record Backlog(double waitMillis, double runMillis, double meanRunMillis) {
 
     /**
-     * The waiting time in units of the service's average run, so that one bound fits slow and fast services.
+     * Returns the queue wait in units of the service's mean run time, so that one bound fits slow and fast services.
      *
-     * @return the wait, in average runs
+     * @return the queue wait, in mean run times
      */
     public double depth() {
         return waitMillis / Math.max(1, meanRunMillis);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/FairShare.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/FairShare.java
@@ -4,54 +4,55 @@
 import java.util.Map;
 
 /**
- * Shares work between accounts by their weights while there is too much of it.
+ * Divides admitted work between accounts by their weights under overload.
  *
- * <p>Each account's admitted and demanded work decays by half every {@link #HALF_LIFE_MILLIS}. At each epoch the level is
- * the work per weight up to which accounts are served, found so that all accounts' demands, each cut off at its level,
- * add up to a little less than the work that was admitted. Invariant: an account is over its share only if its work per
- * weight is above the level, so accounts that ask for less than their share are never held back. At most {@link
- * #MAX_ACCOUNTS} accounts are held; the least recently seen goes first. Confined to whoever owns it; it takes no lock.
+ * <p>Each account's admitted and demanded work is halved every {@link #HALF_LIFE_MILLIS}. At each epoch the level is
+ * the work per weight up to which accounts are served. It is computed so that the demands of all accounts, each capped
+ * at its level, add up to a little less than the admitted work (water-filling). Invariant: an account is over its share
+ * only if its work per weight is above the level, so accounts that request less than their share are never limited. At
+ * most {@link #MAX_ACCOUNTS} accounts are tracked; the least recently seen is evicted first. Not thread safe; the owner
+ * confines it.
  */
 public final class FairShare {
-    /** How often the level is found anew. */
+    /** Interval at which the level is recomputed. */
     public static final long EPOCH_MILLIS = 1_000;
 
-    /** How fast past work is forgotten; long enough that a small account's single requests do not look like a burst. */
+    /** Half-life of recorded work; long enough that single requests of a small account do not look like a burst. */
     public static final long HALF_LIFE_MILLIS = 60_000;
 
-    /** How many accounts are held at most. */
+    /** Maximum number of tracked accounts. */
     public static final int MAX_ACCOUNTS = 8_192;
 
-    /** The part of the admitted work that is shared out anew; below one, so that an overload shrinks. */
-    private static final double SHARED_PART = 0.9;
+    /** Fraction of the admitted work that is divided; below one, so that an overload shrinks. */
+    private static final double SHARED_FRACTION = 0.9;
 
-    /** The lowest level, in units of the mean work per weight; above one, since work comes in lumps. */
-    private static final double FLOOR_OF_MEAN = 1.1;
+    /** Lowest level, in units of the mean work per weight; above one because requests arrive unevenly. */
+    private static final double MIN_LEVEL_TO_MEAN = 1.1;
 
     private static final double IDLE_WORK_MILLIS = 1;
     private static final int BISECTIONS = 16;
 
-    private final Map<String, Use> uses = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, AccountUsage> usageByAccount = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Use> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, AccountUsage> eldest) {
             if (size() <= MAX_ACCOUNTS) {
                 return false;
             }
-            forget(eldest.getValue());
+            removeFromTotals(eldest.getValue());
             return true;
         }
     };
-    private double admittedMillis;
-    private double weights;
+    private double totalAdmittedMillis;
+    private double totalWeight;
     private double levelMillis = Double.POSITIVE_INFINITY;
     private long epochEndsMillis;
 
     private FairShare() {}
 
     /**
-     * Makes the shares of a host that has seen no account.
+     * Creates the shares of a host without tracked accounts.
      *
      * @return the shares
      */
@@ -60,103 +61,103 @@
     }
 
     /**
-     * Tells how many accounts are held.
+     * Returns the number of tracked accounts.
      *
      * @return the number of accounts
      */
-    public int accounts() {
-        return uses.size();
+    public int accountCount() {
+        return usageByAccount.size();
     }
 
     /**
-     * Takes note of work that an account asks for.
+     * Records work that an account requests.
      *
      * @param account the account
      * @param weight its weight
      * @param workMillis the work
      * @param nowMillis the time
      */
-    public void demanded(String account, double weight, double workMillis, long nowMillis) {
-        roll(nowMillis);
-        Use use = uses.computeIfAbsent(account, name -> new Use());
-        weights += weight - use.weight;
-        use.weight = weight;
-        use.demandedMillis += workMillis;
+    public void recordDemand(String account, double weight, double workMillis, long nowMillis) {
+        startEpochIfDue(nowMillis);
+        AccountUsage usage = usageByAccount.computeIfAbsent(account, name -> new AccountUsage());
+        totalWeight += weight - usage.weight;
+        usage.weight = weight;
+        usage.demandedMillis += workMillis;
     }
 
     /**
-     * Takes note of work that was admitted.
+     * Records work that was admitted.
      *
      * @param account the account
      * @param workMillis the work
      */
-    public void admitted(String account, double workMillis) {
-        Use use = uses.get(account);
-        if (use != null) {
-            use.admittedMillis += workMillis;
-            admittedMillis += workMillis;
+    public void recordAdmission(String account, double workMillis) {
+        AccountUsage usage = usageByAccount.get(account);
+        if (usage != null) {
+            usage.admittedMillis += workMillis;
+            totalAdmittedMillis += workMillis;
         }
     }
 
     /**
-     * Tells how long an account has to wait until it is back at its share.
+     * Returns how long an account has to wait until it is back within its share.
      *
      * @param account the account
-     * @return zero if it is within its share
+     * @return the time in milliseconds, zero if the account is within its share
      */
-    public long overMillis(String account) {
-        Use use = uses.get(account);
-        if (use == null) {
+    public long millisUntilWithinShare(String account) {
+        AccountUsage usage = usageByAccount.get(account);
+        if (usage == null) {
             return 0;
         }
-        double shareMillis = Math.max(levelMillis, floorMillis()) * use.weight;
-        if (use.admittedMillis <= shareMillis) {
+        double shareMillis = Math.max(levelMillis, minLevelMillis()) * usage.weight;
+        if (usage.admittedMillis <= shareMillis) {
             return 0;
         }
-        double halvings = Math.log(use.admittedMillis / shareMillis) / Math.log(2);
+        double halvings = Math.log(usage.admittedMillis / shareMillis) / Math.log(2);
         return Math.max(EPOCH_MILLIS, Math.round(halvings * HALF_LIFE_MILLIS));
     }
 
     /**
-     * The level below which no account is held back, by the work of this moment.
+     * Returns the level below which no account is limited, from the currently recorded work.
      *
-     * <p>What goes wrong without it: the backlog may come from other hosts, and holding this host's accounts back does not
-     * shrink it, so the level would fall to nothing; or all work rises within one epoch, and the level found before is too
-     * low for everyone. One would notice a host that refuses all its accounts, or its only one.
+     * <p>Without this bound, a backlog caused by other hosts would drive the level towards zero, because limiting this
+     * host's accounts does not reduce it. A rise of all work within one epoch would leave the previous level too low
+     * for every account. Symptom: a host that rejects all its accounts, or its only one.
      */
-    private double floorMillis() {
-        return FLOOR_OF_MEAN * admittedMillis / weights;
+    private double minLevelMillis() {
+        return MIN_LEVEL_TO_MEAN * totalAdmittedMillis / totalWeight;
     }
 
-    private void roll(long nowMillis) {
+    private void startEpochIfDue(long nowMillis) {
         if (nowMillis < epochEndsMillis) {
             return;
         }
         long epochs = epochEndsMillis == 0 ? 1 : 1 + (nowMillis - epochEndsMillis) / EPOCH_MILLIS;
         epochEndsMillis = nowMillis + EPOCH_MILLIS;
-        levelMillis = level();
-        double kept = Math.pow(0.5, (double) epochs * EPOCH_MILLIS / HALF_LIFE_MILLIS);
-        uses.values().forEach(use -> use.decay(kept));
-        uses.values().removeIf(Use::isIdle);
-        admittedMillis = 0;
-        weights = 0;
-        for (Use use : uses.values()) {
-            admittedMillis += use.admittedMillis;
-            weights += use.weight;
+        levelMillis = computeLevelMillis();
+        double decayFactor = Math.pow(0.5, (double) epochs * EPOCH_MILLIS / HALF_LIFE_MILLIS);
+        usageByAccount.values().forEach(usage -> usage.decay(decayFactor));
+        usageByAccount.values().removeIf(AccountUsage::isIdle);
+        totalAdmittedMillis = 0;
+        totalWeight = 0;
+        for (AccountUsage usage : usageByAccount.values()) {
+            totalAdmittedMillis += usage.admittedMillis;
+            totalWeight += usage.weight;
         }
     }
 
-    private double level() {
-        double shared = 0;
+    private double computeLevelMillis() {
+        double sharedMillis = 0;
         double high = 0;
-        for (Use use : uses.values()) {
-            shared += use.admittedMillis * SHARED_PART;
-            high = Math.max(high, use.demandedMillis / use.weight);
+        for (AccountUsage usage : usageByAccount.values()) {
+            sharedMillis += usage.admittedMillis * SHARED_FRACTION;
+            high = Math.max(high, usage.demandedMillis / usage.weight);
         }
         double low = 0;
         for (int i = 0; i < BISECTIONS; i++) {
             double middle = (low + high) / 2;
-            if (servedAt(middle) > shared) {
+            if (servedMillisAt(middle) > sharedMillis) {
                 high = middle;
             } else {
                 low = middle;
@@ -165,27 +166,27 @@
         return high;
     }
 
-    private void forget(Use use) {
-        admittedMillis -= use.admittedMillis;
-        weights -= use.weight;
+    private void removeFromTotals(AccountUsage usage) {
+        totalAdmittedMillis -= usage.admittedMillis;
+        totalWeight -= usage.weight;
     }
 
-    private double servedAt(double level) {
-        double served = 0;
-        for (Use use : uses.values()) {
-            served += Math.min(use.demandedMillis, level * use.weight);
+    private double servedMillisAt(double level) {
+        double servedMillis = 0;
+        for (AccountUsage usage : usageByAccount.values()) {
+            servedMillis += Math.min(usage.demandedMillis, level * usage.weight);
         }
-        return served;
+        return servedMillis;
     }
 
-    private static final class Use {
+    private static final class AccountUsage {
         private double weight;
         private double demandedMillis;
         private double admittedMillis;
 
-        private void decay(double kept) {
-            demandedMillis *= kept;
-            admittedMillis *= kept;
+        private void decay(double decayFactor) {
+            demandedMillis *= decayFactor;
+            admittedMillis *= decayFactor;
         }
 
         private boolean isIdle() {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/Refusal.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/Refusal.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * Why there is no room for a request. Immutable and thread safe.
+ * The reason for which a request is not admitted. Immutable and thread safe.
  *
  * @param reason a short sentence
- * @param retryAfterMillis when to come back, zero if coming back does not help
+ * @param retryAfterMillis time after which a retry may succeed, zero if a retry does not help
  */
 public record Refusal(String reason, long retryAfterMillis) {
     public Refusal {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
@@ -1,16 +1,16 @@
 package org.rattanplank.core.limit;
 
 /**
- * A token budget over all retries of a host.
+ * A token bucket that limits the retries of a host.
  *
- * <p>Invariant: the retries granted so far are at most {@link #BURST} plus {@link #PER_REQUEST} times the requests seen
- * so far. Confined to whoever owns it; it takes no lock.
+ * <p>Invariant: the retries granted are at most {@link #BURST} plus {@link #PER_REQUEST} times the requests recorded.
+ * Not thread safe; the owner confines it.
  */
 public final class RetryBudget {
-    /** Retries that each request earns. */
+    /** Retries added to the budget by each request. */
     public static final double PER_REQUEST = 0.08;
 
-    /** Retries that can be saved up; a quiet host may spend so many at once. */
+    /** Capacity of the budget: the retries that a host can do at once after an idle period. */
     public static final double BURST = 10;
 
     private static final int MAX_ATTEMPTS = 3;
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Makes a budget with its burst saved up.
+     * Creates a full budget.
      *
      * @return the budget
      */
@@ -30,21 +30,21 @@
         return new RetryBudget(BURST);
     }
 
-    /** Takes note of a request, which earns a part of a retry. */
+    /** Records a request, which adds a fraction of a retry to the budget. */
     public void earn() {
         tokens = Math.min(BURST, tokens + PER_REQUEST);
     }
 
     /**
-     * Takes a retry out of the budget if there is one.
+     * Takes a retry from the budget if one is available.
      *
      * @param attempts how many attempts the request has had
-     * @return whether the request may be tried once more
+     * @return whether the request may be retried
      */
     public boolean spend(int attempts) {
-        // Retries of retries: when a fault fails everything, each failed attempt would start another, and the targets
-        // that are left would drown in them. One would notice attempts growing while answers do not. The budget ties
-        // retries to new requests, whatever fails.
+        // Prevents retry storms: if all requests fail, each failed attempt would start another one and overload the
+        // remaining targets; symptom: attempts grow while answers do not. The budget bounds retries by new requests,
+        // whatever fails.
         if (attempts >= MAX_ATTEMPTS || tokens < 1) {
             return false;
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHost.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * An entry host as callers are told of it. Immutable and thread safe.
+ * An entry host as reported to callers. Immutable and thread safe.
  *
  * @param host the host's name
- * @param region the region in which it stands
- * @param dataCentre the data centre in which it stands
+ * @param region the host's region
+ * @param dataCentre the host's data centre
  * @param address the IP address
  * @param port the port for callers
  */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHostOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHostOrder.java
@@ -14,7 +14,8 @@
  * Orders entry hosts for a caller: its home data centre first, then its home region, then the rest. Stateless and thread
  * safe.
  *
- * <p>Within each step the account decides by rendezvous hashing, so accounts spread over hosts with no balancer.
+ * <p>Within each group, rendezvous hashing by account orders the hosts, which spreads accounts over hosts without a
+ * load balancer.
  */
 final class EntryHostOrder {
     private static final int MAX_ENTRY_HOSTS = 24;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/LocalPeer.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/LocalPeer.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * Another live entry host of the own data centre. Immutable and thread safe.
+ * Another live entry host of the local data centre. Immutable and thread safe.
  *
  * @param host the host's name
- * @param storeReachable whether it says that it read the platform's store lately
+ * @param storeReachable whether it reports that it recently read the platform's store
  */
 public record LocalPeer(String host, boolean storeReachable) {
     public LocalPeer {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberStep.java
@@ -5,11 +5,11 @@
 
 import org.rattanplank.schema.message.MemberMessage;
 
-/** Something that the membership of a host wants done. Immutable and thread safe. */
+/** An action that the membership of a host requests. Immutable and thread safe. */
 public sealed interface MemberStep {
 
     /**
-     * Send a message to another entry host.
+     * Sends a message to another entry host.
      *
      * @param host the other host
      * @param message the message
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Keep links to these hosts, and to no others unless they are in use.
+     * Keeps links to these hosts and closes unused links to others.
      *
      * @param hosts the names of the hosts
      */
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Another host told which generation of the configuration it has.
+     * Another host reported its configuration generation.
      *
      * @param host the other host
      * @param generation its generation
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/Members.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/Members.java
@@ -25,38 +25,38 @@
 import org.rattanplank.schema.message.RegionSummary;
 
 /**
- * Knows which hosts and targets are there, which are leaving, and which entry hosts callers should use.
+ * Tracks which hosts and targets are available, which are leaving, and which entry hosts callers should use.
  *
- * <p>Inside a data centre every host sends heartbeats to every other. Other data centres are known by bounded summaries
- * that few hosts exchange and relay, so that a host's traffic follows the size of its data centre and the number of data
- * centres, not that of the fleet.
+ * <p>Inside a data centre every host sends heartbeats to every other host. Other data centres are represented by
+ * bounded summaries that a few representatives exchange and relay, so that a host's traffic grows with the size of its
+ * data centre and the number of data centres, not with the size of the fleet.
  *
- * <p>Invariant: nothing that must be safe rests on what this class suspects; it only steers. A host or target that was
- * leaving once stays so under its name until a new incarnation of it shows. Thread safe; one lock guards all state, and
- * no other lock is taken while it is held.
+ * <p>Invariant: no safety property depends on the failure detection of this class; it only guides routing. A host or
+ * target that was reported as leaving stays leaving under its name until a newer incarnation of it is observed. Thread
+ * safe; one lock guards all state, and no other lock is taken while it is held.
  */
 public final class Members {
-    private static final long TTL_MILLIS = 2_000;
-    private static final long BEAT_MILLIS = 500;
-    private static final long START_GRACE_MILLIS = 3_000;
-    private static final long LOST_MILLIS = 3_000;
-    private static final long OLDER_LIST_MILLIS = 30_000;
-    private static final long REGIONS_MILLIS = 1_000;
-    private static final int MAX_NOTICES = 256;
+    private static final long ENTRY_HOSTS_TTL_MILLIS = 2_000;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
+    private static final long STARTUP_GRACE_MILLIS = 3_000;
+    private static final long DISCONNECTED_EXCLUSION_MILLIS = 3_000;
+    private static final long OLDER_LIST_REJECTION_MILLIS = 30_000;
+    private static final long REGIONS_REFRESH_MILLIS = 1_000;
+    private static final int MAX_LEAVING_NOTICES = 256;
     private static final int CONTROLLER_CANDIDATES = 2;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final NodeIdentity self;
     private final PeerTable peers;
-    private final Centres centres;
-    private final Leavings leavings = new Leavings();
+    private final RemoteDataCentres remoteDataCentres;
+    private final LeavingRegistry leavingRegistry = new LeavingRegistry();
     private final Map<String, ListedHost> listedEntryHosts = new TreeMap<>();
-    private final List<LeavingNotice> unsent = new ArrayList<>();
-    private HostList list = HostList.empty();
-    private long listMillis;
+    private final List<LeavingNotice> unsentNotices = new ArrayList<>();
+    private HostList hostList = HostList.empty();
+    private long hostListMillis;
     private boolean draining;
-    private Heartbeat lastBeat = new Heartbeat(0, 0, false, 0, false, List.of());
-    private List<String> links = List.of();
+    private Heartbeat lastHeartbeat = new Heartbeat(0, 0, false, 0, false, List.of());
+    private List<String> requestedLinks = List.of();
     private Option<List<RemoteRegion>> regions = Option.none();
     private long regionsMillis;
     private Option<Long> startMillis = Option.none();
@@ -65,11 +65,11 @@
     private Members(NodeIdentity self) {
         this.self = self;
         peers = new PeerTable(self.place().dataCentre());
-        centres = new Centres(self);
+        remoteDataCentres = new RemoteDataCentres(self);
     }
 
     /**
-     * Makes the membership of a host that knows no other.
+     * Creates the membership of a host that knows no other host.
      *
      * @param self the host
      * @return the membership
@@ -79,86 +79,88 @@
     }
 
     /**
-     * Takes the platform's list of hosts, or one from the settings with revision zero.
+     * Applies the platform's host list, or a list from the settings with revision zero.
      *
-     * @param newer the list
+     * @param newList the host list
      * @param atMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
-    public List<MemberStep> listed(HostList newer, long atMillis) {
-        return change(atMillis, () -> {
-            // A lagging member of the platform may answer an older list after a newer one: hosts that were replaced
-            // would come back for a while. Only when nothing newer came for long is the older one believed, because
-            // the platform may have been set up anew.
-            boolean older = newer.revision() < list.revision();
-            if (older && atMillis - listMillis < OLDER_LIST_MILLIS) {
+    public List<MemberStep> listed(HostList newList, long atMillis) {
+        return update(atMillis, () -> {
+            // A lagging member of the platform may return an older list after a newer one, and replaced hosts would
+            // reappear for a while. An older list is accepted only after no newer one has arrived for some time,
+            // because the platform may have been reinstalled.
+            boolean isOlder = newList.revision() < hostList.revision();
+            if (isOlder && atMillis - hostListMillis < OLDER_LIST_REJECTION_MILLIS) {
                 return List.of();
             }
-            list = newer;
-            listMillis = atMillis;
+            hostList = newList;
+            hostListMillis = atMillis;
             listedEntryHosts.clear();
-            list.entryHosts().forEach(host -> listedEntryHosts.put(host.name(), host));
-            leavings.listed(list, atMillis);
-            list.hosts().stream().filter(ListedHost::leaving).forEach(host -> learnFirstHand(host.name(), atMillis));
-            centres.listed(list);
+            hostList.entryHosts().forEach(host -> listedEntryHosts.put(host.name(), host));
+            leavingRegistry.updateHostList(hostList, atMillis);
+            hostList.hosts().stream()
+                    .filter(ListedHost::leaving)
+                    .forEach(host -> recordLocalLeaving(host.name(), atMillis));
+            remoteDataCentres.updateHostList(hostList);
             refresh();
-            return List.of(keepLinks(chosen()));
+            return List.of(keepLinks(chooseRemoteHosts()));
         });
     }
 
     /**
-     * Takes note that a link to a host is up.
+     * Records that a link to a host is up.
      *
      * @param host the host
-     * @param incarnation the other process's start time
-     * @param place where it stands
+     * @param incarnation the start time of the other process
+     * @param location the host's location
      * @param atMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
-    public List<MemberStep> connected(String host, long incarnation, Place place, long atMillis) {
-        return change(atMillis, () -> {
-            Option<Peer> heard = heard(host, incarnation, place);
-            if (heard.isEmpty()) {
+    public List<MemberStep> connected(String host, long incarnation, Place location, long atMillis) {
+        return update(atMillis, () -> {
+            Option<Peer> sender = recordMessage(host, incarnation, location);
+            if (sender.isEmpty()) {
                 return List.of();
             }
-            Peer peer = heard.get();
-            peer.linked = true;
-            peer.sentMillis = Long.MIN_VALUE / 2;
+            Peer peer = sender.get();
+            peer.connected = true;
+            peer.heartbeatSentMillis = Long.MIN_VALUE / 2;
             refresh();
-            return peers.isLocal(peer) ? greet(host) : List.of();
+            return peers.isLocal(peer) ? sendInitialState(host) : List.of();
         });
     }
 
     /**
-     * Takes note that a link to a host broke.
+     * Records that a link to a host was disconnected.
      *
      * @param host the host
-     * @param refused whether its address refused the connection
+     * @param connectionRefused whether its address refused the connection
      * @param atMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
-    public List<MemberStep> lost(String host, boolean refused, long atMillis) {
-        return change(atMillis, () -> {
-            peers.lost(host, refused, atMillis);
+    public List<MemberStep> lost(String host, boolean connectionRefused, long atMillis) {
+        return update(atMillis, () -> {
+            peers.disconnected(host, connectionRefused, atMillis);
             refresh();
             return List.of();
         });
     }
 
     /**
-     * Takes a message of another host.
+     * Handles a message from another host.
      *
      * @param host the other host
-     * @param incarnation the other process's start time
+     * @param incarnation the start time of the other process
      * @param message the message
      * @param atMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<MemberStep> receive(String host, long incarnation, MemberMessage message, long atMillis) {
-        return change(atMillis, () -> {
-            Option<Place> place = placeOf(host).orElse(() -> placeIn(message));
-            Option<Peer> heard = place.flatMap(known -> heard(host, incarnation, known));
-            return heard.map(peer -> receive(peer, message)).getOrElse(List.of());
+        return update(atMillis, () -> {
+            Option<Place> location = locationOf(host).orElse(() -> locationIn(message));
+            Option<Peer> sender = location.flatMap(known -> recordMessage(host, incarnation, known));
+            return sender.map(peer -> receive(peer, message)).getOrElse(List.of());
         });
     }
 
@@ -166,11 +168,11 @@
         if (message instanceof Heartbeat heartbeat) {
             return receive(peer, heartbeat);
         }
-        if (message instanceof CentreBeat beat) {
-            return List.of(new MemberStep.Heard(peer.host, beat.generation()));
+        if (message instanceof CentreBeat heartbeat) {
+            return List.of(new MemberStep.Heard(peer.host, heartbeat.generation()));
         }
         if (message instanceof LeavingNews news) {
-            news.notices().forEach(notice -> learn(notice, true));
+            news.notices().forEach(notice -> recordLeaving(notice, true));
         } else if (message instanceof RegionSummary summary) {
             return receive(peer, summary);
         }
@@ -178,11 +180,11 @@
     }
 
     private List<MemberStep> receive(Peer peer, Heartbeat heartbeat) {
-        boolean changed = peer.last().draining() != heartbeat.draining()
-                || !peer.last().silentDataCentres().equals(heartbeat.silentDataCentres());
-        peer.beat(heartbeat);
+        boolean changed = peer.lastHeartbeat().draining() != heartbeat.draining()
+                || !peer.lastHeartbeat().silentDataCentres().equals(heartbeat.silentDataCentres());
+        peer.recordHeartbeat(heartbeat);
         if (heartbeat.draining()) {
-            learn(new LeavingNotice(peer.host, peer.incarnation, list.revision()), true);
+            recordLeaving(new LeavingNotice(peer.host, peer.incarnation, hostList.revision()), true);
         }
         if (changed) {
             refresh();
@@ -192,142 +194,147 @@
 
     private List<MemberStep> receive(Peer peer, RegionSummary summary) {
         boolean local = peers.isLocal(peer);
-        boolean ofItself = peer.place.dataCentre().equals(summary.dataCentre());
-        if (!local && !ofItself) {
+        boolean isOwnSummary = peer.location.dataCentre().equals(summary.dataCentre());
+        if (!local && !isOwnSummary) {
             return List.of();
         }
-        boolean news = centres.summed(summary, nowMillis);
-        leavings.back(summary.hosts(), list.revision(), nowMillis);
-        summary.leaving().forEach(notice -> learn(notice, false));
-        List<MemberStep> steps = new ArrayList<>();
-        if (news) {
+        boolean changed = remoteDataCentres.recordSummary(summary, nowMillis);
+        leavingRegistry.observeAvailable(summary.hosts(), hostList.revision(), nowMillis);
+        summary.leaving().forEach(notice -> recordLeaving(notice, false));
+        List<MemberStep> actions = new ArrayList<>();
+        if (changed) {
             regions = Option.none();
         }
-        if (news && !local) {
-            sendToLocal(summary, steps);
+        if (changed && !local) {
+            sendToLocal(summary, actions);
         }
         if (!local) {
-            steps.add(new MemberStep.Heard(peer.host, summary.generation()));
+            actions.add(new MemberStep.Heard(peer.host, summary.generation()));
         }
-        return steps;
+        return actions;
     }
 
     /**
-     * Takes word that a host or target is leaving; this cannot be taken back.
+     * Records that a host or target is leaving; this cannot be revoked.
      *
      * @param name the host or target
      * @param atMillis the time
      */
     public void leaving(String name, long atMillis) {
-        change(atMillis, () -> {
-            learnFirstHand(name, atMillis);
+        update(atMillis, () -> {
+            recordLocalLeaving(name, atMillis);
             return List.of();
         });
     }
 
     /**
-     * Takes the names that the configuration in force retires. They count as leaving in every incarnation.
+     * Sets the names that the active configuration retires. They count as leaving in every incarnation.
      *
-     * @param names all hosts and targets that it retires
+     * @param names all retired hosts and targets
      * @param atMillis the time
      */
     public void retiring(Set<String> names, long atMillis) {
-        change(atMillis, () -> {
-            leavings.retire(names);
-            new TreeSet<>(names).forEach(name -> learnFirstHand(name, atMillis));
+        update(atMillis, () -> {
+            leavingRegistry.setRetired(names);
+            new TreeSet<>(names).forEach(name -> recordLocalLeaving(name, atMillis));
             return List.of();
         });
     }
 
     /**
-     * Lets time pass.
+     * Advances time and sends what is due.
      *
-     * @param report what to tell the others
+     * @param report the state report to send to other hosts
      * @param atMillis the time
-     * @return what to do
+     * @return the actions to perform
      */
     public List<MemberStep> tick(SelfReport report, long atMillis) {
-        return change(atMillis, () -> {
+        return update(atMillis, () -> {
             draining = report.draining();
-            peers.forgetOld(atMillis);
+            peers.removeExpired(atMillis);
             refreshIfChanged();
-            List<MemberStep> steps = new ArrayList<>();
-            sendNews(steps);
-            sendBeats(report, steps);
-            Map<String, String> chosen = chosen();
-            MemberStep.KeepLinks keep = keepLinks(chosen);
-            if (!keep.hosts().equals(links)) {
-                links = keep.hosts();
-                steps.add(keep);
+            List<MemberStep> actions = new ArrayList<>();
+            sendLeavingNotices(actions);
+            sendHeartbeats(report, actions);
+            Map<String, String> chosenHosts = chooseRemoteHosts();
+            MemberStep.KeepLinks links = keepLinks(chosenHosts);
+            if (!links.hosts().equals(requestedLinks)) {
+                requestedLinks = links.hosts();
+                actions.add(links);
             }
-            steps.addAll(tellCentres(report, chosen));
-            return steps;
+            actions.addAll(sendToRemoteDataCentres(report, chosenHosts));
+            return actions;
         });
     }
 
-    private void sendNews(List<MemberStep> steps) {
-        if (unsent.isEmpty()) {
+    private void sendLeavingNotices(List<MemberStep> actions) {
+        if (unsentNotices.isEmpty()) {
             return;
         }
-        sendToLocal(new LeavingNews(unsent), steps);
-        unsent.clear();
+        sendToLocal(new LeavingNews(unsentNotices), actions);
+        unsentNotices.clear();
     }
 
-    private void sendBeats(SelfReport report, List<MemberStep> steps) {
-        Heartbeat beat = new Heartbeat(
+    private void sendHeartbeats(SelfReport report, List<MemberStep> actions) {
+        Heartbeat heartbeat = new Heartbeat(
                 self.incarnation(),
                 report.generation(),
                 report.draining(),
                 report.inFlight(),
                 report.storeReachable(),
-                centres.silent());
-        // Waiting for the next beat with what others act on would add half a second to each hop of the news.
-        boolean urgent = beat.generation() != lastBeat.generation()
-                || beat.draining() != lastBeat.draining()
-                || !beat.silentDataCentres().equals(lastBeat.silentDataCentres());
-        lastBeat = beat;
+                remoteDataCentres.unresponsive());
+        // Other hosts act on these fields; waiting for the next heartbeat would add up to 500 ms per hop.
+        boolean urgent = heartbeat.generation() != lastHeartbeat.generation()
+                || heartbeat.draining() != lastHeartbeat.draining()
+                || !heartbeat.silentDataCentres().equals(lastHeartbeat.silentDataCentres());
+        lastHeartbeat = heartbeat;
         for (Peer peer : peers.local()) {
-            if (peer.linked && (urgent || nowMillis - peer.sentMillis >= BEAT_MILLIS)) {
-                peer.sentMillis = nowMillis;
-                steps.add(new MemberStep.Send(peer.host, beat));
+            if (peer.connected && (urgent || nowMillis - peer.heartbeatSentMillis >= HEARTBEAT_INTERVAL_MILLIS)) {
+                peer.heartbeatSentMillis = nowMillis;
+                actions.add(new MemberStep.Send(peer.host, heartbeat));
             }
         }
     }
 
-    private List<MemberStep> tellCentres(SelfReport report, Map<String, String> chosen) {
-        Set<String> hosts = workingHosts();
-        RegionSummary whole =
-                Summaries.of(self.place(), report.generation(), hosts, report, leavings.newest(Summaries.MAX_LEAVING));
-        RegionSummary summary = centres.tellsLoads() ? whole : Summaries.withoutServices(whole);
-        CentreBeat beat = new CentreBeat(report.generation());
-        return centres.tell(chosen, peers, summary, beat, nowMillis);
-    }
-
-    private List<MemberStep> greet(String host) {
-        List<MemberStep> steps = new ArrayList<>();
-        List<LeavingNotice> notices = leavings.all();
+    private List<MemberStep> sendToRemoteDataCentres(SelfReport report, Map<String, String> chosenHosts) {
+        Set<String> hosts = availableHosts();
+        RegionSummary fullSummary = RegionSummaries.of(
+                self.place(),
+                report.generation(),
+                hosts,
+                report,
+                leavingRegistry.newest(RegionSummaries.MAX_LEAVING_NOTICES));
+        RegionSummary summary =
+                remoteDataCentres.reportsLoads() ? fullSummary : RegionSummaries.withoutServices(fullSummary);
+        CentreBeat heartbeat = new CentreBeat(report.generation());
+        return remoteDataCentres.sendSummaries(chosenHosts, peers, summary, heartbeat, nowMillis);
+    }
+
+    private List<MemberStep> sendInitialState(String host) {
+        List<MemberStep> actions = new ArrayList<>();
+        List<LeavingNotice> notices = leavingRegistry.all();
         if (!notices.isEmpty()) {
-            List<LeavingNotice> newest = notices.subList(0, Math.min(MAX_NOTICES, notices.size()));
-            steps.add(new MemberStep.Send(host, new LeavingNews(newest)));
+            List<LeavingNotice> newest = notices.subList(0, Math.min(MAX_LEAVING_NOTICES, notices.size()));
+            actions.add(new MemberStep.Send(host, new LeavingNews(newest)));
         }
-        for (Centre centre : centres.all()) {
-            if (centre.speaksSinceMillis.isDefined()) {
-                centre.summary.forEach(summary -> steps.add(new MemberStep.Send(host, summary)));
+        for (RemoteDataCentre remote : remoteDataCentres.all()) {
+            if (remote.representedSinceMillis.isDefined()) {
+                remote.summary.forEach(summary -> actions.add(new MemberStep.Send(host, summary)));
             }
         }
-        return steps;
+        return actions;
     }
 
-    private void sendToLocal(MemberMessage message, List<MemberStep> steps) {
+    private void sendToLocal(MemberMessage message, List<MemberStep> actions) {
         for (Peer peer : peers.local()) {
-            if (peer.linked) {
-                steps.add(new MemberStep.Send(peer.host, message));
+            if (peer.connected) {
+                actions.add(new MemberStep.Send(peer.host, message));
             }
         }
     }
 
-    private MemberStep.KeepLinks keepLinks(Map<String, String> chosen) {
-        Set<String> hosts = new TreeSet<>(chosen.values());
+    private MemberStep.KeepLinks keepLinks(Map<String, String> chosenHosts) {
+        Set<String> hosts = new TreeSet<>(chosenHosts.values());
         for (ListedHost host : listedEntryHosts.values()) {
             boolean local = host.place().dataCentre().equals(self.place().dataCentre());
             if (local && !host.name().equals(self.host())) {
@@ -337,29 +344,30 @@
         return new MemberStep.KeepLinks(List.copyOf(hosts));
     }
 
-    private Map<String, String> chosen() {
-        return centres.choose(peers, host -> !leavings.contains(host), nowMillis);
+    private Map<String, String> chooseRemoteHosts() {
+        return remoteDataCentres.chooseHosts(peers, host -> !leavingRegistry.contains(host), nowMillis);
     }
 
-    private Option<Peer> heard(String host, long incarnation, Place place) {
-        Option<Peer> peer = peers.heard(host, incarnation, place, nowMillis);
+    private Option<Peer> recordMessage(String host, long incarnation, Place location) {
+        Option<Peer> peer = peers.recordMessage(host, incarnation, location, nowMillis);
         peer.forEach(known -> {
-            leavings.incarnation(host, incarnation, list.revision());
-            centres.heard(place, nowMillis);
+            leavingRegistry.observeIncarnation(host, incarnation, hostList.revision());
+            remoteDataCentres.recordMessage(location, nowMillis);
         });
         return peer;
     }
 
-    private void learnFirstHand(String name, long atMillis) {
-        LeavingNotice notice = new LeavingNotice(name, incarnationOf(name), list.revision());
-        if (leavings.learn(notice, true, atMillis, notice.incarnation()) && unsent.size() < MAX_NOTICES) {
-            unsent.add(notice);
+    private void recordLocalLeaving(String name, long atMillis) {
+        LeavingNotice notice = new LeavingNotice(name, incarnationOf(name), hostList.revision());
+        if (leavingRegistry.add(notice, true, atMillis, notice.incarnation())
+                && unsentNotices.size() < MAX_LEAVING_NOTICES) {
+            unsentNotices.add(notice);
         }
         regions = Option.none();
     }
 
-    private void learn(LeavingNotice notice, boolean local) {
-        if (leavings.learn(notice, local, nowMillis, incarnationOf(notice.name()))) {
+    private void recordLeaving(LeavingNotice notice, boolean local) {
+        if (leavingRegistry.add(notice, local, nowMillis, incarnationOf(notice.name()))) {
             regions = Option.none();
         }
     }
@@ -372,110 +380,114 @@
     }
 
     private void refresh() {
-        centres.refresh(speakerPool(), peers, nowMillis);
+        remoteDataCentres.refresh(representativeCandidates(), peers, nowMillis);
         regions = Option.none();
     }
 
-    /** Sums up the regions anew only when something changed or the loads' times have grown old. */
+    /** Invalidates the aggregated regions only when reachability changed or the load timestamps are outdated. */
     private void refreshIfChanged() {
-        boolean old = nowMillis - regionsMillis >= REGIONS_MILLIS;
-        if (centres.refresh(speakerPool(), peers, nowMillis) || old) {
+        boolean outdated = nowMillis - regionsMillis >= REGIONS_REFRESH_MILLIS;
+        if (remoteDataCentres.refresh(representativeCandidates(), peers, nowMillis) || outdated) {
             regions = Option.none();
         }
     }
 
-    /** The hosts of the own data centre, this one included, that live and take new work. */
-    private Set<String> workingHosts() {
+    /** Returns the live hosts of the local data centre, including this one, that accept new work. */
+    private Set<String> availableHosts() {
         Set<String> hosts = new TreeSet<>();
-        if (!draining && !leavings.contains(self.host())) {
+        if (!draining && !leavingRegistry.contains(self.host())) {
             hosts.add(self.host());
         }
         for (Peer peer : peers.liveLocal(nowMillis)) {
-            if (!leavings.contains(peer.host)) {
+            if (!leavingRegistry.contains(peer.host)) {
                 hosts.add(peer.host);
             }
         }
         return hosts;
     }
 
-    private Set<String> speakerPool() {
-        Set<String> pool = workingHosts();
-        return pool.isEmpty() ? Set.of(self.host()) : pool;
+    private Set<String> representativeCandidates() {
+        Set<String> candidates = availableHosts();
+        return candidates.isEmpty() ? Set.of(self.host()) : candidates;
     }
 
     /**
-     * Finds the targets of this host's region that take work.
+     * Returns the targets of this host's region that accept work.
      *
      * @return the targets
      */
     public List<ListedHost> targetsTakingWork() {
-        return read(() -> list.targets().stream()
+        return read(() -> hostList.targets().stream()
                 .filter(target -> target.place().region().equals(self.place().region()))
-                .filter(target -> !target.leaving() && !leavings.contains(target.name()))
+                .filter(target -> !target.leaving() && !leavingRegistry.contains(target.name()))
                 .toList());
     }
 
     /**
-     * Finds what is known of the other regions.
+     * Returns the current view of the other regions.
      *
-     * @return the other regions with the hosts that can be reached
+     * @return the other regions with their reachable hosts
      */
     public List<RemoteRegion> remoteRegions() {
         return read(() -> {
             if (regions.isEmpty()) {
-                regions = Option.some(sumUpRegions());
+                regions = Option.some(aggregateRegions());
                 regionsMillis = nowMillis;
             }
             return regions.get();
         });
     }
 
-    private List<RemoteRegion> sumUpRegions() {
+    private List<RemoteRegion> aggregateRegions() {
         Map<String, Set<String>> hosts = new TreeMap<>();
-        Map<String, Centre> newest = new TreeMap<>();
-        for (Centre centre : centres.all()) {
-            String region = centre.place.region();
+        Map<String, RemoteDataCentre> newest = new TreeMap<>();
+        for (RemoteDataCentre remote : remoteDataCentres.all()) {
+            String region = remote.location.region();
             if (region.equals(self.place().region())) {
                 continue;
             }
-            Set<String> there = workingHostsOf(centre);
-            if (there.isEmpty()) {
+            Set<String> available = availableHostsIn(remote);
+            if (available.isEmpty()) {
                 continue;
             }
-            hosts.computeIfAbsent(region, name -> new TreeSet<>()).addAll(there);
-            boolean tells = centre.summary.exists(summary -> !summary.services().isEmpty());
-            if (tells && (!newest.containsKey(region) || newest.get(region).summaryMillis < centre.summaryMillis)) {
-                newest.put(region, centre);
+            hosts.computeIfAbsent(region, name -> new TreeSet<>()).addAll(available);
+            boolean hasLoads =
+                    remote.summary.exists(summary -> !summary.services().isEmpty());
+            if (hasLoads
+                    && (!newest.containsKey(region)
+                            || newest.get(region).summaryReceivedMillis < remote.summaryReceivedMillis)) {
+                newest.put(region, remote);
             }
         }
-        List<RemoteRegion> summed = new ArrayList<>();
+        List<RemoteRegion> aggregated = new ArrayList<>();
         hosts.forEach((region, names) -> {
             Map<String, RemoteRegion.ServiceLoad> loads = Option.of(newest.get(region))
-                    .flatMap(centre -> centre.summary.map(
-                            summary -> Summaries.loads(summary, centres.loadsHoldMillis(centre, nowMillis))))
+                    .flatMap(remote -> remote.summary.map(summary -> RegionSummaries.parseLoads(
+                            summary, remoteDataCentres.loadsValidAtMillis(remote, nowMillis))))
                     .getOrElse(Map.of());
-            summed.add(new RemoteRegion(region, Rendezvous.rank(names, self.host()), loads));
+            aggregated.add(new RemoteRegion(region, Rendezvous.rank(names, self.host()), loads));
         });
-        return List.copyOf(summed);
+        return List.copyOf(aggregated);
     }
 
-    private Set<String> workingHostsOf(Centre centre) {
+    private Set<String> availableHostsIn(RemoteDataCentre remote) {
         Set<String> hosts = new TreeSet<>();
-        if (centre.reachable) {
-            centre.summary.forEach(summary -> hosts.addAll(summary.hosts()));
+        if (remote.reachable) {
+            remote.summary.forEach(summary -> hosts.addAll(summary.hosts()));
         }
-        for (Peer peer : peers.remoteLinked()) {
-            if (peer.place.dataCentre().equals(centre.place.dataCentre())
-                    && !peer.last().draining()) {
+        for (Peer peer : peers.remoteConnected()) {
+            if (peer.location.dataCentre().equals(remote.location.dataCentre())
+                    && !peer.lastHeartbeat().draining()) {
                 hosts.add(peer.host);
             }
         }
-        hosts.removeIf(host -> leavings.contains(host) || peers.isLostSince(host, nowMillis - LOST_MILLIS));
+        hosts.removeIf(host -> leavingRegistry.contains(host)
+                || peers.isDisconnectedSince(host, nowMillis - DISCONNECTED_EXCLUSION_MILLIS));
         return hosts;
     }
 
     /**
-     * Finds the hosts of a data centre that can be reached and take new work, best first.
+     * Returns the reachable hosts of a data centre that accept new work, best first.
      *
      * @param dataCentre the data centre
      * @return the names of the hosts
@@ -483,43 +495,44 @@
     public List<String> reachable(String dataCentre) {
         return read(() -> {
             if (dataCentre.equals(self.place().dataCentre())) {
-                Set<String> hosts = workingHosts();
+                Set<String> hosts = availableHosts();
                 hosts.remove(self.host());
                 return Rendezvous.rank(hosts, self.host());
             }
-            return centres.find(dataCentre)
-                    .map(centre -> Rendezvous.rank(workingHostsOf(centre), self.host()))
+            return remoteDataCentres
+                    .find(dataCentre)
+                    .map(remote -> Rendezvous.rank(availableHostsIn(remote), self.host()))
                     .getOrElse(List.of());
         });
     }
 
     /**
-     * Finds the region in which a host stands.
+     * Returns the region of a host.
      *
      * @param host the host
      * @return its region, or none if the host is not known
      */
     public Option<String> regionOf(String host) {
-        return read(() -> placeOf(host).map(Place::region));
+        return read(() -> locationOf(host).map(Place::region));
     }
 
-    private Option<Place> placeOf(String host) {
+    private Option<Place> locationOf(String host) {
         return peers.find(host)
-                .map(peer -> peer.place)
+                .map(peer -> peer.location)
                 .orElse(() -> Option.of(listedEntryHosts.get(host)).map(ListedHost::place))
-                .orElse(() -> summedPlaceOf(host));
+                .orElse(() -> locationFromSummaries(host));
     }
 
-    private Option<Place> summedPlaceOf(String host) {
-        for (Centre centre : centres.all()) {
-            if (centre.summary.exists(summary -> summary.hosts().contains(host))) {
-                return Option.some(centre.place);
+    private Option<Place> locationFromSummaries(String host) {
+        for (RemoteDataCentre remote : remoteDataCentres.all()) {
+            if (remote.summary.exists(summary -> summary.hosts().contains(host))) {
+                return Option.some(remote.location);
             }
         }
         return Option.none();
     }
 
-    private static Option<Place> placeIn(MemberMessage message) {
+    private static Option<Place> locationIn(MemberMessage message) {
         if (message instanceof Hello hello
                 && !hello.region().isEmpty()
                 && !hello.dataCentre().isEmpty()) {
@@ -529,58 +542,58 @@
     }
 
     /**
-     * Tells callers which entry hosts to use.
+     * Returns the entry hosts that a caller should use.
      *
      * @param account the caller's account
      * @param homeDataCentre the account's home data centre
      * @param atMillis the time
-     * @return the hosts, those of the home data centre first, a bounded number of them
+     * @return a bounded number of hosts, those of the home data centre first
      */
     public EntryHosts entryHosts(String account, String homeDataCentre, long atMillis) {
         return read(() -> {
             List<ListedHost> usable = listedEntryHosts.values().stream()
                     .filter(host -> isUsable(host, atMillis))
                     .toList();
-            // With nobody known to be usable, an empty answer would leave callers with nothing to try.
+            // If no host is known to be usable, an empty list would leave callers without any host to try.
             if (usable.isEmpty()) {
                 usable = listedEntryHosts.values().stream()
-                        .filter(host -> !leavings.contains(host.name()))
+                        .filter(host -> !leavingRegistry.contains(host.name()))
                         .toList();
             }
-            return new EntryHosts(EntryHostOrder.order(usable, account, homeDataCentre), TTL_MILLIS);
+            return new EntryHosts(EntryHostOrder.order(usable, account, homeDataCentre), ENTRY_HOSTS_TTL_MILLIS);
         });
     }
 
     private boolean isUsable(ListedHost host, long atMillis) {
-        if (leavings.contains(host.name())) {
+        if (leavingRegistry.contains(host.name())) {
             return false;
         }
         if (host.name().equals(self.host())) {
             return !draining;
         }
-        boolean starting = startMillis.forAll(start -> atMillis - start < START_GRACE_MILLIS);
+        boolean starting = startMillis.forAll(start -> atMillis - start < STARTUP_GRACE_MILLIS);
         if (host.place().dataCentre().equals(self.place().dataCentre())) {
             Option<Peer> peer = peers.find(host.name());
             return peer.isEmpty() ? starting : peer.get().isLive(atMillis);
         }
-        Option<Centre> centre = centres.find(host.place().dataCentre());
-        if (centre.exists(known -> known.summary.isEmpty()) && starting) {
+        Option<RemoteDataCentre> remote = remoteDataCentres.find(host.place().dataCentre());
+        if (remote.exists(known -> known.summary.isEmpty()) && starting) {
             return true;
         }
-        return centre.exists(known -> workingHostsOf(known).contains(host.name()));
+        return remote.exists(known -> availableHostsIn(known).contains(host.name()));
     }
 
     /**
-     * Finds everything that is known to be leaving.
+     * Returns everything that is known to be leaving.
      *
      * @return the names of hosts and targets
      */
     public Set<String> leaving() {
-        return read(leavings::names);
+        return read(leavingRegistry::names);
     }
 
     /**
-     * Finds the hosts that this one can learn from.
+     * Returns the hosts that this one can receive state from.
      *
      * @return the hosts
      */
@@ -589,30 +602,30 @@
             Set<String> listed = new TreeSet<>();
             for (ListedHost host : listedEntryHosts.values()) {
                 boolean local = host.place().dataCentre().equals(self.place().dataCentre());
-                if (local && !host.name().equals(self.host()) && !leavings.contains(host.name())) {
+                if (local && !host.name().equals(self.host()) && !leavingRegistry.contains(host.name())) {
                     listed.add(host.name());
                 }
             }
             List<LocalPeer> live = peers.liveLocal(nowMillis).stream()
-                    .map(peer -> new LocalPeer(peer.host, peer.last().storeReachable()))
+                    .map(peer -> new LocalPeer(peer.host, peer.lastHeartbeat().storeReachable()))
                     .toList();
             List<String> remote =
-                    peers.remoteLinked().stream().map(peer -> peer.host).toList();
+                    peers.remoteConnected().stream().map(peer -> peer.host).toList();
             return new PeerView(listed, live, remote);
         });
     }
 
     /**
-     * Tells whether this host should try to hold its region's lease for orders to targets.
+     * Returns whether this host should try to acquire its region's controller lease for orders to targets.
      *
-     * @return whether it is among the best hosts of its region
+     * @return whether it is among the highest ranked hosts of its region
      */
     public boolean isControllerCandidate() {
         return read(() -> {
-            Set<String> hosts = workingHosts();
-            for (Centre centre : centres.all()) {
-                if (centre.place.region().equals(self.place().region())) {
-                    hosts.addAll(workingHostsOf(centre));
+            Set<String> hosts = availableHosts();
+            for (RemoteDataCentre remote : remoteDataCentres.all()) {
+                if (remote.location.region().equals(self.place().region())) {
+                    hosts.addAll(availableHostsIn(remote));
                 }
             }
             List<String> ranked =
@@ -622,12 +635,12 @@
         });
     }
 
-    private List<MemberStep> change(long atMillis, Supplier<List<MemberStep>> change) {
+    private List<MemberStep> update(long atMillis, Supplier<List<MemberStep>> operation) {
         lock.lock();
         try {
             nowMillis = Math.max(nowMillis, atMillis);
             startMillis = startMillis.orElse(Option.some(atMillis));
-            return change.get();
+            return operation.get();
         } finally {
             lock.unlock();
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/Peer.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/Peer.java
@@ -3,55 +3,56 @@
 import org.rattanplank.core.host.Place;
 import org.rattanplank.schema.message.Heartbeat;
 
-/** What a host knows of another entry host that it has a link to or hears from. Not thread safe. */
+/** The state of another entry host that this host is connected to or receives messages from. Not thread safe. */
 final class Peer {
-    /** After this long without a word a host of the own data centre counts as lost: three heartbeats. */
-    static final long SUSPECT_MILLIS = 1_500;
+    /** Time without a message after which a host of the local data centre counts as unresponsive: three heartbeats. */
+    static final long UNRESPONSIVE_AFTER_MILLIS = 1_500;
 
     private static final Heartbeat NO_HEARTBEAT = new Heartbeat(0, 0, false, 0, false, null);
 
     final String host;
-    final Place place;
+    final Place location;
     final long incarnation;
-    boolean linked;
-    long sentMillis = Long.MIN_VALUE / 2;
-    private boolean refused;
-    private boolean beats;
-    private long heardMillis;
-    private Heartbeat last = NO_HEARTBEAT;
-
-    Peer(String host, Place place, long incarnation, long nowMillis) {
+    boolean connected;
+    long heartbeatSentMillis = Long.MIN_VALUE / 2;
+    private boolean connectionRefused;
+    private boolean heartbeatReceived;
+    private long lastMessageMillis;
+    private Heartbeat lastHeartbeat = NO_HEARTBEAT;
+
+    Peer(String host, Place location, long incarnation, long nowMillis) {
         this.host = host;
-        this.place = place;
+        this.location = location;
         this.incarnation = incarnation;
-        this.heardMillis = nowMillis;
+        this.lastMessageMillis = nowMillis;
     }
 
-    /** Tells whether the host lives, as far as one can tell. */
+    /** Returns whether the host is presumed live. */
     boolean isLive(long nowMillis) {
-        return !refused && (nowMillis - heardMillis <= SUSPECT_MILLIS || (linked && !beats));
+        return !connectionRefused
+                && (nowMillis - lastMessageMillis <= UNRESPONSIVE_AFTER_MILLIS || (connected && !heartbeatReceived));
     }
 
-    Heartbeat last() {
-        return last;
+    Heartbeat lastHeartbeat() {
+        return lastHeartbeat;
     }
 
-    long heardMillis() {
-        return heardMillis;
+    long lastMessageMillis() {
+        return lastMessageMillis;
     }
 
-    void heard(long nowMillis) {
-        heardMillis = nowMillis;
-        refused = false;
+    void recordMessage(long nowMillis) {
+        lastMessageMillis = nowMillis;
+        connectionRefused = false;
     }
 
-    void beat(Heartbeat heartbeat) {
-        last = heartbeat;
-        beats = true;
+    void recordHeartbeat(Heartbeat heartbeat) {
+        lastHeartbeat = heartbeat;
+        heartbeatReceived = true;
     }
 
-    void lost(boolean wasRefused) {
-        linked = false;
-        refused = refused || wasRefused;
+    void disconnected(boolean refusedNow) {
+        connected = false;
+        connectionRefused = connectionRefused || refusedNow;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerTable.java
@@ -9,17 +9,17 @@
 import org.rattanplank.core.host.Place;
 
 /**
- * The entry hosts that this host has a link to or hears from.
+ * The entry hosts that this host is connected to or receives messages from.
  *
- * <p>Invariant: the incarnation known of a host never falls, so that a late word of a process that ended changes
- * nothing. Not thread safe.
+ * <p>Invariant: the known incarnation of a host never decreases, so that a delayed message from a terminated process
+ * has no effect. Not thread safe.
  */
 final class PeerTable {
-    private static final long FORGET_MILLIS = 60_000;
+    private static final long RETENTION_MILLIS = 60_000;
 
     private final String dataCentre;
     private final Map<String, Peer> peers = new TreeMap<>();
-    private final Map<String, Long> lostMillis = new TreeMap<>();
+    private final Map<String, Long> disconnectedMillis = new TreeMap<>();
 
     PeerTable(String dataCentre) {
         this.dataCentre = dataCentre;
@@ -30,47 +30,49 @@
     }
 
     boolean isLocal(Peer peer) {
-        return peer.place.dataCentre().equals(dataCentre);
+        return peer.location.dataCentre().equals(dataCentre);
     }
 
-    /** Takes a word of a host; none if a newer process of the same host was heard before. */
-    Option<Peer> heard(String host, long incarnation, Place place, long nowMillis) {
+    /** Records a message from a host; returns none if a newer incarnation of the host is already known. */
+    Option<Peer> recordMessage(String host, long incarnation, Place location, long nowMillis) {
         Peer known = peers.get(host);
         if (known != null && known.incarnation > incarnation) {
             return Option.none();
         }
         if (known == null || known.incarnation < incarnation) {
-            Peer newer = new Peer(host, place, incarnation, nowMillis);
-            newer.linked = known != null && known.linked;
+            Peer newer = new Peer(host, location, incarnation, nowMillis);
+            newer.connected = known != null && known.connected;
             peers.put(host, newer);
         }
         Peer peer = peers.get(host);
-        peer.heard(nowMillis);
+        peer.recordMessage(nowMillis);
         return Option.some(peer);
     }
 
-    void lost(String host, boolean refused, long nowMillis) {
-        lostMillis.put(host, nowMillis);
-        find(host).forEach(peer -> peer.lost(refused));
+    void disconnected(String host, boolean connectionRefused, long nowMillis) {
+        disconnectedMillis.put(host, nowMillis);
+        find(host).forEach(peer -> peer.disconnected(connectionRefused));
     }
 
-    /** Tells whether a link to the host broke less than so long ago and is not up again. */
-    boolean isLostSince(String host, long sinceMillis) {
-        Long lost = lostMillis.get(host);
-        return lost != null && lost > sinceMillis && !find(host).exists(peer -> peer.linked);
+    /** Returns whether the link to the host was disconnected after the given time and is not up again. */
+    boolean isDisconnectedSince(String host, long sinceMillis) {
+        Long disconnectedAt = disconnectedMillis.get(host);
+        return disconnectedAt != null
+                && disconnectedAt > sinceMillis
+                && !find(host).exists(peer -> peer.connected);
     }
 
     List<Peer> local() {
         return peers.values().stream().filter(this::isLocal).toList();
     }
 
-    List<Peer> remoteLinked() {
+    List<Peer> remoteConnected() {
         return peers.values().stream()
-                .filter(peer -> peer.linked && !isLocal(peer))
+                .filter(peer -> peer.connected && !isLocal(peer))
                 .toList();
     }
 
-    /** Finds the other hosts of the own data centre that live, in the order of their names. */
+    /** Returns the other live hosts of the local data centre, ordered by name. */
     List<Peer> liveLocal(long nowMillis) {
         List<Peer> live = new ArrayList<>();
         for (Peer peer : peers.values()) {
@@ -81,8 +83,8 @@
         return live;
     }
 
-    void forgetOld(long nowMillis) {
-        peers.values().removeIf(peer -> !peer.linked && nowMillis - peer.heardMillis() > FORGET_MILLIS);
-        lostMillis.values().removeIf(lost -> nowMillis - lost > FORGET_MILLIS);
+    void removeExpired(long nowMillis) {
+        peers.values().removeIf(peer -> !peer.connected && nowMillis - peer.lastMessageMillis() > RETENTION_MILLIS);
+        disconnectedMillis.values().removeIf(millis -> nowMillis - millis > RETENTION_MILLIS);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerView.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerView.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /**
- * The entry hosts that a host can learn from. Immutable and thread safe.
+ * The entry hosts that a host can receive state from. Immutable and thread safe.
  *
- * @param listed the other hosts of the own data centre that the platform lists and that are not leaving
- * @param live the other hosts of the own data centre that live, in the order of their names
- * @param remote the hosts of other data centres to which a link is up, in the order of their names
+ * @param listed the other hosts of the local data centre that are in the host list and not leaving
+ * @param live the other live hosts of the local data centre, ordered by name
+ * @param remote the connected hosts of other data centres, ordered by name
  */
 public record PeerView(Set<String> listed, List<LocalPeer> live, List<String> remote) {
     public PeerView {
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Makes a view without peers.
+     * Creates a view without peers.
      *
      * @return the empty view
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/Summaries.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/RegionSummaries.java
@@ -11,18 +11,18 @@
 import org.rattanplank.schema.message.LeavingNotice;
 import org.rattanplank.schema.message.RegionSummary;
 
-/** Makes and reads the bounded summaries that data centres exchange. Stateless and thread safe. */
-final class Summaries {
+/** Creates and parses the bounded summaries that data centres exchange. Stateless and thread safe. */
+final class RegionSummaries {
     static final int MAX_HOSTS = 64;
     static final int MAX_SERVICES = 64;
-    static final int MAX_LEAVING = 32;
+    static final int MAX_LEAVING_NOTICES = 32;
 
-    private static final int FIELDS = 4;
+    private static final int LOAD_FIELDS = 4;
 
-    private Summaries() {}
+    private RegionSummaries() {}
 
     static RegionSummary of(
-            Place place, long generation, Collection<String> hosts, SelfReport report, List<LeavingNotice> leaving) {
+            Place location, long generation, Collection<String> hosts, SelfReport report, List<LeavingNotice> leaving) {
         Map<String, List<Long>> services = new LinkedHashMap<>();
         new TreeMap<>(report.services()).forEach((name, load) -> {
             if (services.size() < MAX_SERVICES && load.targets() > 0) {
@@ -31,10 +31,13 @@
             }
         });
         List<String> names = hosts.stream().sorted().limit(MAX_HOSTS).toList();
-        return new RegionSummary(place.region(), place.dataCentre(), generation, names, services, leaving);
+        return new RegionSummary(location.region(), location.dataCentre(), generation, names, services, leaving);
     }
 
-    /** Leaves the services out, for data centres of the same region, which ask the same targets themselves. */
+    /**
+     * Returns the summary without services, for data centres of the same region, which poll the same targets
+     * themselves.
+     */
     static RegionSummary withoutServices(RegionSummary summary) {
         return new RegionSummary(
                 summary.region(),
@@ -45,16 +48,16 @@
                 summary.leaving());
     }
 
-    /** Tells whether two summaries differ in more than load. */
-    static boolean differInMoreThanLoad(RegionSummary one, RegionSummary other) {
+    /** Returns whether two summaries differ in anything but load. */
+    static boolean differBeyondLoad(RegionSummary one, RegionSummary other) {
         return !withoutServices(one).equals(withoutServices(other))
                 || !one.services().keySet().equals(other.services().keySet());
     }
 
-    static Map<String, RemoteRegion.ServiceLoad> loads(RegionSummary summary, long atMillis) {
+    static Map<String, RemoteRegion.ServiceLoad> parseLoads(RegionSummary summary, long atMillis) {
         Map<String, RemoteRegion.ServiceLoad> loads = new TreeMap<>();
         summary.services().forEach((name, load) -> {
-            if (load.size() >= FIELDS) {
+            if (load.size() >= LOAD_FIELDS) {
                 loads.put(
                         name,
                         new RemoteRegion.ServiceLoad(
--- /dev/null
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/RemoteDataCentre.java
@@ -0,0 +1,80 @@
+package org.rattanplank.core.member;
+
+import java.util.List;
+import java.util.Set;
+
+import io.vavr.control.Option;
+import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.schema.message.RegionSummary;
+
+/** The view that a host has of another data centre, and what it last sent there. Not thread safe. */
+final class RemoteDataCentre {
+    final Place location;
+    Option<RegionSummary> summary = Option.none();
+    long summaryReceivedMillis;
+    boolean reachable = true;
+
+    /** Hosts of the local data centre that represent it towards this one, best first. */
+    List<String> representatives = List.of();
+
+    /** Since when this host has been a representative towards the data centre, or none if it is not. */
+    Option<Long> representedSinceMillis = Option.none();
+
+    boolean unresponsive;
+    long lastMessageMillis;
+    int skippedHosts;
+    String dialledHost = "";
+    long dialledMillis;
+
+    private List<String> rankingInput = List.of();
+    private List<String> ranking = List.of();
+
+    String summaryRecipient = "";
+    Option<RegionSummary> sentSummary = Option.none();
+    long summarySentMillis;
+    long lastSentMillis;
+
+    RemoteDataCentre(Place location) {
+        this.location = location;
+    }
+
+    /** Ranks hosts of the data centre for a key that never changes; recomputed only when the hosts change. */
+    List<String> rank(List<String> hosts, String key) {
+        if (!hosts.equals(rankingInput)) {
+            rankingInput = hosts;
+            ranking = Rendezvous.rank(hosts, key);
+        }
+        return ranking;
+    }
+
+    /** Returns the host to connect to in the data centre: the next in rank after those that were unreachable. */
+    Option<String> chooseHost(
+            List<String> candidates, int rank, Set<String> connected, long nowMillis, long dialTimeoutMillis) {
+        if (candidates.isEmpty()) {
+            return Option.none();
+        }
+        String choice = candidates.get((rank + skippedHosts) % candidates.size());
+        if (!choice.equals(dialledHost)) {
+            dialledHost = choice;
+            dialledMillis = nowMillis;
+        }
+        if (connected.contains(choice)) {
+            dialledMillis = nowMillis;
+        } else if (nowMillis - dialledMillis > dialTimeoutMillis) {
+            skippedHosts++;
+            dialledHost = candidates.get((rank + skippedHosts) % candidates.size());
+            dialledMillis = nowMillis;
+        }
+        return Option.some(dialledHost);
+    }
+
+    void stopRepresenting() {
+        representedSinceMillis = Option.none();
+        unresponsive = false;
+        skippedHosts = 0;
+        dialledHost = "";
+        summaryRecipient = "";
+        sentSummary = Option.none();
+    }
+}
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/SelfReport.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/SelfReport.java
@@ -5,13 +5,13 @@
 import org.rattanplank.core.route.RemoteRegion;
 
 /**
- * What a host tells the others of itself. Immutable and thread safe.
+ * The state report that a host sends to other hosts. Immutable and thread safe.
  *
- * @param generation the configuration generation in force
- * @param draining whether it takes no new work
+ * @param generation the active configuration generation
+ * @param draining whether it accepts no new work
  * @param inFlight requests without an outcome
- * @param services the load of its region's services
- * @param storeReachable whether it read the platform's store lately
+ * @param services the load of each service in its region
+ * @param storeReachable whether it recently read the platform's store
  */
 public record SelfReport(
         long generation,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Answer.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Answer.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * A whole answer. Immutable and thread safe as long as nobody writes into the body's array.
+ * A complete answer. Immutable and thread safe provided that the array of the body is not modified.
  *
  * @param status the HTTP status of the answer
  * @param contentType the media type
- * @param body the bytes; empty if the answer was a stream and its parts have already gone to the caller
- * @param streamed whether the answer went to the caller part by part
+ * @param body the bytes; empty if the answer was streamed and its events have already been sent to the caller
+ * @param streamed whether the answer was streamed to the caller
  */
 public record Answer(int status, String contentType, byte[] body, boolean streamed) {
     public Answer {
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Makes an answer with its whole body.
+     * Creates an answer with a complete body.
      *
      * @param status the HTTP status
      * @param contentType the media type
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Makes the answer of a stream that has ended as it should.
+     * Creates the answer of a stream that completed normally.
      *
      * @param status the HTTP status
      * @param contentType the media type
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/AttemptResult.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/AttemptResult.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.Objects;
 
-/** How one attempt at a target or at another entry host ended. Immutable and thread safe. */
+/** The result of one attempt at a target or at another entry host. Immutable and thread safe. */
 public sealed interface AttemptResult {
 
     /**
-     * The whole answer came, with the request's own identifier.
+     * The complete answer was received, with the identifier of the request.
      *
      * @param answer the answer
      * @param path the hosts and the target behind the peer, empty if a target answered directly
@@ -20,10 +20,11 @@
     }
 
     /**
-     * The request surely did not run: no byte reached the transport, or the other side refused it before running.
+     * The request definitely did not run: no byte was handed to the transport, or the other side rejected it before
+     * running it.
      *
-     * @param failure why
-     * @param retryAfterMillis when the other side asks to come back, zero if it does not say
+     * @param failure the reason
+     * @param retryAfterMillis the retry delay that the other side requested, zero if none
      */
     record NotRun(Failure failure, long retryAfterMillis) implements AttemptResult {
         public NotRun {
@@ -34,8 +35,8 @@
     /**
      * The answer was lost after bytes had been handed to the transport.
      *
-     * @param failure what is known
-     * @param callerParts how many parts of a streamed answer the caller already has
+     * @param failure the failure that was observed
+     * @param callerParts number of stream events that were already delivered to the caller
      */
     record Lost(Failure failure, long callerParts) implements AttemptResult {
         public Lost {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Failure.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Failure.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Why a request or an attempt ended without an answer. Immutable and thread safe.
+ * The reason for which a request or an attempt ended without an answer. Immutable and thread safe.
  *
- * @param step the step at which it arose
+ * @param step the step at which the failure occurred
  * @param peer the host, target or service on the other side, or empty
  * @param reason a short sentence
  */
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Makes a failure.
+     * Creates a failure.
      *
-     * @param step the step at which it arose
+     * @param step the step at which the failure occurred
      * @param peer the other side, or empty
      * @param reason a short sentence
      * @return the failure
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Outcome.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Outcome.java
@@ -3,21 +3,21 @@
 import java.util.List;
 import java.util.Objects;
 
-/** How a request ended; every request has exactly one outcome. Immutable and thread safe. */
+/** The outcome of a request; every request has exactly one. Immutable and thread safe. */
 public sealed interface Outcome {
 
     /**
-     * The name that callers and messages see.
+     * Returns the name used in answers to callers and in messages.
      *
      * @return answered, not run or unknown
      */
     String label();
 
     /**
-     * The whole answer is there.
+     * The complete answer was received.
      *
      * @param answer the answer
-     * @param path the hosts and the target that it took, in order
+     * @param path the hosts and the target that handled the request, in order
      */
     record Answered(Answer answer, List<String> path) implements Outcome {
         public Answered {
@@ -32,10 +32,10 @@
     }
 
     /**
-     * The request surely did not run and will not run.
+     * The request definitely did not run and will not run.
      *
-     * @param failure why not
-     * @param retryAfterMillis when to come back, zero if coming back does not help
+     * @param failure the reason
+     * @param retryAfterMillis time after which a retry may succeed, zero if a retry does not help
      */
     record NotRun(Failure failure, long retryAfterMillis) implements Outcome {
         public NotRun {
@@ -49,9 +49,9 @@
     }
 
     /**
-     * The request may have run, wholly or in part.
+     * The request may have run, completely or partially.
      *
-     * @param failure what is known
+     * @param failure the failure that was observed
      */
     record Unknown(Failure failure) implements Outcome {
         public Unknown {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Request.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Request.java
@@ -6,21 +6,21 @@
 import io.vavr.control.Option;
 
 /**
- * What a caller asks, without the body, which stays outside the core. Immutable and thread safe.
+ * A caller's request, without the body, which stays outside the core. Immutable and thread safe.
  *
  * @param id the request's identifier, unique over all hosts
  * @param account the caller's account
- * @param service the service that is asked for
- * @param workClass how urgent it is
+ * @param service the requested service
+ * @param workClass the urgency of the request
  * @param repeatable whether the call may run more than once
- * @param idempotencyKey the caller's key; a call that may not be repeated has one
+ * @param idempotencyKey the caller's key; always present for a call that may not run more than once
  * @param homeRegion the home region of the account
  * @param residency the residency label of the data, if the caller gave one
- * @param deadlineMillis when the caller stops waiting, on this host's clock
+ * @param deadlineMillis when the caller stops waiting, by this host's clock
  * @param promptTokens an estimate of the prompt's tokens
- * @param maxTokens the largest number of tokens to generate
+ * @param maxTokens the maximum number of generated tokens
  * @param prefixHashes hashes of the prompt's prefixes, shortest first
- * @param stream whether the answer is a stream
+ * @param stream whether the answer is streamed
  * @param passedHosts the hosts that the request has passed, oldest first; empty at the first host
  * @param claimed whether an earlier host already holds the claim of the key
  */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Tells whether another entry host forwarded this request.
+     * Returns whether another entry host forwarded this request.
      *
      * @return whether it has passed another host
      */
@@ -60,13 +60,13 @@
     }
 
     /**
-     * Copies this request as the next host sees it.
+     * Creates a copy of this request for the next host.
      *
      * @param host the host that forwards it
-     * @param withClaim whether that host holds the claim of the key
+     * @param claimHeld whether that host holds the claim of the key
      * @return the copy
      */
-    public Request passedBy(String host, boolean withClaim) {
+    public Request passedBy(String host, boolean claimHeld) {
         List<String> passed =
                 io.vavr.collection.List.ofAll(passedHosts).append(host).asJava();
         return new Request(
@@ -84,6 +84,6 @@
                 prefixHashes,
                 stream,
                 passed,
-                withClaim);
+                claimHeld);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Step.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Step.java
@@ -1,16 +1,16 @@
 package org.rattanplank.core.request;
 
-/** The step of a request's life at which an error arose. */
+/** The processing step of a request at which an error occurred. */
 public enum Step {
     /** Reading and checking what the caller sent. */
     ACCEPT,
-    /** Deciding whether there is room for the request. */
+    /** Deciding whether the request is admitted. */
     ADMIT,
-    /** Getting the right to run a call that may not be repeated. */
+    /** Acquiring the claim for a call that may not run more than once. */
     CLAIM,
     /** Choosing a target. */
     ROUTE,
-    /** Passing the request to another region's entry host. */
+    /** Forwarding the request to an entry host of another region. */
     FORWARD,
     /** Connecting to a target. */
     CONNECT,
@@ -20,7 +20,7 @@
     RECEIVE;
 
     /**
-     * The name in lower case, as callers and logs see it.
+     * Returns the name in lower case, as used in answers to callers and in logs.
      *
      * @return the name
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/WorkClass.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/WorkClass.java
@@ -2,11 +2,11 @@
 
 import io.vavr.control.Option;
 
-/** How urgent a request is; the lowest class is shed first. */
+/** Urgency of a request; the lowest class is shed first. */
 public enum WorkClass {
     /** A person waits for it: a part query, a booking, a quote. */
     INTERACTIVE(0),
-    /** A person will read it later: a long draft. */
+    /** A person reads it later: a long draft. */
     DRAFT(5),
     /** Nobody waits for it: tags of shift notes. */
     BACKGROUND(9);
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Finds a class by its name in lower case.
+     * Returns the class with the given lower-case name.
      *
      * @param name the name, such as {@code draft}
      * @return the class, or none if no class has this name
@@ -33,7 +33,7 @@
     }
 
     /**
-     * The name in lower case, as callers and messages write it.
+     * Returns the name in lower case, as callers and messages use it.
      *
      * @return the name
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The priority that engines honour; a lower number runs first.
+     * Returns the scheduling priority for engines; a lower number runs first.
      *
      * @return the priority
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreCommand.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreCommand.java
@@ -18,42 +18,42 @@
     record List(String prefix) implements StoreCommand {}
 
     /**
-     * Writes a key if it is still as expected.
+     * Writes a key if it still has the expected revision.
      *
      * @param key the key
      * @param value the new value
-     * @param expectedModRevision the revision of the value that is replaced, zero if the key must not exist
-     * @param leaseId the lease with which the key ends, zero for none
+     * @param expectedModRevision the revision of the replaced value, zero if the key must not exist
+     * @param leaseId the lease that the key is attached to, zero for none
      */
     record Put(String key, String value, long expectedModRevision, long leaseId) implements StoreCommand {}
 
     /**
-     * Deletes a key if it is still as expected.
+     * Deletes a key if it still has the expected revision.
      *
      * @param key the key
-     * @param expectedModRevision the revision of the value that is deleted
+     * @param expectedModRevision the revision of the deleted value
      */
     record Delete(String key, long expectedModRevision) implements StoreCommand {}
 
     /**
-     * Asks for a new lease.
+     * Requests a new lease.
      *
-     * @param ttlMillis how long it lasts without being kept
+     * @param ttlMillis how long the lease lasts without renewal
      */
     record GrantLease(long ttlMillis) implements StoreCommand {}
 
     /**
-     * Keeps a lease for another whole term.
+     * Renews a lease for another full term.
      *
      * @param leaseId the lease
      */
     record KeepLease(long leaseId) implements StoreCommand {}
 
     /**
-     * Watches all keys that begin with a prefix; changes come as {@code StoreChanged} events.
+     * Watches all keys that begin with a prefix; changes are delivered as {@code StoreChanged} events.
      *
      * @param prefix the prefix
-     * @param fromRevision the first revision whose changes are wanted
+     * @param fromRevision the first revision to deliver
      */
     record Watch(String prefix, long fromRevision) implements StoreCommand {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreEntry.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreEntry.java
@@ -7,7 +7,7 @@
  *
  * @param key the key
  * @param value the value
- * @param modRevision the store's revision at which the value was written
+ * @param modRevision the store revision at which the value was written
  */
 public record StoreEntry(String key, String value, long modRevision) {
     public StoreEntry {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreOwner.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreOwner.java
@@ -1,11 +1,11 @@
 package org.rattanplank.core.store;
 
-/** Which part of a node made a call to the platform's store, and gets its reply. */
+/** The component of a node that made a call to the platform's store and receives its reply. */
 public enum StoreOwner {
-    /** The views that hold claims. */
+    /** The claim views. */
     CLAIM,
-    /** The operators' configuration. */
+    /** The configuration of the operators. */
     CONFIGURATION,
-    /** The leases and orders of controllers. */
+    /** Leases and orders of controllers. */
     CONTROL
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreReply.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/store/StoreReply.java
@@ -2,14 +2,14 @@
 
 import io.vavr.control.Option;
 
-/** The end of one call to the platform's store. Immutable and thread safe. */
+/** The result of one call to the platform's store. Immutable and thread safe. */
 public sealed interface StoreReply {
 
     /**
-     * What a read found.
+     * The result of a read.
      *
-     * @param entries the entries, none if there are none
-     * @param revision the store's revision at the time of the read
+     * @param entries the entries, empty if there are none
+     * @param revision the store revision at the time of the read
      */
     record Found(java.util.List<StoreEntry> entries, long revision) implements StoreReply {
         public Found {
@@ -17,7 +17,7 @@
         }
 
         /**
-         * The only entry of a read of one key.
+         * Returns the entry of a read of one key.
          *
          * @return the entry, or none
          */
@@ -29,34 +29,34 @@
     /**
      * The write took effect.
      *
-     * @param revision the store's revision after it
+     * @param revision the store revision after the write
      */
     record Written(long revision) implements StoreReply {}
 
     /**
-     * The write did not take effect, because the key was not as expected.
+     * The write did not take effect because the key did not have the expected revision.
      *
-     * @param current the key as it is
+     * @param current the current entry of the key, or none
      */
     record Conflicted(Option<StoreEntry> current) implements StoreReply {}
 
     /**
-     * The lease is there for a whole term, counted from when the call was made.
+     * The lease is valid for a full term, counted from the time of the call.
      *
      * @param leaseId the lease
-     * @param ttlMillis the term, zero if the lease has lapsed
+     * @param ttlMillis the term, zero if the lease has expired
      */
     record Leased(long leaseId, long ttlMillis) implements StoreReply {}
 
     /**
-     * The call may or may not have taken effect: it was sent, and no answer came.
+     * The call may or may not have taken effect: it was sent, and no reply was received.
      *
      * @param reason a short sentence
      */
     record Unsure(String reason) implements StoreReply {}
 
     /**
-     * The call surely had no effect.
+     * The call definitely had no effect.
      *
      * @param reason a short sentence
      */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyTest.java
@@ -16,80 +16,82 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class ApplyTest {
-    private static final int RUNS = 3_000;
+    private static final int RUN_COUNT = 3_000;
     private static final int FAULT_PERCENT = 25;
 
-    private final Document base = Document.empty().next(Files.retiring("a", "b"), "c0");
+    private final Document base = Document.empty().next(TestIntentFiles.retiring("a", "b"), "c0");
 
     @Test
-    void shouldHoldBothChangesWhenOneOperatorAddsAndTheOtherRenames() {
-        // Symptom: after two applies that both said "done", a file that one operator renamed is back under its old
-        // name, or the added one is gone. Sequence: both read generation 1; both write; the store takes one and loses
-        // its answer; both try again. Cause: writing the own folder over the newest document.
-        SortedMap<String, JsonNode> renamed = Files.retiring("a");
-        renamed.put("z", Files.retire("b"));
-        race(Files.retiring("a", "b", "c"), renamed, Set.of("a", "c", "z"));
+    void shouldContainBothChangesWhenOneOperatorAddsAndTheOtherRenames() {
+        // Guards against overwriting the newest document with an operator's own folder. Both operators read generation
+        // 1 and write; the store accepts one write and loses its reply; both retry. A renamed file would be back under
+        // its old name, or the added one would be missing, although both operations report success.
+        SortedMap<String, JsonNode> renamed = TestIntentFiles.retiring("a");
+        renamed.put("z", TestIntentFiles.retire("b"));
+        race(TestIntentFiles.retiring("a", "b", "c"), renamed, Set.of("a", "c", "z"));
     }
 
     @Test
-    void shouldHoldBothChangesWhenOneOperatorAddsAndTheOtherRemoves() {
-        // Symptom: a removed retire intent is back, so a host that was to stay leaves. Sequence and cause as above.
-        race(Files.retiring("a", "b", "c"), Files.retiring("a"), Set.of("a", "c"));
+    void shouldContainBothChangesWhenOneOperatorAddsAndTheOtherRemoves() {
+        // Guards against the same overwrite as above: a removed retire intent would reappear, and a host that should
+        // stay would leave.
+        race(TestIntentFiles.retiring("a", "b", "c"), TestIntentFiles.retiring("a"), Set.of("a", "c"));
     }
 
     @Test
-    void shouldTellOneOperatorOfTheConflictWhenBothChangeOneFile() {
-        // Symptom: both operators are told "done", and one of the two contents is in force nowhere. Sequence: both
-        // change one file from generation 1, answers are lost. Cause: the last writer wins.
-        for (int seed = 0; seed < RUNS; seed++) {
-            SortedMap<String, JsonNode> ours = Files.retiring("a", "b");
-            ours.put("a", Files.retire("a", "ours"));
-            SortedMap<String, JsonNode> theirs = Files.retiring("a", "b");
-            theirs.put("a", Files.retire("a", "theirs"));
+    void shouldReportConflictToOneOperatorWhenBothChangeOneFile() {
+        // Guards against last-writer-wins: both operators change one file of generation 1 and replies are lost. Both
+        // operations would report success, and one of the two contents would be lost.
+        for (int seed = 0; seed < RUN_COUNT; seed++) {
+            SortedMap<String, JsonNode> ours = TestIntentFiles.retiring("a", "b");
+            ours.put("a", TestIntentFiles.retire("a", "ours"));
+            SortedMap<String, JsonNode> theirs = TestIntentFiles.retiring("a", "b");
+            theirs.put("a", TestIntentFiles.retire("a", "theirs"));
             FakeStore store = storeWithBase();
-            List<Apply> ended = run(store, ours, theirs, new Random(seed));
-            long done = ended.stream().filter(ApplyTest::isDone).count();
-            long conflicts = ended.stream()
+            List<Apply> finished = run(store, ours, theirs, new Random(seed));
+            long done = finished.stream().filter(ApplyTest::isDone).count();
+            long conflicts = finished.stream()
                     .filter(apply -> apply.step() instanceof ApplyStep.Conflicting)
                     .count();
-            boolean gaveUp = ended.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
-            assertTrue(gaveUp || (done == 1 && conflicts == 1), "seed " + seed + ": " + steps(ended));
+            boolean anyFailed = finished.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
+            assertTrue(anyFailed || (done == 1 && conflicts == 1), "seed " + seed + ": " + states(finished));
             String reason = newest(store).files().get("a").path("reason").asText();
-            assertEquals(isDone(ended.get(0)), "ours".equals(reason), "seed " + seed + ": " + steps(ended));
+            assertEquals(isDone(finished.get(0)), "ours".equals(reason), "seed " + seed + ": " + states(finished));
         }
     }
 
     @Test
-    void shouldSettleByItsOwnChangeWhenOthersAppliedAfterTheLostAnswer() {
-        // Symptom: an operator is told of a conflict with their own file. Sequence: the write takes effect, the answer
-        // is lost, another operator changes the same file, then the first reads back. Cause: only the newest change's
-        // identity is looked at.
+    void shouldRecognizeItsOwnChangeWhenOthersAppliedAfterTheLostReply() {
+        // Guards against comparing only with the identity of the latest change: a write takes effect, its reply is
+        // lost, another operator changes the same file, then the first operation reads the store. The operator would
+        // get a conflict with their own file.
         FakeStore store = storeWithBase();
-        Apply apply = Apply.of(new ConfigurationChange(base, Files.retiring("a", "b", "c"), "mine"));
-        apply = step(apply, store, FakeStore.Fault.NONE);
-        apply = step(apply, store, FakeStore.Fault.ANSWER_LOST);
+        Apply apply = Apply.of(new ConfigurationChange(base, TestIntentFiles.retiring("a", "b", "c"), "mine"));
+        apply = advance(apply, store, FakeStore.Fault.NONE);
+        apply = advance(apply, store, FakeStore.Fault.ANSWER_LOST);
         Document mine = newest(store);
-        SortedMap<String, JsonNode> later = Files.retiring("a", "b", "c");
-        later.put("c", Files.retire("c", "changed later"));
+        SortedMap<String, JsonNode> later = TestIntentFiles.retiring("a", "b", "c");
+        later.put("c", TestIntentFiles.retire("c", "changed later"));
         store.write(Configurations.KEY, mine.next(later, "other").toText());
-        apply = step(apply, store, FakeStore.Fault.NONE);
+        apply = advance(apply, store, FakeStore.Fault.NONE);
         assertEquals(2, assertInstanceOf(ApplyStep.Done.class, apply.step()).generation());
     }
 
     @Test
-    void shouldReadAgainWhenTheStoreGivesAnOlderGenerationThanWasSeen() {
-        // Symptom: a conflict although nobody else changed anything. Sequence: the operator saw generation 2, a lagging
-        // member of the store answers generation 1. Cause: a stale read is taken for the newest document.
+    void shouldReadAgainWhenTheStoreReturnsAnOlderGenerationThanLastSeen() {
+        // Guards against treating a stale read as the newest document: the operator saw generation 2, and a lagging
+        // member of the store returns generation 1. The operator would get a conflict although nobody else changed
+        // anything.
         FakeStore store = storeWithBase();
         long old = store.revision();
-        Document second = base.next(Files.retiring("a", "b", "c"), "c1");
+        Document second = base.next(TestIntentFiles.retiring("a", "b", "c"), "c1");
         store.write(Configurations.KEY, second.toText());
-        SortedMap<String, JsonNode> wanted = Files.retiring("a", "b", "c");
-        wanted.put("c", Files.retire("c", "mine"));
-        Apply apply = Apply.of(new ConfigurationChange(second, wanted, "mine"));
+        SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b", "c");
+        desired.put("c", TestIntentFiles.retire("c", "mine"));
+        Apply apply = Apply.of(new ConfigurationChange(second, desired, "mine"));
         apply = apply.replied(store.staleGet(Configurations.KEY, old));
-        while (!isEnded(apply)) {
-            apply = step(apply, store, FakeStore.Fault.NONE);
+        while (!isFinished(apply)) {
+            apply = advance(apply, store, FakeStore.Fault.NONE);
         }
         assertEquals(3, assertInstanceOf(ApplyStep.Done.class, apply.step()).generation());
     }
@@ -97,31 +99,31 @@
     @Test
     void shouldApplyNothingWhenTheMergedDocumentHasFaults() {
         FakeStore store = storeWithBase();
-        SortedMap<String, JsonNode> wanted = Files.retiring("a", "b");
-        wanted.put("c", Files.retire("floor", "x").deepCopy());
-        ((com.fasterxml.jackson.databind.node.ObjectNode) wanted.get("c")).put("kind", "limit");
-        Apply apply = Apply.of(new ConfigurationChange(base, wanted, "mine"));
-        apply = step(apply, store, FakeStore.Fault.NONE);
+        SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b");
+        desired.put("c", TestIntentFiles.retire("floor", "x").deepCopy());
+        ((com.fasterxml.jackson.databind.node.ObjectNode) desired.get("c")).put("kind", "limit");
+        Apply apply = Apply.of(new ConfigurationChange(base, desired, "mine"));
+        apply = advance(apply, store, FakeStore.Fault.NONE);
         assertInstanceOf(ApplyStep.Refused.class, apply.step());
         assertEquals(1, newest(store).generation());
     }
 
     @Test
-    void shouldSayThatNothingWasAppliedWhenTheStoreIsDown() {
-        Apply apply = Apply.of(new ConfigurationChange(base, Files.retiring("c"), "mine"));
-        while (!isEnded(apply)) {
+    void shouldReportThatNothingWasAppliedWhenTheStoreIsDown() {
+        Apply apply = Apply.of(new ConfigurationChange(base, TestIntentFiles.retiring("c"), "mine"));
+        while (!isFinished(apply)) {
             apply = apply.replied(new StoreReply.Unavailable("down"));
         }
         assertTrue(assertInstanceOf(ApplyStep.Failed.class, apply.step()).surelyNotApplied());
     }
 
     private void race(SortedMap<String, JsonNode> ours, SortedMap<String, JsonNode> theirs, Set<String> expected) {
-        for (int seed = 0; seed < RUNS; seed++) {
+        for (int seed = 0; seed < RUN_COUNT; seed++) {
             FakeStore store = storeWithBase();
-            List<Apply> ended = run(store, ours, theirs, new Random(seed));
-            boolean bothDone = ended.stream().allMatch(ApplyTest::isDone);
-            boolean gaveUp = ended.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
-            assertTrue(bothDone || gaveUp, "seed " + seed + ": " + steps(ended));
+            List<Apply> finished = run(store, ours, theirs, new Random(seed));
+            boolean bothDone = finished.stream().allMatch(ApplyTest::isDone);
+            boolean anyFailed = finished.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
+            assertTrue(bothDone || anyFailed, "seed " + seed + ": " + states(finished));
             if (bothDone) {
                 assertEquals(expected, newest(store).files().keySet(), "seed " + seed);
                 assertEquals(3, newest(store).generation(), "seed " + seed + ": each change makes one generation");
@@ -134,10 +136,10 @@
         List<Apply> applies = new ArrayList<>(List.of(
                 Apply.of(new ConfigurationChange(base, ours, "ours")),
                 Apply.of(new ConfigurationChange(base, theirs, "theirs"))));
-        while (!applies.stream().allMatch(ApplyTest::isEnded)) {
+        while (!applies.stream().allMatch(ApplyTest::isFinished)) {
             int turn = random.nextInt(applies.size());
-            if (!isEnded(applies.get(turn))) {
-                applies.set(turn, step(applies.get(turn), store, fault(random)));
+            if (!isFinished(applies.get(turn))) {
+                applies.set(turn, advance(applies.get(turn), store, fault(random)));
             }
         }
         return applies;
@@ -156,7 +158,7 @@
         return store;
     }
 
-    private static Apply step(Apply apply, FakeStore store, FakeStore.Fault fault) {
+    private static Apply advance(Apply apply, FakeStore store, FakeStore.Fault fault) {
         return apply.replied(store.call(((ApplyStep.CallStore) apply.step()).command(), fault, 0));
     }
 
@@ -164,7 +166,7 @@
         return Document.parse(store.entry(Configurations.KEY).get().value()).get();
     }
 
-    private static boolean isEnded(Apply apply) {
+    private static boolean isFinished(Apply apply) {
         return !(apply.step() instanceof ApplyStep.CallStore);
     }
 
@@ -172,7 +174,7 @@
         return apply.step() instanceof ApplyStep.Done;
     }
 
-    private static List<ApplyStep> steps(List<Apply> applies) {
+    private static List<ApplyStep> states(List<Apply> applies) {
         return applies.stream().map(Apply::step).toList();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationsTest.java
@@ -23,65 +23,65 @@
 
 class ConfigurationsTest {
     private static final long TICK_MILLIS = 100;
-    private static final int HOSTS = 360;
-    private static final int CENTRES = 82;
+    private static final int HOST_COUNT = 360;
+    private static final int DATA_CENTRE_COUNT = 82;
 
     private final FakeStore store = new FakeStore();
     private final Configurations configurations = of("suva-1");
 
     @Test
-    void shouldStayWhenReadIsOlderThanWhatIsInForce() {
-        // Symptom: a retired host gets work again for some seconds. Sequence: generation 2 is in force, a lagging
-        // member of the store answers the next read with generation 1. Cause: the newest answer is taken for the
-        // newest generation.
-        store.write(Configurations.KEY, Files.document(1, "a").toText());
+    void shouldKeepActiveGenerationWhenReadIsOlder() {
+        // Guards against treating the latest reply as the newest generation: generation 2 is active, and a lagging
+        // member of the store answers the next read with generation 1. A retired host would receive work again for some
+        // seconds.
+        store.write(Configurations.KEY, TestIntentFiles.document(1, "a").toText());
         long old = store.revision();
-        store.write(Configurations.KEY, Files.document(2, "a", "b").toText());
+        store.write(Configurations.KEY, TestIntentFiles.document(2, "a", "b").toText());
         configurations.storeReplied(1, store.call(new StoreCommand.Get(Configurations.KEY), 0), 0);
-        List<ConfigurationStep> steps = configurations.storeReplied(2, store.staleGet(Configurations.KEY, old), 100);
-        assertEquals(List.of(), steps);
+        List<ConfigurationStep> actions = configurations.storeReplied(2, store.staleGet(Configurations.KEY, old), 100);
+        assertEquals(List.of(), actions);
         assertEquals(2, configurations.current().generation());
     }
 
     @Test
-    void shouldTakeThePeersNewerGenerationWhenARestartedHostReadsAnOlderOne() {
-        // Symptom: a restarted host serves by an old configuration. Sequence: generation 2 was in force; the host
-        // restarts; the store answers with generation 1 before any peer is heard. Cause: the first answer is put into
-        // force.
+    void shouldActivatePeersNewerGenerationWhenRestartedHostReadsOlderOne() {
+        // Guards against activating the first answer: generation 2 was active, the host restarts, and the store answers
+        // with generation 1 before any peer has reported. The restarted host would serve with an outdated
+        // configuration.
         configurations.peers(new PeerView(Set.of("suva-2"), List.of(), List.of()), 0);
-        StoreReply old = new StoreReply.Found(List.of(entry(Files.document(1, "a"))), 1);
+        StoreReply old = new StoreReply.Found(List.of(entry(TestIntentFiles.document(1, "a"))), 1);
         assertEquals(List.of(), configurations.storeReplied(1, old, 10));
         configurations.peers(view("suva-2"), 20);
-        List<ConfigurationStep> steps = configurations.heard("suva-2", 2, 20);
-        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) steps.get(0)).message());
+        List<ConfigurationStep> actions = configurations.heard("suva-2", 2, 20);
+        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) actions.get(0)).message());
         assertEquals(0, configurations.current().generation());
-        configurations.receive("suva-2", DocumentDelta.whole(Files.document(2, "a", "b")), 30);
+        configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "a", "b")), 30);
         assertEquals(2, configurations.current().generation());
     }
 
     @Test
-    void shouldKeepTheFirstWhenAnotherDocumentHasTheSameGeneration() {
-        configurations.storeReplied(1, new StoreReply.Found(List.of(entry(Files.document(2, "a"))), 1), 0);
-        configurations.receive("suva-2", DocumentDelta.whole(Files.document(2, "b")), 10);
-        configurations.storeReplied(2, new StoreReply.Found(List.of(entry(Files.document(2, "b"))), 2), 20);
+    void shouldKeepFirstDocumentWhenAnotherHasTheSameGeneration() {
+        configurations.storeReplied(1, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "a"))), 1), 0);
+        configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "b")), 10);
+        configurations.storeReplied(2, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "b"))), 2), 20);
         assertEquals(Set.of("a"), configurations.current().retiring());
         assertEquals(1, configurations.disagreements());
     }
 
     @Test
-    void shouldSendOnlyTheFilesThatChangedWhenThePeerHasTheGenerationBefore() {
-        Document first = Files.document(1, "a", "b");
-        Document second = first.next(Files.retiring("a", "c"), "c2");
+    void shouldSendOnlyChangedFilesWhenPeerHasThePreviousGeneration() {
+        Document first = TestIntentFiles.document(1, "a", "b");
+        Document second = first.next(TestIntentFiles.retiring("a", "c"), "c2");
         Configurations peer = of("suva-2");
-        peer.receive("suva-1", DocumentDelta.whole(first), 0);
+        peer.receive("suva-1", DocumentDelta.fullPush(first), 0);
         peer.tick(5_000);
         configurations.peers(view("suva-2"), 0);
         configurations.heard("suva-2", 1, 0);
         configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
-        List<ConfigurationStep> steps =
+        List<ConfigurationStep> actions =
                 configurations.storeReplied(2, new StoreReply.Found(List.of(entry(second)), 2), 10);
         ConfigurationPush push =
-                assertInstanceOf(ConfigurationPush.class, ((ConfigurationStep.Send) steps.get(1)).message());
+                assertInstanceOf(ConfigurationPush.class, ((ConfigurationStep.Send) actions.get(1)).message());
         assertEquals("", push.document());
         assertEquals(Set.of("c"), push.changed().keySet());
         assertEquals(List.of("b"), push.removed());
@@ -90,44 +90,45 @@
     }
 
     @Test
-    void shouldAskForTheWholeWhenAChangeStartsFromAnotherDocument() {
-        Document first = Files.document(1, "a");
+    void shouldPullWhenDeltaHasAnotherBaseDocument() {
+        Document first = TestIntentFiles.document(1, "a");
         configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
         configurations.peers(view("suva-2"), 0);
-        Document other = Files.document(1, "x");
-        ConfigurationPush push = DocumentDelta.change(other, other.next(Files.retiring("x", "y"), "c2"));
-        List<ConfigurationStep> steps = configurations.receive("suva-2", push, 10);
-        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) steps.get(0)).message());
+        Document other = TestIntentFiles.document(1, "x");
+        ConfigurationPush push = DocumentDelta.deltaPush(other, other.next(TestIntentFiles.retiring("x", "y"), "c2"));
+        List<ConfigurationStep> actions = configurations.receive("suva-2", push, 10);
+        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) actions.get(0)).message());
         assertEquals(1, configurations.current().generation());
     }
 
     @Test
-    void shouldBoundStoreCallsWhenAllHostsStartOrReturnAtOnce() {
-        // Symptom: the store refuses calls for their rate when it comes back, and goes down again. Sequence: 360 hosts
-        // wait for it and all call at once. Cause: every host reads, or those that do retry without jitter.
-        store.write(Configurations.KEY, Files.document(1, "a").toText());
+    void shouldBoundStoreCallsWhenAllHostsStartOrStoreReturns() {
+        // Guards against overloading a store that has recovered: 360 hosts wait for it and call at once, because every
+        // host reads, or because the readers retry without jitter. The store would reject calls because of their rate
+        // and fail again.
+        store.write(Configurations.KEY, TestIntentFiles.document(1, "a").toText());
         Map<String, Configurations> hosts = new TreeMap<>();
-        for (int host = 0; host < HOSTS; host++) {
+        for (int host = 0; host < HOST_COUNT; host++) {
             hosts.put("host-" + host, of("host-" + host));
         }
-        int started = highestCallsInASecond(hosts, 0, 5_000, false);
-        int whileOut = highestCallsInASecond(hosts, 5_000, 125_000, true);
-        int returned = highestCallsInASecond(hosts, 125_000, 185_000, false);
-        assertTrue(started <= HOSTS + CENTRES, "at a cold start " + started);
-        assertTrue(whileOut <= 2 * CENTRES + 60, "while the store is out " + whileOut);
-        assertTrue(returned <= 2 * CENTRES, "after an outage " + returned);
+        int started = maxCallsPerSecond(hosts, 0, 5_000, false);
+        int whileDown = maxCallsPerSecond(hosts, 5_000, 125_000, true);
+        int returned = maxCallsPerSecond(hosts, 125_000, 185_000, false);
+        assertTrue(started <= HOST_COUNT + DATA_CENTRE_COUNT, "at a cold start " + started);
+        assertTrue(whileDown <= 2 * DATA_CENTRE_COUNT + 60, "while the store is down " + whileDown);
+        assertTrue(returned <= 2 * DATA_CENTRE_COUNT, "after an outage " + returned);
     }
 
-    private int highestCallsInASecond(Map<String, Configurations> hosts, long from, long to, boolean down) {
+    private int maxCallsPerSecond(Map<String, Configurations> hosts, long fromMillis, long toMillis, boolean down) {
         Map<Long, Integer> calls = new TreeMap<>();
-        for (long now = from; now < to; now += TICK_MILLIS) {
-            long time = now;
+        for (long nowMillis = fromMillis; nowMillis < toMillis; nowMillis += TICK_MILLIS) {
+            long timeMillis = nowMillis;
             hosts.forEach((name, host) -> {
-                host.peers(centreOf(Integer.parseInt(name.substring(5)), hosts, time), time);
-                for (ConfigurationStep step : host.tick(time)) {
-                    if (step instanceof ConfigurationStep.CallStore call) {
-                        calls.merge(time / 1_000, 1, Integer::sum);
-                        answer(host, call, time, down);
+                host.peers(dataCentreView(Integer.parseInt(name.substring(5)), hosts, timeMillis), timeMillis);
+                for (ConfigurationStep action : host.tick(timeMillis)) {
+                    if (action instanceof ConfigurationStep.CallStore call) {
+                        calls.merge(timeMillis / 1_000, 1, Integer::sum);
+                        answer(host, call, timeMillis, down);
                     }
                 }
             });
@@ -135,21 +136,21 @@
         return calls.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    private void answer(Configurations host, ConfigurationStep.CallStore call, long now, boolean down) {
+    private void answer(Configurations host, ConfigurationStep.CallStore call, long nowMillis, boolean down) {
         if (!(call.command() instanceof StoreCommand.Watch)) {
             FakeStore.Fault fault = down ? FakeStore.Fault.DOWN : FakeStore.Fault.NONE;
-            host.storeReplied(call.callId(), store.call(call.command(), fault, now), now);
+            host.storeReplied(call.callId(), store.call(call.command(), fault, nowMillis), nowMillis);
         } else if (down) {
-            host.watchBroken(now);
+            host.watchBroken(nowMillis);
         }
     }
 
-    private static PeerView centreOf(int host, Map<String, Configurations> hosts, long now) {
+    private static PeerView dataCentreView(int host, Map<String, Configurations> hosts, long nowMillis) {
         List<LocalPeer> peers = new ArrayList<>();
-        for (int other = host % CENTRES; other < HOSTS; other += CENTRES) {
+        for (int other = host % DATA_CENTRE_COUNT; other < HOST_COUNT; other += DATA_CENTRE_COUNT) {
             if (other != host) {
                 String name = "host-" + other;
-                peers.add(new LocalPeer(name, hosts.get(name).isStoreReachable(now)));
+                peers.add(new LocalPeer(name, hosts.get(name).isStoreReachable(nowMillis)));
             }
         }
         return new PeerView(Set.of(), peers, List.of());
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/Files.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/TestIntentFiles.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 
-/** Builds small sets of intent files. */
-final class Files {
-    private Files() {}
+/** Creates small sets of intent files. */
+final class TestIntentFiles {
+    private TestIntentFiles() {}
 
     static SortedMap<String, JsonNode> retiring(String... names) {
         SortedMap<String, JsonNode> files = new TreeMap<>();
--- a/rattanplank-core/src/test/java/org/rattanplank/core/limit/AdmissionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/limit/AdmissionTest.java
@@ -23,54 +23,54 @@
     class Admit {
         @Test
         void shouldShedLowestClassFirstWhenBacklogGrows() {
-            int background = firstRefusedDepth(WorkClass.BACKGROUND);
-            int draft = firstRefusedDepth(WorkClass.DRAFT);
-            int interactive = firstRefusedDepth(WorkClass.INTERACTIVE);
+            int background = firstRejectedDepth(WorkClass.BACKGROUND);
+            int draft = firstRejectedDepth(WorkClass.DRAFT);
+            int interactive = firstRejectedDepth(WorkClass.INTERACTIVE);
             assertTrue(background < draft && draft < interactive, background + " " + draft + " " + interactive);
         }
 
         @Test
-        void shouldSayWhenBacklogWillHaveShrunkWhenItIsTooLong() {
+        void shouldReturnTimeUntilBacklogShrinksWhenItIsTooLong() {
             Backlog long20 = new Backlog(20_000, 1_000, 1_000);
-            Refusal refusal = admission
+            Refusal rejection = admission
                     .admit(request("floor", WorkClass.INTERACTIVE, 11_000), 1, long20, 0)
                     .get();
-            assertTrue(refusal.retryAfterMillis() >= 10_000 && refusal.retryAfterMillis() <= 15_000);
+            assertTrue(rejection.retryAfterMillis() >= 10_000 && rejection.retryAfterMillis() <= 15_000);
         }
 
         @Test
-        void shouldSayThatComingBackDoesNotHelpWhenDeadlineIsShorterThanRun() {
-            Refusal refusal = admission
+        void shouldReturnNoRetryTimeWhenDeadlineIsShorterThanRun() {
+            Refusal rejection = admission
                     .admit(request("floor", WorkClass.INTERACTIVE, 500), 1, NONE, 0)
                     .get();
-            assertEquals(0, refusal.retryAfterMillis());
+            assertEquals(0, rejection.retryAfterMillis());
         }
 
         /**
-         * Symptom: one account's batch job starved everybody else. Sequence: it sends half of all requests, the backlog
-         * grows, and all are refused alike. Cause: refusals did not look at who used how much.
+         * Guards against one heavy account starving all others: it sends half of all requests, the backlog grows, and
+         * rejections that ignore the usage of accounts affect all of them equally.
          */
         @Test
-        void shouldHoldOnlyHeavyAccountBackWhenThereIsTooMuch() {
+        void shouldRejectOnlyHeavyAccountWhenOverloaded() {
             Backlog overload = new Backlog(2_000, 1_000, 1_000);
-            int[] refused = new int[2];
+            int[] rejected = new int[2];
             for (int i = 0; i < 6_000; i++) {
                 String account = i % 2 == 0 ? "heavy" : "light-" + i % 20;
-                Option<Refusal> refusal =
+                Option<Refusal> rejection =
                         admission.admit(request(account, WorkClass.INTERACTIVE, 90_000), 1, overload, i * 10L);
-                refused[i % 2] += refusal.isDefined() ? 1 : 0;
+                rejected[i % 2] += rejection.isDefined() ? 1 : 0;
             }
-            assertTrue(refused[0] > 300, "heavy refused: " + refused[0]);
-            assertEquals(0, refused[1], "light refused");
+            assertTrue(rejected[0] > 300, "heavy rejected: " + rejected[0]);
+            assertEquals(0, rejected[1], "light rejected");
         }
 
         /**
-         * Symptom: a burst of the only account was refused as over its share. Sequence: the level is found while the
-         * account is quiet, then it sends as much as ever within the same second. Cause: the level of a quiet time held
-         * until the next one was found.
+         * Guards against rejecting a burst of the only account as over its share: the level is computed while the
+         * account is idle, then the account sends its usual load within the same epoch, in which the low level still
+         * applies.
          */
         @Test
-        void shouldNotHoldAccountBackWhenItIsAlone() {
+        void shouldNotRejectAccountWhenItIsTheOnlyOne() {
             Backlog overload = new Backlog(2_000, 1_000, 1_000);
             for (int i = 0; i < 200; i++) {
                 long nowMillis = i < 3 ? i * 5_000L : 10_100;
@@ -81,7 +81,7 @@
         }
 
         @Test
-        void shouldRefuseNobodyWhenThereIsNoBacklog() {
+        void shouldRejectNoRequestWhenThereIsNoBacklog() {
             for (int i = 0; i < 3_000; i++) {
                 assertTrue(admission
                         .admit(request(i % 2 == 0 ? "heavy" : "l" + i % 20, WorkClass.DRAFT, 90_000), 1, NONE, i)
@@ -93,29 +93,29 @@
     @Nested
     class Shares {
         @Test
-        void shouldHoldBoundedAccountsWhenAllAreNew() {
+        void shouldTrackBoundedAccountsWhenAllAreNew() {
             FairShare shares = FairShare.empty();
             for (int i = 0; i < 2 * FairShare.MAX_ACCOUNTS; i++) {
-                shares.demanded("a" + i, 1, 1_000, 1);
+                shares.recordDemand("a" + i, 1, 1_000, 1);
             }
-            assertEquals(FairShare.MAX_ACCOUNTS, shares.accounts());
+            assertEquals(FairShare.MAX_ACCOUNTS, shares.accountCount());
         }
 
         @Test
-        void shouldForgetAccountsWhenTheyAreIdle() {
+        void shouldEvictAccountsWhenTheyAreIdle() {
             FairShare shares = FairShare.empty();
-            shares.demanded("a", 1, 1_000, 1);
-            shares.demanded("b", 1, 1_000, 900_000);
-            assertEquals(1, shares.accounts());
+            shares.recordDemand("a", 1, 1_000, 1);
+            shares.recordDemand("b", 1, 1_000, 900_000);
+            assertEquals(1, shares.accountCount());
         }
     }
 
     @Property(tries = 100, seed = "42")
-    void shouldGrantBoundedRetriesWhenAskedInAnyOrder(@ForAll List<Boolean> asks) {
+    void shouldGrantBoundedRetriesWhenRequestedInAnyOrder(@ForAll List<Boolean> events) {
         RetryBudget budget = RetryBudget.full();
         int requests = 0;
         int retries = 0;
-        for (boolean request : asks) {
+        for (boolean request : events) {
             if (request) {
                 requests++;
                 budget.earn();
@@ -126,7 +126,7 @@
         }
     }
 
-    private static int firstRefusedDepth(WorkClass workClass) {
+    private static int firstRejectedDepth(WorkClass workClass) {
         for (int depth = 0; depth < 100; depth++) {
             Admission fresh = Admission.of(new SplittableRandom(1));
             Backlog backlog = new Backlog(depth * 1_000, 1_000, 1_000);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/store/FakeStore.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/store/FakeStore.java
@@ -7,9 +7,9 @@
 
 import io.vavr.control.Option;
 
-/** The platform's store in memory, with its faults. Not thread safe. */
+/** In-memory store of the platform with injectable faults. Not thread safe. */
 public final class FakeStore {
-    /** What goes wrong with one call. */
+    /** Fault injected into one call. */
     public enum Fault {
         NONE,
         ANSWER_LOST,
@@ -76,9 +76,9 @@
             return new StoreReply.Found(entry(get.key()).toJavaList(), revision);
         }
         if (command instanceof StoreCommand.Put put) {
-            long current = entry(put.key()).map(StoreEntry::modRevision).getOrElse(0L);
-            boolean leaseGone = put.leaseId() != 0 && !leases.containsKey(put.leaseId());
-            if (current != put.expectedModRevision() || leaseGone) {
+            long currentRevision = entry(put.key()).map(StoreEntry::modRevision).getOrElse(0L);
+            boolean leaseExpired = put.leaseId() != 0 && !leases.containsKey(put.leaseId());
+            if (currentRevision != put.expectedModRevision() || leaseExpired) {
                 return new StoreReply.Conflicted(entry(put.key()));
             }
             return new StoreReply.Written(put(put.key(), put.value(), put.leaseId()));
@@ -87,15 +87,15 @@
             leases.put(++nextLease, new Lease(grant.ttlMillis(), nowMillis + grant.ttlMillis()));
             return new StoreReply.Leased(nextLease, grant.ttlMillis());
         }
-        if (command instanceof StoreCommand.KeepLease keep) {
-            Lease lease = leases.get(keep.leaseId());
+        if (command instanceof StoreCommand.KeepLease renewal) {
+            Lease lease = leases.get(renewal.leaseId());
             if (lease == null) {
-                return new StoreReply.Leased(keep.leaseId(), 0);
+                return new StoreReply.Leased(renewal.leaseId(), 0);
             }
-            leases.put(keep.leaseId(), new Lease(lease.ttlMillis(), nowMillis + lease.ttlMillis()));
-            return new StoreReply.Leased(keep.leaseId(), lease.ttlMillis());
+            leases.put(renewal.leaseId(), new Lease(lease.ttlMillis(), nowMillis + lease.ttlMillis()));
+            return new StoreReply.Leased(renewal.leaseId(), lease.ttlMillis());
         }
-        return new StoreReply.Unavailable("not in this fake");
+        return new StoreReply.Unavailable("command is not supported by this fake");
     }
 
     private long put(String key, String value, long leaseId) {
