--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberStep.java
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Keeps links to these hosts and closes unused links to others.
+     * Keeps links to these hosts; links to other hosts stay open only while in use.
      *
      * @param hosts the names of the hosts
      */
