--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/CallerDrain.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/CallerDrain.java
@@ -6,70 +6,73 @@
 import org.rattanplank.daemon.caller.CallerServer;
 
 /**
- * Lets the last callers go before the process ends. Confined to one thread.
+ * Drains the connections of callers before the process terminates. Confined to one thread.
  *
- * <p>An answer that is decided is not yet one that was sent, and a caller may have connected just before the port
- * closes: cut off, it could not tell whether its request ran. So the port stays open, and new requests are refused,
- * until callers have learned to go elsewhere; then it closes, what is open is answered, and what is idle is ended.
+ * <p>A response may be decided but not yet sent, and a caller may connect just before the port closes; if its connection
+ * were reset, it could not tell whether its request ran. The port therefore stays open and new requests are rejected
+ * until callers have had time to switch to other hosts. Then the port closes, open requests get their responses, and
+ * idle connections are closed.
  *
- * <p>Invariant: it is done only when no connection is left. Time without a request says nothing: a process that got no
- * processor time has read nothing meanwhile, whatever came.
+ * <p>Invariant: the drain completes only when no connection is open. A period without requests is not sufficient,
+ * because a process without CPU time reads nothing although requests may be pending in its sockets.
  */
 final class CallerDrain {
-    private static final long QUIET_MILLIS = 300;
+    private static final long QUIET_PERIOD_MILLIS = 300;
 
-    /** Callers that keep a connection ask for another list of hosts within the lifetime of theirs. */
-    private static final long KEPT_MILLIS = 2_000;
+    /**
+     * Covers the lifetime of a host list, within which callers with persistent connections request a new one.
+     */
+    private static final long KEEP_ALIVE_GRACE_MILLIS = 2_000;
 
     private static final long MAX_OPEN_MILLIS = 3_000;
 
-    /** Between two looks at idle connections, which are some thousands at most. */
-    private static final long END_IDLE_MILLIS = 50;
+    /** Limits the cost of scanning the open connections, of which there are some thousands at most. */
+    private static final long CLOSE_IDLE_INTERVAL_MILLIS = 50;
 
-    private final CallerServer callers;
-    private final IntSupplier unfinished;
+    private final CallerServer callerServer;
+    private final IntSupplier unfinishedRequests;
     private final LongSupplier clock;
-    private final long begunAtMillis;
+    private final long startedAtMillis;
     private long quietSinceMillis;
     private long arrivals;
-    private long idleEndedAtMillis;
-    private boolean closed;
+    private long idleClosedAtMillis;
+    private boolean portCloseRequested;
 
-    CallerDrain(CallerServer callers, IntSupplier unfinished, LongSupplier clock) {
-        this.callers = callers;
-        this.unfinished = unfinished;
+    CallerDrain(CallerServer callerServer, IntSupplier unfinishedRequests, LongSupplier clock) {
+        this.callerServer = callerServer;
+        this.unfinishedRequests = unfinishedRequests;
         this.clock = clock;
-        begunAtMillis = clock.getAsLong();
-        quietSinceMillis = begunAtMillis;
+        startedAtMillis = clock.getAsLong();
+        quietSinceMillis = startedAtMillis;
     }
 
-    /** Looks whether all callers are gone; called again and again until it says so. */
-    boolean isDone() {
+    /** Advances the drain and returns whether it is complete; must be called periodically until then. */
+    boolean advance() {
         long nowMillis = clock.getAsLong();
-        boolean busy = unfinished.getAsInt() > 0;
-        long newArrivals = callers.arrivals();
+        boolean busy = unfinishedRequests.getAsInt() > 0;
+        long newArrivals = callerServer.arrivals();
         if (busy || newArrivals != arrivals) {
             quietSinceMillis = nowMillis;
         }
         arrivals = newArrivals;
-        boolean quiet = nowMillis - quietSinceMillis >= QUIET_MILLIS;
-        if (closed) {
-            endIdle(nowMillis);
-            return !busy && callers.isPortClosed() && callers.connections() == 0;
+        boolean quiet = nowMillis - quietSinceMillis >= QUIET_PERIOD_MILLIS;
+        if (portCloseRequested) {
+            closeIdleConnections(nowMillis);
+            return !busy && callerServer.isPortClosed() && callerServer.openConnections() == 0;
         }
-        long openMillis = nowMillis - begunAtMillis;
-        boolean kept = callers.connections() > 0 && openMillis < KEPT_MILLIS;
-        if (quiet && !kept || openMillis >= MAX_OPEN_MILLIS) {
-            callers.stopAccepting();
-            closed = true;
+        long openMillis = nowMillis - startedAtMillis;
+        boolean keepAliveGrace = callerServer.openConnections() > 0 && openMillis < KEEP_ALIVE_GRACE_MILLIS;
+        if (quiet && !keepAliveGrace || openMillis >= MAX_OPEN_MILLIS) {
+            callerServer.stopAccepting();
+            portCloseRequested = true;
         }
         return false;
     }
 
-    private void endIdle(long nowMillis) {
-        if (nowMillis - idleEndedAtMillis >= END_IDLE_MILLIS) {
-            idleEndedAtMillis = nowMillis;
-            callers.endIdle();
+    private void closeIdleConnections(long nowMillis) {
+        if (nowMillis - idleClosedAtMillis >= CLOSE_IDLE_INTERVAL_MILLIS) {
+            idleClosedAtMillis = nowMillis;
+            callerServer.closeIdleConnections();
         }
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
@@ -25,7 +25,7 @@
 import org.rattanplank.daemon.http.Exchanges;
 import org.rattanplank.daemon.http.WebClient;
 import org.rattanplank.daemon.metric.DaemonMetrics;
-import org.rattanplank.daemon.metric.LinkTraffic;
+import org.rattanplank.daemon.metric.LinkTrafficCounter;
 import org.rattanplank.daemon.operator.OperatorServer;
 import org.rattanplank.daemon.peer.Links;
 import org.rattanplank.daemon.peer.PeerServer;
@@ -42,22 +42,22 @@
 import org.rattanplank.daemon.target.OverdueTimes;
 import org.rattanplank.daemon.target.TargetPoller;
 import org.rattanplank.daemon.target.Targets;
+import org.rattanplank.daemon.trace.RequestTracer;
 import org.rattanplank.daemon.trace.TraceExporter;
-import org.rattanplank.daemon.trace.Traces;
 import org.rattanplank.schema.message.Hello;
 import org.tinylog.Logger;
 import ratpack.exec.internal.DefaultExecController;
 
 /**
- * All parts of one entry host, and the wires between them.
+ * Creates and connects the components of one entry host.
  *
- * <p>Invariant: each action of the node goes to exactly one part. Thread safe once it is open.
+ * <p>Invariant: each action of the node is executed by exactly one component. Thread safe once it is open.
  */
 public final class Daemon implements AutoCloseable {
     private static final long PROTOCOL_VERSION = 1;
-    private static final long FRAME_FIELDS_BYTES = 65_536;
-    private static final double JITTER = 0.2;
-    private static final long FLUSH_CHECK_MILLIS = 10;
+    private static final long FRAME_OVERHEAD_BYTES = 65_536;
+    private static final double POLL_JITTER_RATIO = 0.2;
+    private static final long DRAIN_CHECK_INTERVAL_MILLIS = 10;
 
     private final DaemonSettings settings;
     private final MillisClock clock = MillisClock.ofWallClock();
@@ -66,8 +66,8 @@
     private final WebClient client;
     private final Calls calls;
     private final DaemonMetrics metrics = new DaemonMetrics();
-    private final Traces traces;
-    private final Observer observer;
+    private final RequestTracer tracer;
+    private final NodeInstrumentation instrumentation;
     private final Node node;
     private final NodeRunner runner;
     private final Targets targets;
@@ -96,11 +96,15 @@
                 settings.host(), clock.startMillis(), Place.of(settings.region(), settings.dataCentre()));
         long seed = settings.seed() == 0 ? clock.startMillis() : settings.seed();
         node = Node.of(self, Policy.of(settings.policy()).getOrElse(Policy.COST), claimLimits(settings), seed);
-        runner = NodeRunner.of(node, clock, this::carryOut, (int) settings.workers(), (int) settings.maxBacklog());
-        traces = Traces.of(TraceExporter.of(settings.traceExporter()), settings.host(), settings.traceUrl());
-        observer = new Observer(runner, calls, metrics, traces);
+        runner = NodeRunner.of(node, clock, this::execute, (int) settings.workers(), (int) settings.maxBacklog());
+        tracer = RequestTracer.of(TraceExporter.of(settings.traceExporter()), settings.host(), settings.traceUrl());
+        instrumentation = new NodeInstrumentation(runner, calls, metrics, tracer);
         Resources resources = new Resources(
-                controller.getEventLoopGroup(), client, Exchanges.of(settings.connectTimeoutMillis()), observer, clock);
+                controller.getEventLoopGroup(),
+                client,
+                Exchanges.of(settings.connectTimeoutMillis()),
+                instrumentation,
+                clock);
         targets = new Targets(resources, directory, attemptLimits(), settings.pollTimeoutMillis());
         links = new Links(
                 new Hello(self.host(), self.incarnation(), settings.region(), settings.dataCentre(), PROTOCOL_VERSION),
@@ -108,7 +112,7 @@
                 directory,
                 peerTimes(),
                 peerSizes(),
-                new LinkTraffic(metrics),
+                new LinkTrafficCounter(metrics),
                 (int) settings.maxAnswerBytes());
         store = new EtcdStore(
                 resources,
@@ -117,44 +121,45 @@
                 settings.watchRenewMillis(),
                 settings.storeCallsPerSecond(),
                 metrics::storeReplied);
-        hostsPoller = HostsPoller.of(client, settings.hostsUrl(), settings.pollTimeoutMillis(), directory, observer);
+        hostsPoller =
+                HostsPoller.of(client, settings.hostsUrl(), settings.pollTimeoutMillis(), directory, instrumentation);
         targetPoller = new TargetPoller(resources, directory, settings.region(), settings.pollTimeoutMillis());
-        callerServer = new CallerServer(settings.host(), node, calls, observer, clock, callerLimits());
-        operatorServer = new OperatorServer(node, () -> stop.begin(this::drain), clock, metrics::text);
+        callerServer = new CallerServer(settings.host(), node, calls, instrumentation, clock, callerLimits());
+        operatorServer = new OperatorServer(node, () -> stop.start(this::startDraining), clock, metrics::text);
     }
 
     /**
-     * Opens the ports and begins to work.
+     * Opens the ports and starts serving.
      *
      * @param settings the settings
-     * @return the daemon, or why a port cannot be opened
+     * @return the daemon, or the error if a port cannot be opened
      */
     public static Try<Daemon> open(DaemonSettings settings) {
         return Try.of(() -> new Daemon(settings)).flatMap(Daemon::openPorts);
     }
 
-    /** Takes a signal: the first begins a graceful stop, the second ends it. */
-    public void signalled() {
-        stop.signalled(this::drain);
+    /** Handles a signal: the first starts a graceful stop, the second terminates immediately. */
+    public void onSignal() {
+        stop.onSignal(this::startDraining);
     }
 
     /**
-     * Waits until the graceful stop is over.
+     * Waits until the graceful stop has completed or was terminated.
      *
-     * @throws InterruptedException if the thread is to end
+     * @throws InterruptedException if the thread is interrupted
      */
     public void awaitStop() throws InterruptedException {
         stop.await();
     }
 
     /**
-     * Counts the requests in flight, and those whose reply has not gone out.
+     * Returns the number of requests that are in flight or whose response has not been sent completely.
      *
-     * @return the number
+     * @return the number of requests
      */
-    public int unfinished() {
-        int unsentAnswers = peerServer.map(PeerServer::unsentAnswers).getOrElse(0);
-        return Math.max(calls.size(), callerServer.unsentReplies() + unsentAnswers);
+    public int unfinishedRequests() {
+        int unsentPeerResponses = peerServer.map(PeerServer::unsentAnswers).getOrElse(0);
+        return Math.max(calls.size(), callerServer.unsentResponses() + unsentPeerResponses);
     }
 
     @Override
@@ -167,7 +172,7 @@
         links.close();
         store.close();
         client.close();
-        traces.close();
+        tracer.close();
         controller.close();
     }
 
@@ -178,23 +183,23 @@
                         controller.getEventLoopGroup(),
                         links,
                         calls,
-                        observer)
-                .flatMap(peers -> {
-                    peerServer = Option.some(peers);
+                        instrumentation)
+                .flatMap(server -> {
+                    peerServer = Option.some(server);
                     return callerServer.open(
                             settings.callersAddress(), (int) settings.callersPort(), (int) settings.ioThreads());
                 })
                 .flatMap(callersPort -> operatorServer
                         .open(settings.operatorsAddress(), (int) settings.operatorsPort())
-                        .map(operatorsPort -> started(callersPort, operatorsPort)));
+                        .map(operatorsPort -> onPortsOpened(callersPort, operatorsPort)));
     }
 
-    private Daemon started(int callersPort, int operatorsPort) {
+    private Daemon onPortsOpened(int callersPort, int operatorsPort) {
         addGauges();
         runner.startTicking(settings.tickIntervalMillis());
-        repeat(hostsPoller::poll, settings.hostsIntervalMillis());
-        repeat(targetPoller::pollLoads, settings.loadIntervalMillis());
-        repeat(targetPoller::pollCaches, settings.cacheIntervalMillis());
+        pollRepeatedly(hostsPoller::poll, settings.hostsIntervalMillis());
+        pollRepeatedly(targetPoller::pollLoads, settings.loadIntervalMillis());
+        pollRepeatedly(targetPoller::pollCaches, settings.cacheIntervalMillis());
         System.out.printf(
                 "rattanplankd ready host=%s callers=%s:%d peers=%s:%d operators=%s:%d%n",
                 settings.host(),
@@ -205,7 +210,7 @@
                 settings.operatorsAddress(),
                 operatorsPort);
         System.out.flush();
-        Logger.info("daemon: host {} is up", settings.host());
+        Logger.info("daemon: host {} started", settings.host());
         return this;
     }
 
@@ -214,29 +219,31 @@
         metrics.gauge("attempts_at_targets", targets::size);
         metrics.gauge("attempts_forwarded", links.forwards()::size);
         metrics.gauge("events_waiting", runner::backlog);
-        metrics.gauge("caller_connections", callerServer::connections);
+        metrics.gauge("caller_connections", callerServer::openConnections);
         metrics.gauge("claim_view_number", () -> (int) node.status().viewNumber());
         metrics.gauge(
                 "configuration_generation", () -> (int) node.configuration().generation());
     }
 
-    /** Runs a poll again and again, with jitter, so that many hosts do not poll in step. */
-    private void repeat(Runnable poll, long intervalMillis) {
-        Try.run(poll::run).onFailure(error -> Logger.error(error, "daemon: a poll failed"));
-        double factor = 1 - JITTER + 2 * JITTER * ThreadLocalRandom.current().nextDouble();
-        long pauseMillis = Math.max(1, Math.round(intervalMillis * factor));
-        Try.run(() -> pollers.schedule(() -> repeat(poll, intervalMillis), pauseMillis, TimeUnit.MILLISECONDS));
+    /** Runs a poll periodically, with jitter so that the polls of many hosts are spread over time. */
+    private void pollRepeatedly(Runnable poll, long intervalMillis) {
+        Try.run(poll::run).onFailure(error -> Logger.error(error, "daemon: a periodic poll failed"));
+        double factor = 1
+                - POLL_JITTER_RATIO
+                + 2 * POLL_JITTER_RATIO * ThreadLocalRandom.current().nextDouble();
+        long delayMillis = Math.max(1, Math.round(intervalMillis * factor));
+        Try.run(() -> pollers.schedule(() -> pollRepeatedly(poll, intervalMillis), delayMillis, TimeUnit.MILLISECONDS));
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.StartAttempt start) {
-            start(start);
+            startAttempt(start);
         } else if (action instanceof Action.CancelAttempt cancel) {
-            observer.cancelled(cancel);
+            instrumentation.attemptCancelled(cancel);
             targets.cancel(cancel.requestId(), cancel.attempt());
             links.forwards().cancel(cancel.requestId(), cancel.attempt());
         } else if (action instanceof Action.Finish finish) {
-            observer.finished(finish);
+            instrumentation.requestFinished(finish);
             calls.finish(finish.requestId(), finish.outcome());
         } else if (action instanceof Action.SendMessage send) {
             links.send(send.host(), send.message());
@@ -247,27 +254,27 @@
         } else if (action instanceof Action.KeepLinks keep) {
             links.keep(keep.hosts());
         } else if (action instanceof Action.Stop) {
-            finishStop(new CallerDrain(callerServer, this::unfinished, clock::nowMillis));
+            advanceDrain(new CallerDrain(callerServer, this::unfinishedRequests, clock::nowMillis));
         }
     }
 
-    private void drain() {
-        callerServer.leave();
+    private void startDraining() {
+        callerServer.startLeaving();
         runner.raise(new Event.DrainAsked());
     }
 
-    private void finishStop(CallerDrain drain) {
-        if (drain.isDone() && peerServer.forAll(PeerServer::end) && unfinished() == 0) {
-            stop.finished();
-        } else if (!stop.isOver()) {
-            pollers.schedule(() -> finishStop(drain), FLUSH_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+    private void advanceDrain(CallerDrain drain) {
+        if (drain.advance() && peerServer.forAll(PeerServer::end) && unfinishedRequests() == 0) {
+            stop.complete();
+        } else if (!stop.isTerminated()) {
+            pollers.schedule(() -> advanceDrain(drain), DRAIN_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void start(Action.StartAttempt start) {
+    private void startAttempt(Action.StartAttempt start) {
         calls.find(start.requestId())
                 .peek(call -> {
-                    String traceParent = observer.started(start);
+                    String traceParent = instrumentation.attemptStarted(start);
                     if (start.route() instanceof Route.ToTarget) {
                         targets.start(call, start, traceParent);
                     } else {
@@ -275,7 +282,10 @@
                     }
                 })
                 .onEmpty(() -> {
-                    Failure failure = Failure.of(Step.CONNECT, start.route().peer(), "whoever asked has left");
+                    Failure failure = Failure.of(
+                            Step.CONNECT,
+                            start.route().peer(),
+                            "the requester disconnected before the attempt started");
                     runner.raise(new Event.AttemptEnded(
                             start.requestId(), start.attempt(), new AttemptResult.NotRun(failure, 0)));
                 });
@@ -284,7 +294,7 @@
     private AttemptLimits attemptLimits() {
         return new AttemptLimits(
                 (int) settings.maxAnswerBytes(),
-                (int) Math.min(settings.maxAnswerBytes(), settings.maxFrameBytes() - FRAME_FIELDS_BYTES),
+                (int) Math.min(settings.maxAnswerBytes(), settings.maxFrameBytes() - FRAME_OVERHEAD_BYTES),
                 new OverdueTimes(
                         settings.answerOverdueMillis(), settings.modelOverdueMillis(), settings.partOverdueMillis()));
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/GracefulStop.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/GracefulStop.java
@@ -10,15 +10,16 @@
 import org.tinylog.Logger;
 
 /**
- * The stop of the process: asked for by a signal or an operator, bounded in time, ended by a second signal. Thread safe.
+ * Coordinates the graceful stop of the process. A signal or an operator starts it; a second signal or the timeout
+ * terminates it. Thread safe.
  *
- * <p>Invariant: once it has begun it ends, at the latest at its bound.
+ * <p>Invariant: once started it terminates within the timeout.
  */
 final class GracefulStop {
     private final long timeoutMillis;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final AtomicBoolean begun = new AtomicBoolean();
-    private final AtomicInteger signals = new AtomicInteger();
+    private final CountDownLatch terminated = new CountDownLatch(1);
+    private final AtomicBoolean started = new AtomicBoolean();
+    private final AtomicInteger signalCount = new AtomicInteger();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "stop-timer");
         thread.setDaemon(true);
@@ -29,40 +30,40 @@
         this.timeoutMillis = timeoutMillis;
     }
 
-    /** Begins, unless it has begun; {@code drain} tells the node. */
-    void begin(Runnable drain) {
-        if (begun.compareAndSet(false, true)) {
-            Logger.info("daemon: a graceful stop begins");
-            timer.schedule(this::timeIsUp, timeoutMillis, TimeUnit.MILLISECONDS);
+    /** Starts the stop unless it has started; {@code drain} starts draining the node. */
+    void start(Runnable drain) {
+        if (started.compareAndSet(false, true)) {
+            Logger.info("daemon: graceful stop started");
+            timer.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
             drain.run();
         }
     }
 
-    /** Takes a signal: the first begins the stop, the second ends it. */
-    void signalled(Runnable drain) {
-        if (signals.incrementAndGet() > 1) {
-            Logger.warn("daemon: a second signal ends the graceful stop");
-            over.countDown();
+    /** Handles a signal: the first starts the stop, the second terminates it. */
+    void onSignal(Runnable drain) {
+        if (signalCount.incrementAndGet() > 1) {
+            Logger.warn("daemon: second signal received; terminating without further draining");
+            terminated.countDown();
             return;
         }
-        begin(drain);
+        start(drain);
     }
 
-    /** Nothing is left to do. */
-    void finished() {
-        over.countDown();
+    /** Terminates the stop because all work is finished. */
+    void complete() {
+        terminated.countDown();
     }
 
-    boolean isOver() {
-        return over.getCount() == 0;
+    boolean isTerminated() {
+        return terminated.getCount() == 0;
     }
 
     void await() throws InterruptedException {
-        over.await();
+        terminated.await();
     }
 
-    private void timeIsUp() {
-        Logger.warn("daemon: the graceful stop took longer than {} ms", timeoutMillis);
-        over.countDown();
+    private void onTimeout() {
+        Logger.warn("daemon: graceful stop did not complete within {} ms", timeoutMillis);
+        terminated.countDown();
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Observer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
@@ -13,29 +13,29 @@
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.metric.DaemonMetrics;
 import org.rattanplank.daemon.runtime.Events;
-import org.rattanplank.daemon.trace.Traces;
+import org.rattanplank.daemon.trace.RequestTracer;
 
 /**
- * Counts and traces what goes to the node and what comes from it.
+ * Records metrics and traces of the events that enter the node and of the actions that it returns.
  *
- * <p>Invariant: it changes no event and no action. Thread safe; the table of attempts has no lock of its own.
+ * <p>Invariant: events and actions are passed on unchanged. Thread safe; running attempts are in a concurrent map.
  */
-final class Observer implements Events {
+final class NodeInstrumentation implements Events {
     private static final String TARGET = "target";
     private static final String FORWARD = "forward";
-    private static final String NOT_TAKEN = "not run";
+    private static final String NOT_RUN = "not run";
 
     private final Events node;
     private final Calls calls;
     private final DaemonMetrics metrics;
-    private final Traces traces;
-    private final Map<AttemptKey, Started> attempts = new ConcurrentHashMap<>();
+    private final RequestTracer tracer;
+    private final Map<AttemptKey, RunningAttempt> attempts = new ConcurrentHashMap<>();
 
-    Observer(Events node, Calls calls, DaemonMetrics metrics, Traces traces) {
+    NodeInstrumentation(Events node, Calls calls, DaemonMetrics metrics, RequestTracer tracer) {
         this.node = node;
         this.calls = calls;
         this.metrics = metrics;
-        this.traces = traces;
+        this.tracer = tracer;
     }
 
     @Override
@@ -43,66 +43,66 @@
         if (event instanceof Event.AttemptEnded ended) {
             attemptEnded(ended);
         } else if (event instanceof Event.AskerLeft left) {
-            metrics.askerLeft();
-            traces.requestEnded(left.requestId(), "asker left", "");
+            metrics.requesterLeft();
+            tracer.requestEnded(left.requestId(), "asker left", "");
         }
         node.raise(event);
     }
 
     @Override
     public boolean offer(Event event) {
-        if (event instanceof Event.CallerAsked asked) {
-            requestStarted(asked.request().id(), "entry");
-        } else if (event instanceof Event.PeerAsked asked) {
-            requestStarted(asked.request().id(), "peer");
+        if (event instanceof Event.CallerAsked received) {
+            requestStarted(received.request().id(), "entry");
+        } else if (event instanceof Event.PeerAsked received) {
+            requestStarted(received.request().id(), "peer");
         }
-        boolean taken = node.offer(event);
-        if (!taken && event instanceof Event.CallerAsked asked) {
-            traces.requestEnded(asked.request().id(), NOT_TAKEN, "admit");
-        } else if (!taken && event instanceof Event.PeerAsked asked) {
-            traces.requestEnded(asked.request().id(), NOT_TAKEN, "admit");
+        boolean accepted = node.offer(event);
+        if (!accepted && event instanceof Event.CallerAsked received) {
+            tracer.requestEnded(received.request().id(), NOT_RUN, "admit");
+        } else if (!accepted && event instanceof Event.PeerAsked received) {
+            tracer.requestEnded(received.request().id(), NOT_RUN, "admit");
         }
-        return taken;
+        return accepted;
     }
 
-    /** Takes note of an attempt; the trace context for the other side comes back. */
-    String started(Action.StartAttempt start) {
+    /** Records the start of an attempt and returns the trace context to propagate. */
+    String attemptStarted(Action.StartAttempt start) {
         AttemptKey key = new AttemptKey(start.requestId(), start.attempt());
         String kind = start.route() instanceof Route.ToTarget ? TARGET : FORWARD;
-        attempts.put(key, new Started(kind, System.nanoTime()));
-        return traces.attemptStarted(key, kind, start.route().peer());
+        attempts.put(key, new RunningAttempt(kind, System.nanoTime()));
+        return tracer.attemptStarted(key, kind, start.route().peer());
     }
 
-    void cancelled(Action.CancelAttempt cancel) {
+    void attemptCancelled(Action.CancelAttempt cancel) {
         AttemptKey key = new AttemptKey(cancel.requestId(), cancel.attempt());
         attempts.remove(key);
-        traces.attemptEnded(key, "cancelled", "");
+        tracer.attemptEnded(key, "cancelled", "");
     }
 
-    void finished(Action.Finish finish) {
+    void requestFinished(Action.Finish finish) {
         boolean claimed =
                 calls.find(finish.requestId()).exists(call -> !call.request().repeatable());
-        metrics.finished(finish.outcome(), claimed);
-        traces.requestEnded(finish.requestId(), finish.outcome().label(), stepOf(finish.outcome()));
+        metrics.requestFinished(finish.outcome(), claimed);
+        tracer.requestEnded(finish.requestId(), finish.outcome().label(), stepOf(finish.outcome()));
     }
 
     private void requestStarted(String requestId, String name) {
         calls.find(requestId)
                 .forEach(call ->
-                        traces.requestStarted(requestId, name, call.envelope().traceParent()));
+                        tracer.requestStarted(requestId, name, call.envelope().traceParent()));
     }
 
     private void attemptEnded(Event.AttemptEnded ended) {
         AttemptKey key = new AttemptKey(ended.requestId(), ended.attempt());
         Option.of(attempts.remove(key))
-                .forEach(started ->
-                        metrics.attemptEnded(started.kind(), ended.result(), System.nanoTime() - started.atNanos()));
+                .forEach(running -> metrics.attemptEnded(
+                        running.kind(), ended.result(), System.nanoTime() - running.startedAtNanos()));
         if (ended.result() instanceof AttemptResult.NotRun notRun) {
-            traces.attemptEnded(key, "not run", notRun.failure().step().label());
+            tracer.attemptEnded(key, "not run", notRun.failure().step().label());
         } else if (ended.result() instanceof AttemptResult.Lost lost) {
-            traces.attemptEnded(key, "lost", lost.failure().step().label());
+            tracer.attemptEnded(key, "lost", lost.failure().step().label());
         } else {
-            traces.attemptEnded(key, "answered", "");
+            tracer.attemptEnded(key, "answered", "");
         }
     }
 
@@ -115,5 +115,5 @@
                 : "";
     }
 
-    private record Started(String kind, long atNanos) {}
+    private record RunningAttempt(String kind, long startedAtNanos) {}
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Rattanplankd.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Rattanplankd.java
@@ -12,18 +12,18 @@
 import org.tinylog.Logger;
 import org.tinylog.configuration.Configuration;
 
-/** The daemon's main program: settings, start, graceful stop, exit code. Stateless. */
+/** Main class of the daemon: reads the settings, runs the daemon and sets the exit code. Stateless. */
 public final class Rattanplankd {
-    private static final int DONE = 0;
-    private static final int FAILED = 1;
-    private static final int BAD_SETTINGS = 2;
+    private static final int SUCCESS = 0;
+    private static final int FAILURE = 1;
+    private static final int INVALID_SETTINGS = 2;
 
     private Rattanplankd() {}
 
     /**
      * Runs the daemon until it has stopped.
      *
-     * @param arguments the command line
+     * @param arguments the command-line arguments
      */
     public static void main(String[] arguments) {
         System.exit(run(List.of(arguments)));
@@ -33,16 +33,16 @@
         DaemonFlags flags = SettingsReader.flags(arguments);
         if (flags.isHelp()) {
             System.out.print(SettingsReader.help());
-            return DONE;
+            return SUCCESS;
         }
         Either<List<SettingFault>, DaemonSettings> settings = SettingsReader.read(arguments, System.getenv());
         if (settings.isLeft()) {
             settings.getLeft().forEach(fault -> System.err.println(fault.line()));
-            return BAD_SETTINGS;
+            return INVALID_SETTINGS;
         }
         if (flags.isCheck()) {
-            System.out.println("the settings are sound");
-            return DONE;
+            System.out.println("the settings are valid");
+            return SUCCESS;
         }
         return run(settings.get());
     }
@@ -50,21 +50,21 @@
     private static int run(DaemonSettings settings) {
         Configuration.set("writer.level", settings.logLevel());
         return Daemon.open(settings)
-                .onFailure(error -> Logger.error("daemon: a port cannot be opened: {}", error.getMessage()))
+                .onFailure(error -> Logger.error("daemon: cannot open a port: {}", error.getMessage()))
                 .map(Rattanplankd::runUntilStopped)
-                .getOrElse(FAILED);
+                .getOrElse(FAILURE);
     }
 
     private static int runUntilStopped(Daemon daemon) {
-        Signals.listen("TERM", daemon::signalled);
-        Signals.listen("INT", daemon::signalled);
+        Signals.listen("TERM", daemon::onSignal);
+        Signals.listen("INT", daemon::onSignal);
         Try.run(daemon::awaitStop);
-        int cut = daemon.unfinished();
-        if (cut > 0) {
-            Logger.warn("daemon: the stop cuts off {} requests", cut);
+        int interruptedRequests = daemon.unfinishedRequests();
+        if (interruptedRequests > 0) {
+            Logger.warn("daemon: stopping with {} unfinished requests", interruptedRequests);
         }
         daemon.close();
         Logger.info("daemon: stopped");
-        return DONE;
+        return SUCCESS;
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Asker.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Asker.java
@@ -5,22 +5,22 @@
 import org.rattanplank.core.request.Outcome;
 
 /**
- * Whoever asked: a caller, or the entry host that forwarded. Implementations never block; {@link Call} calls them one
- * at a time.
+ * Receives the response of a request: a caller, or the entry host that forwarded the request. Implementations never
+ * block; {@link Call} serializes the calls.
  */
 public interface Asker {
 
     /**
-     * Passes on a part of a streamed answer.
+     * Delivers an event of a streamed response.
      *
-     * @param number the part's number, from zero without gaps
-     * @param part one server-sent event
-     * @param path the hosts and the target that it took behind this host
+     * @param number the event's sequence number, from zero without gaps
+     * @param event one encoded server-sent event
+     * @param path the hosts and the target behind this host that the event passed through
      */
-    void part(long number, byte[] part, List<String> path);
+    void part(long number, byte[] event, List<String> path);
 
     /**
-     * Gives the only outcome.
+     * Delivers the outcome; called at most once.
      *
      * @param outcome the outcome
      */
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/AttemptKey.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/AttemptKey.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Names one attempt. Immutable and thread safe.
+ * Identifies one attempt of a request. Immutable and thread safe.
  *
- * @param requestId the request
+ * @param requestId the request's identifier
  * @param attempt the attempt's number
  */
 public record AttemptKey(String requestId, int attempt) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
@@ -7,10 +7,11 @@
 import org.rattanplank.core.request.Request;
 
 /**
- * One request in flight with whoever asked it.
+ * A request in flight together with its requester.
  *
- * <p>Invariants: whoever asked gets parts of the current attempt only, each once and in order, and one outcome at most;
- * nothing follows the outcome. Thread safe; one lock guards all state, and the asker is called with it held.
+ * <p>Invariants: the requester receives stream events of the current attempt only, each once and in order, and at most
+ * one outcome; nothing follows the outcome. Thread safe; one lock guards all state and is held while the requester is
+ * called.
  */
 public final class Call {
     private static final int NO_ATTEMPT = 0;
@@ -31,11 +32,11 @@
     }
 
     /**
-     * Makes a call with no attempt.
+     * Creates a call without an attempt.
      *
      * @param request the request
-     * @param envelope what the core does not see
-     * @param asker whoever asked
+     * @param envelope the data of the request that the core does not use
+     * @param asker the requester
      * @return the call
      */
     public static Call of(Request request, Envelope envelope, Asker asker) {
@@ -43,7 +44,7 @@
     }
 
     /**
-     * The request.
+     * Returns the request.
      *
      * @return the request
      */
@@ -52,7 +53,7 @@
     }
 
     /**
-     * What the core does not see.
+     * Returns the data of the request that the core does not use.
      *
      * @return the envelope
      */
@@ -61,9 +62,9 @@
     }
 
     /**
-     * Counts the parts that whoever asked has.
+     * Returns the number of stream events delivered to the requester.
      *
-     * @return the number of parts
+     * @return the number of events
      */
     public long partsPassedOn() {
         lock.lock();
@@ -75,19 +76,19 @@
     }
 
     /**
-     * Makes an attempt the current one.
+     * Makes an attempt the current one and returns its stream identifier.
      *
-     * @param attempt the attempt
-     * @param resumes whether it goes on with an earlier attempt's stream
-     * @param freshId the identifier that a target sees if the attempt starts anew
-     * @return the identifier that the target sees
+     * @param attempt the attempt's number
+     * @param resumes whether it resumes the stream of a previous attempt
+     * @param newStreamId the identifier to send to the target if the attempt does not resume a stream
+     * @return the identifier to send to the target
      */
-    public String begin(int attempt, boolean resumes, String freshId) {
+    public String begin(int attempt, boolean resumes, String newStreamId) {
         lock.lock();
         try {
             currentAttempt = attempt;
             if (!resumes || streamId.isEmpty()) {
-                streamId = freshId;
+                streamId = newStreamId;
             }
             return streamId;
         } finally {
@@ -96,9 +97,9 @@
     }
 
     /**
-     * Ends an attempt: no byte of it reaches whoever asked from now on.
+     * Ends an attempt; none of its stream events are delivered from now on.
      *
-     * @param attempt the attempt
+     * @param attempt the attempt's number
      */
     public void end(int attempt) {
         lock.lock();
@@ -112,15 +113,15 @@
     }
 
     /**
-     * Passes on a part of a streamed answer.
+     * Delivers an event of a streamed response to the requester if it is the next one of the current attempt.
      *
-     * @param attempt the attempt that brought it
-     * @param number the part's number
-     * @param part one server-sent event
-     * @param path the hosts and the target that it took behind this host
-     * @return what became of it
+     * @param attempt the number of the attempt that received the event
+     * @param number the event's sequence number
+     * @param event one encoded server-sent event
+     * @param path the hosts and the target behind this host that the event passed through
+     * @return whether the event was delivered, or why not
      */
-    public Relayed relay(int attempt, long number, byte[] part, List<String> path) {
+    public Relayed relay(int attempt, long number, byte[] event, List<String> path) {
         lock.lock();
         try {
             if (finished || attempt != currentAttempt) {
@@ -132,7 +133,7 @@
             if (number > partsPassedOn) {
                 return Relayed.GAP;
             }
-            asker.part(number, part, path);
+            asker.part(number, event, path);
             partsPassedOn++;
             return Relayed.PASSED_ON;
         } finally {
@@ -141,10 +142,10 @@
     }
 
     /**
-     * Gives the outcome to whoever asked, unless there was one.
+     * Delivers the outcome to the requester, unless an outcome was delivered before.
      *
      * @param outcome the outcome
-     * @return whether it was the first
+     * @return whether this outcome was delivered
      */
     public boolean finish(Outcome outcome) {
         lock.lock();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Calls.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Calls.java
@@ -7,9 +7,10 @@
 import org.rattanplank.core.request.Outcome;
 
 /**
- * The requests in flight.
+ * Table of the requests in flight.
  *
- * <p>Invariant: at most the given number, and at most one under an identifier. Thread safe without a lock of its own.
+ * <p>Invariant: there is at most one call per request identifier. The table does not reject a call when it is full:
+ * callers of {@link #add} check {@link #isFull} first. Thread safe without locks.
  */
 public final class Calls {
     private final Map<String, Call> calls = new ConcurrentHashMap<>();
@@ -20,9 +21,9 @@
     }
 
     /**
-     * Makes an empty table.
+     * Creates an empty table.
      *
-     * @param maxCalls how many requests may be in flight
+     * @param maxCalls the maximum number of requests in flight
      * @return the table
      */
     public static Calls of(int maxCalls) {
@@ -30,26 +31,26 @@
     }
 
     /**
-     * Finds a call.
+     * Returns the call of a request.
      *
-     * @param requestId the request
-     * @return the call, or none once it has its outcome
+     * @param requestId the request's identifier
+     * @return the call, or none if the request is not in flight
      */
     public Option<Call> find(String requestId) {
         return Option.of(calls.get(requestId));
     }
 
     /**
-     * Counts the requests in flight.
+     * Returns the number of requests in flight.
      *
-     * @return the number
+     * @return the number of requests
      */
     public int size() {
         return calls.size();
     }
 
     /**
-     * Tells whether no more requests are taken.
+     * Returns whether the maximum number of requests is in flight.
      *
      * @return whether the table is full
      */
@@ -58,28 +59,28 @@
     }
 
     /**
-     * Adds a call.
+     * Adds a call unless its request identifier is in use.
      *
      * @param call the call
-     * @return whether its identifier was free
+     * @return whether the call was added
      */
     public boolean add(Call call) {
         return calls.putIfAbsent(call.request().id(), call) == null;
     }
 
     /**
-     * Takes a call out; whoever asked no longer waits.
+     * Removes a call without an outcome, as its requester no longer waits.
      *
-     * @param requestId the request
+     * @param requestId the request's identifier
      */
     public void remove(String requestId) {
         calls.remove(requestId);
     }
 
     /**
-     * Gives a request its outcome and takes it out.
+     * Removes a call and delivers its outcome.
      *
-     * @param requestId the request
+     * @param requestId the request's identifier
      * @param outcome the outcome
      */
     public void finish(String requestId, Outcome outcome) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Envelope.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Envelope.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * The part of a request that the core does not see. Immutable and thread safe as long as nobody writes into the body.
+ * The data of a request that the core does not use. Immutable and thread safe as long as the body array is not modified.
  *
  * @param method the HTTP method
- * @param path the path and query, as a target sees it
+ * @param path the path and query to send to a target
  * @param contentType the body's media type, or empty
  * @param body the body
- * @param traceParent the W3C trace context of the span above, or empty
- * @param targetIdBase what identifiers for targets begin with; the attempt's number follows
+ * @param traceParent the W3C trace context of the parent span, or empty
+ * @param targetIdBase the prefix of request identifiers sent to targets; the attempt's number is appended
  */
 public record Envelope(
         String method, String path, String contentType, byte[] body, String traceParent, String targetIdBase) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Relayed.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Relayed.java
@@ -1,13 +1,13 @@
 package org.rattanplank.daemon.call;
 
-/** What became of a part that an attempt brought. */
+/** Result of relaying a stream event from an attempt to the requester. */
 public enum Relayed {
-    /** It went to whoever asked. */
+    /** The event was delivered. */
     PASSED_ON,
-    /** Whoever asked has it already. */
+    /** The event had been delivered before. */
     DUPLICATE,
-    /** Parts before it are missing. */
+    /** Previous events are missing. */
     GAP,
-    /** The attempt is not the current one, or the request has its outcome. */
+    /** The attempt is not the current one, or the request already has an outcome. */
     STALE
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerConnection.java
@@ -19,95 +19,95 @@
 import org.rattanplank.daemon.http.WaitingBytes;
 
 /**
- * Bounds one connection of a caller.
+ * Enforces the limits of one connection of a caller.
  *
- * <p>Invariants: from a request's first byte to its last at most the given time passes; a refused connection is closed
- * soon after its refusal; a connection that this host ends has no request of its caller before its end. Confined to the
- * channel's event loop but for {@link #endIfIdle}.
+ * <p>Invariants: a request arrives completely within the read timeout after its first byte; a rejected connection is
+ * closed soon after the rejection; this host does not close a connection while a request is unanswered on it or pending
+ * in its socket. Confined to the channel's event loop except for {@link #closeIfIdle}.
  */
 final class CallerConnection extends ChannelDuplexHandler {
-    private static final String RATPACK_ENCODER = "encoder";
+    private static final String RATPACK_ENCODER_NAME = "encoder";
 
     /**
-     * How long a connection stays after its sending half has ended. Closed at once, what its caller still sends would
-     * reset it, and the reset could overtake the last reply.
+     * Time between shutting down the output and closing the connection. If it were closed at once, further bytes from the
+     * caller would reset it, and the reset could overtake the last response.
      */
-    private static final long LINGER_MILLIS = 1_000;
+    private static final long LINGER_TIMEOUT_MILLIS = 1_000;
 
     /**
-     * Who has connected and sent nothing yet is about to: its connection is not idle for so long. Ended sooner, its
-     * request would cross the end and get no reply.
+     * Time for which a new connection without a request does not count as idle. If it were closed earlier, a request that
+     * is already on its way would get no response.
      */
-    private static final long FRESH_MILLIS = 2_000;
+    private static final long FIRST_REQUEST_GRACE_MILLIS = 2_000;
 
     private final String host;
-    private final boolean full;
+    private final boolean overLimit;
     private final long readTimeoutMillis;
-    private final RequestWatch requests = new RequestWatch(this);
+    private final RequestTracker requestTracker = new RequestTracker(this);
     private final long acceptedAtNanos = System.nanoTime();
-    private volatile Option<ChannelHandlerContext> open = Option.none();
-    private Option<Future<?>> deadline = Option.none();
-    private boolean fresh = true;
-    private boolean refused;
+    private volatile Option<ChannelHandlerContext> activeContext = Option.none();
+    private Option<Future<?>> readTimeout = Option.none();
+    private boolean awaitingFirstBytes = true;
+    private boolean rejected;
     private boolean lingering;
-    private boolean answered;
-    private boolean awaitingReply;
+    private boolean responseStarted;
+    private boolean awaitingResponse;
 
-    CallerConnection(String host, boolean full, long readTimeoutMillis) {
+    CallerConnection(String host, boolean overLimit, long readTimeoutMillis) {
         this.host = host;
-        this.full = full;
+        this.overLimit = overLimit;
         this.readTimeoutMillis = readTimeoutMillis;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        if (full) {
-            refuse(context, Refusal.busy(host, "too many connections are open"));
+        if (overLimit) {
+            reject(context, Rejection.busy(host, "too many open connections"));
             return;
         }
-        open = Option.some(context);
-        context.pipeline().addAfter(RATPACK_ENCODER, "request-watch", requests);
+        activeContext = Option.some(context);
+        context.pipeline().addAfter(RATPACK_ENCODER_NAME, "request-watch", requestTracker);
         context.fireChannelActive();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object bytes) {
-        if (refused || lingering) {
+        if (rejected || lingering) {
             ReferenceCountUtil.release(bytes);
             context.read();
             return;
         }
-        fresh = false;
-        if (deadline.isEmpty() && !awaitingReply) {
-            answered = false;
-            deadline = Option.some(
-                    context.executor().schedule(() -> tooSlow(context), readTimeoutMillis, TimeUnit.MILLISECONDS));
+        awaitingFirstBytes = false;
+        if (readTimeout.isEmpty() && !awaitingResponse) {
+            responseStarted = false;
+            readTimeout = Option.some(context.executor()
+                    .schedule(() -> onReadTimeout(context), readTimeoutMillis, TimeUnit.MILLISECONDS));
         }
         context.fireChannelRead(bytes);
     }
 
     @Override
     public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
-        if (refused) {
+        if (rejected) {
             ReferenceCountUtil.release(message);
             promise.setFailure(new ClosedChannelException());
             return;
         }
-        answered = true;
-        awaitingReply = false;
+        responseStarted = true;
+        awaitingResponse = false;
         context.write(message, promise);
     }
 
     /**
-     * Ends the sending half first. A connection that is closed for its silence alone is read once more before: "nothing
-     * was read" says nothing about what has come to a host that stood still.
+     * Shuts down the output first. Before an idle connection is closed, its socket is read once more: on a host whose
+     * event loop was delayed, a request may be pending there although none has been read.
      */
     @Override
     public void close(ChannelHandlerContext context, ChannelPromise promise) {
         if (lingering || !context.channel().isActive()) {
             context.close(promise);
-        } else if (isIdle() && hasBegunAfterRead(context)) {
-            promise.tryFailure(new IllegalStateException("a request has come"));
+        } else if (isIdle() && hasRequestAfterRead(context)) {
+            promise.tryFailure(new IllegalStateException("a request is pending on the connection"));
         } else if (context.channel().isActive()) {
             linger(context, promise);
         } else {
@@ -115,90 +115,103 @@
         }
     }
 
-    /** Ends the connection if nothing of a request has come; called on any thread. */
-    void endIfIdle() {
-        open.forEach(context -> context.executor().execute(() -> endIfIdle(context)));
+    /** Closes the connection if no byte of a request has arrived; may be called on any thread. */
+    void closeIfIdle() {
+        activeContext.forEach(context -> context.executor().execute(() -> closeIfIdle(context)));
     }
 
-    private void endIfIdle(ChannelHandlerContext context) {
-        boolean expected = fresh && System.nanoTime() - acceptedAtNanos < TimeUnit.MILLISECONDS.toNanos(FRESH_MILLIS);
-        if (isIdle() && !expected) {
+    private void closeIfIdle(ChannelHandlerContext context) {
+        boolean mayStillSend = awaitingFirstBytes
+                && System.nanoTime() - acceptedAtNanos < TimeUnit.MILLISECONDS.toNanos(FIRST_REQUEST_GRACE_MILLIS);
+        if (isIdle() && !mayStillSend) {
             context.channel().close();
         }
     }
 
     private boolean isIdle() {
-        return !refused && !lingering && deadline.isEmpty() && !requests.hasUnanswered() && !requests.toldTheEnd();
+        return !rejected
+                && !lingering
+                && readTimeout.isEmpty()
+                && !requestTracker.hasUnanswered()
+                && !requestTracker.hasAnnouncedClose();
     }
 
-    private boolean hasBegunAfterRead(ChannelHandlerContext context) {
+    private boolean hasRequestAfterRead(ChannelHandlerContext context) {
         WaitingBytes.read(context.channel());
         return context.channel().isActive() && !isIdle();
     }
 
     private void linger(ChannelHandlerContext context, ChannelPromise promise) {
         lingering = true;
-        stopTimer();
+        cancelReadTimeout();
         ((SocketChannel) context.channel()).shutdownOutput();
         context.read();
-        context.executor().schedule(() -> context.close(promise), LINGER_MILLIS, TimeUnit.MILLISECONDS);
+        context.executor().schedule(() -> context.close(promise), LINGER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        stopTimer();
+        cancelReadTimeout();
         context.fireChannelInactive();
     }
 
-    private void tooSlow(ChannelHandlerContext context) {
-        if (answered) {
+    private void onReadTimeout(ChannelHandlerContext context) {
+        if (responseStarted) {
             context.close();
             return;
         }
-        refuse(
+        reject(
                 context,
-                Refusal.accept(
-                        Refusal.TIMED_OUT, host, "the request was not there within " + readTimeoutMillis + " ms"));
+                Rejection.invalid(
+                        Rejection.REQUEST_TIMEOUT,
+                        host,
+                        "the request did not arrive completely within " + readTimeoutMillis + " ms"));
     }
 
-    private void stopTimer() {
-        deadline.forEach(timer -> timer.cancel(false));
-        deadline = Option.none();
+    private void cancelReadTimeout() {
+        readTimeout.forEach(timeout -> timeout.cancel(false));
+        readTimeout = Option.none();
     }
 
-    /** The request has come whole. */
-    void requestEnded() {
-        stopTimer();
-        awaitingReply = true;
+    /** Called when a request has been received completely. */
+    void requestReceived() {
+        cancelReadTimeout();
+        awaitingResponse = true;
     }
 
-    /** Refuses a request that can't be read. */
-    void refuse(Throwable fault) {
-        open.forEach(context -> refuse(context, refusalOf(fault)));
+    /** Rejects a request that cannot be decoded. */
+    void reject(Throwable cause) {
+        activeContext.forEach(context -> reject(context, rejectionOf(cause)));
     }
 
-    private Refusal refusalOf(Throwable fault) {
-        boolean tooLong = fault instanceof TooLongHttpHeaderException || fault instanceof TooLongHttpLineException;
-        return tooLong
-                ? Refusal.accept(Refusal.HEADERS_TOO_LARGE, host, "the request line or the headers are too large")
-                : Refusal.accept(Refusal.BAD_REQUEST, host, "the request is not sound HTTP");
+    private Rejection rejectionOf(Throwable cause) {
+        boolean headersTooLarge =
+                cause instanceof TooLongHttpHeaderException || cause instanceof TooLongHttpLineException;
+        return headersTooLarge
+                ? Rejection.invalid(
+                        Rejection.HEADERS_TOO_LARGE, host, "the request line or the headers exceed the size limit")
+                : Rejection.invalid(Rejection.BAD_REQUEST, host, "the request is not valid HTTP");
     }
 
-    private void refuse(ChannelHandlerContext context, Refusal refusal) {
-        refused = true;
-        context.writeAndFlush(rawOf(Replies.of("", refusal)));
+    private void reject(ChannelHandlerContext context, Rejection rejection) {
+        rejected = true;
+        context.writeAndFlush(encode(CallerResponses.of("", rejection)));
         linger(context, context.newPromise());
     }
 
-    private static ByteBuf rawOf(CallerReply reply) {
-        StringBuilder head =
-                new StringBuilder("HTTP/1.1 ").append(reply.status()).append(" Refused\r\n");
-        for (Map.Entry<String, String> header : reply.headers().entrySet()) {
-            head.append(header.getKey()).append(": ").append(header.getValue()).append("\r\n");
+    private static ByteBuf encode(CallerResponse response) {
+        StringBuilder headerText =
+                new StringBuilder("HTTP/1.1 ").append(response.status()).append(" Refused\r\n");
+        for (Map.Entry<String, String> header : response.headers().entrySet()) {
+            headerText
+                    .append(header.getKey())
+                    .append(": ")
+                    .append(header.getValue())
+                    .append("\r\n");
         }
-        head.append("Content-Type: ").append(reply.contentType()).append("\r\n");
-        head.append("Content-Length: ").append(reply.body().length).append("\r\n");
-        head.append("Connection: close\r\n\r\n");
-        return Unpooled.wrappedBuffer(head.toString().getBytes(StandardCharsets.US_ASCII), reply.body());
+        headerText.append("Content-Type: ").append(response.contentType()).append("\r\n");
+        headerText.append("Content-Length: ").append(response.body().length).append("\r\n");
+        headerText.append("Connection: close\r\n\r\n");
+        return Unpooled.wrappedBuffer(headerText.toString().getBytes(StandardCharsets.US_ASCII), response.body());
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerLimits.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerLimits.java
@@ -1,16 +1,16 @@
 package org.rattanplank.daemon.caller;
 
 /**
- * What a caller may use up. Immutable and thread safe.
+ * Limits on the connections and requests of callers. Immutable and thread safe.
  *
- * @param maxBodyBytes the largest body
- * @param maxHeaderBytes the largest request line, and the largest block of headers
- * @param maxConnections how many connections may be open
- * @param streamBufferBytes how much of a stream may wait for a slow caller
- * @param idleTimeoutMillis how long a connection may be without a request
- * @param readTimeoutMillis how long a request may take to arrive
- * @param defaultTimeoutMillis the deadline of a request that states none
- * @param maxTimeoutMillis the longest deadline
+ * @param maxBodyBytes the maximum size of a request body
+ * @param maxHeaderBytes the maximum size of the request line, and of all headers together
+ * @param maxConnections the maximum number of open connections
+ * @param streamBufferBytes the maximum number of bytes of a stream that are buffered for a slow caller
+ * @param idleTimeoutMillis the time after which a connection without a request is closed
+ * @param readTimeoutMillis the time within which a request must arrive completely
+ * @param defaultTimeoutMillis the timeout of a request that sets none
+ * @param maxTimeoutMillis the upper limit of a request's timeout
  */
 public record CallerLimits(
         int maxBodyBytes,
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/HttpAsk.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerRequest.java
@@ -8,22 +8,22 @@
 import io.vavr.control.Option;
 
 /**
- * What a caller sent. Immutable and thread safe as long as nobody writes into the body.
+ * An HTTP request of a caller. Immutable and thread safe as long as the body array is not modified.
  *
  * @param method the HTTP method
- * @param path the path without its first slash
+ * @param path the path without its leading slash
  * @param query the query, or empty
- * @param headers the headers by name, whatever their case
+ * @param headers the headers by case-insensitive name
  * @param body the body
  */
-record HttpAsk(String method, String path, String query, Map<String, String> headers, byte[] body) {
-    HttpAsk {
+record CallerRequest(String method, String path, String query, Map<String, String> headers, byte[] body) {
+    CallerRequest {
         Objects.requireNonNull(method, "method");
         Objects.requireNonNull(path, "path");
         query = Objects.requireNonNullElse(query, "");
-        Map<String, String> anyCase = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        anyCase.putAll(headers);
-        headers = Collections.unmodifiableMap(anyCase);
+        Map<String, String> caseInsensitive = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+        caseInsensitive.putAll(headers);
+        headers = Collections.unmodifiableMap(caseInsensitive);
         body = body == null ? new byte[0] : body;
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/Replies.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerResponses.java
@@ -13,8 +13,8 @@
 import org.rattanplank.core.request.Outcome;
 import org.rattanplank.core.request.Step;
 
-/** Writes outcomes as callers see them. Stateless and thread safe. */
-final class Replies {
+/** Creates the responses to callers for outcomes and rejections. Stateless and thread safe. */
+final class CallerResponses {
     static final String JSON_TYPE = "application/json";
     private static final String EVENT_STREAM = "text/event-stream";
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -22,40 +22,40 @@
     private static final int OK = 200;
     private static final int BAD_GATEWAY = 502;
     private static final int GATEWAY_TIMEOUT = 504;
-    private static final long SECOND_MILLIS = TimeUnit.SECONDS.toMillis(1);
+    private static final long MILLIS_PER_SECOND = TimeUnit.SECONDS.toMillis(1);
 
-    private Replies() {}
+    private CallerResponses() {}
 
-    static CallerReply of(String requestId, Outcome outcome, boolean deadlinePassed) {
+    static CallerResponse of(String requestId, Outcome outcome, boolean deadlinePassed) {
         if (outcome instanceof Outcome.Answered answered) {
-            return new CallerReply(
+            return new CallerResponse(
                     answered.answer().status(),
                     answered.answer().contentType(),
                     headers(requestId, outcome.label(), answered.path()),
                     answered.answer().body(),
                     false);
         } else if (outcome instanceof Outcome.NotRun notRun) {
-            int status = notRun.failure().step() == Step.ACCEPT ? Refusal.BAD_REQUEST : Refusal.UNAVAILABLE;
+            int status = notRun.failure().step() == Step.ACCEPT ? Rejection.BAD_REQUEST : Rejection.UNAVAILABLE;
             return error(requestId, status, outcome.label(), notRun.failure(), notRun.retryAfterMillis());
         }
         Failure failure = ((Outcome.Unknown) outcome).failure();
         return error(requestId, deadlinePassed ? GATEWAY_TIMEOUT : BAD_GATEWAY, outcome.label(), failure, 0);
     }
 
-    static CallerReply of(String requestId, Refusal refusal) {
-        return error(requestId, refusal.status(), NOT_RUN, refusal.failure(), refusal.retryAfterMillis());
+    static CallerResponse of(String requestId, Rejection rejection) {
+        return error(requestId, rejection.status(), NOT_RUN, rejection.failure(), rejection.retryAfterMillis());
     }
 
-    static CallerReply streamHead(String requestId, List<String> path) {
-        return new CallerReply(OK, EVENT_STREAM, headers(requestId, "", path), new byte[0], true);
+    static CallerResponse streamHeaders(String requestId, List<String> path) {
+        return new CallerResponse(OK, EVENT_STREAM, headers(requestId, "", path), new byte[0], true);
     }
 
-    static CallerReply json(int status, Object value) {
+    static CallerResponse json(int status, Object value) {
         byte[] body = Try.of(() -> JSON.writeValueAsBytes(value)).get();
-        return new CallerReply(status, JSON_TYPE, Map.of(), body, false);
+        return new CallerResponse(status, JSON_TYPE, Map.of(), body, false);
     }
 
-    private static CallerReply error(
+    private static CallerResponse error(
             String requestId, int status, String outcome, Failure failure, long retryAfterMillis) {
         ObjectNode body = JSON.createObjectNode();
         body.putObject("error")
@@ -67,10 +67,10 @@
                 .put("retryAfterMillis", retryAfterMillis);
         Map<String, String> headers = headers(requestId, outcome, List.of());
         if (retryAfterMillis > 0) {
-            long seconds = (retryAfterMillis + SECOND_MILLIS - 1) / SECOND_MILLIS;
+            long seconds = (retryAfterMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             headers.put("Retry-After", String.valueOf(seconds));
         }
-        return new CallerReply(status, JSON_TYPE, headers, body.toString().getBytes(StandardCharsets.UTF_8), false);
+        return new CallerResponse(status, JSON_TYPE, headers, body.toString().getBytes(StandardCharsets.UTF_8), false);
     }
 
     private static Map<String, String> headers(String requestId, String outcome, List<String> path) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
@@ -33,15 +33,15 @@
 import ratpack.server.ServerConfig;
 
 /**
- * The port for callers.
+ * HTTP server for callers.
  *
- * <p>Invariant: every request that was read gets one reply or a closed connection; a connection that closes before its
- * reply frees what the request holds. Thread safe.
+ * <p>Invariant: every request that was read gets exactly one response or a closed connection; when a connection closes
+ * before the response, the resources of the request are released. Thread safe.
  */
 public final class CallerServer implements AutoCloseable {
-    private static final String ENTRY_HOSTS = "Rattanplank-Entry-Hosts";
-    private static final int MAX_OTHER_HOSTS = 4;
-    private static final long IDLE_GRACE_MILLIS = 60_000;
+    private static final String ENTRY_HOSTS_HEADER = "Rattanplank-Entry-Hosts";
+    private static final int MAX_ALTERNATIVE_HOSTS = 4;
+    private static final long IDLE_TIMEOUT_GRACE_MILLIS = 60_000;
     private static final int OK = 200;
 
     private final String host;
@@ -50,23 +50,23 @@
     private final Events events;
     private final MillisClock clock;
     private final CallerLimits limits;
-    private final Tokens tokens = new Tokens();
-    private final AskReader reader;
-    private final ConnectionGate gate;
-    private final AtomicLong requests = new AtomicLong();
-    private final AtomicInteger unsentReplies = new AtomicInteger();
-    private Option<GatedServer> server = Option.none();
+    private final TokenAuthenticator authenticator = new TokenAuthenticator();
+    private final RequestParser parser;
+    private final ConnectionLimiter connectionLimiter;
+    private final AtomicLong requestCount = new AtomicLong();
+    private final AtomicInteger unsentResponses = new AtomicInteger();
+    private Option<ConnectionLimitingServer> server = Option.none();
     private volatile boolean leaving;
 
     /**
-     * Makes a server that is not open yet.
+     * Creates a server that is not open yet.
      *
      * @param host this host's name
      * @param node the node
      * @param calls the requests in flight
-     * @param events hears what callers do
+     * @param events receives the events that callers cause
      * @param clock the clock
-     * @param limits what a caller may use up
+     * @param limits the limits on connections and requests
      */
     public CallerServer(String host, Node node, Calls calls, Events events, MillisClock clock, CallerLimits limits) {
         this.host = host;
@@ -75,17 +75,17 @@
         this.events = events;
         this.clock = clock;
         this.limits = limits;
-        gate = new ConnectionGate(host, limits.maxConnections(), limits.readTimeoutMillis());
-        reader = new AskReader(tokens, limits.defaultTimeoutMillis(), limits.maxTimeoutMillis());
+        connectionLimiter = new ConnectionLimiter(host, limits.maxConnections(), limits.readTimeoutMillis());
+        parser = new RequestParser(authenticator, limits.defaultTimeoutMillis(), limits.maxTimeoutMillis());
     }
 
     /**
      * Opens the port.
      *
      * @param address the IP address
-     * @param port the port, zero for a free one
-     * @param threads the event loops
-     * @return the port that is open, or why none is
+     * @param port the port, or zero for any free port
+     * @param threads the number of event loops
+     * @return the bound port, or the error if it cannot be opened
      */
     public Try<Integer> open(String address, int port, int threads) {
         return Try.of(() -> {
@@ -100,66 +100,66 @@
                     .maxHeaderSize(limits.maxHeaderBytes())
                     .idleTimeout(Duration.ofMillis(limits.idleTimeoutMillis()))
                     .build();
-            GatedServer made = new GatedServer(
+            ConnectionLimitingServer started = new ConnectionLimitingServer(
                     spec -> spec.serverConfig(config)
-                            .registryOf(registry -> registry.add(ServerErrorHandler.class, this::failed))
+                            .registryOf(registry -> registry.add(ServerErrorHandler.class, this::onError))
                             .handlers(chain -> chain.all(this::handle)),
-                    gate);
-            made.start();
-            server = Option.some(made);
-            return made.getBindPort();
+                    connectionLimiter);
+            started.start();
+            server = Option.some(started);
+            return started.getBindPort();
         });
     }
 
     /**
-     * Counts the requests whose reply has not gone out whole.
+     * Returns the number of requests whose response has not been sent completely.
      *
-     * @return the number
+     * @return the number of requests
      */
-    public int unsentReplies() {
-        return unsentReplies.get();
+    public int unsentResponses() {
+        return unsentResponses.get();
     }
 
     /**
-     * Counts the open connections.
+     * Returns the number of open connections.
      *
-     * @return the number
+     * @return the number of connections
      */
-    public int connections() {
-        return gate.connections();
+    public int openConnections() {
+        return connectionLimiter.openConnections();
     }
 
     /**
-     * Counts the connections and requests that ever came.
+     * Returns the number of connections and requests received since the start.
      *
-     * @return the number, which only grows
+     * @return the number, which never decreases
      */
     public long arrivals() {
-        return gate.accepted() + requests.get();
+        return connectionLimiter.acceptedConnections() + requestCount.get();
     }
 
-    /** Tells each caller with its next reply that its connection ends, so that kept ones are not used to the very end. */
-    public void leave() {
+    /** Announces the close of each connection with its next response, so that callers stop reusing persistent connections. */
+    public void startLeaving() {
         leaving = true;
     }
 
-    /** Takes no more connections; requests on those that are open are still answered. */
+    /** Stops accepting connections; requests on open connections still get responses. */
     public void stopAccepting() {
-        server.forEach(GatedServer::stopAccepting);
+        server.forEach(ConnectionLimitingServer::stopAccepting);
     }
 
     /**
-     * Tells whether no more connections come.
+     * Returns whether no further connection can be accepted.
      *
-     * @return whether the port is closed and the last that waited there were accepted
+     * @return whether the port is closed and the pending connections were accepted
      */
     public boolean isPortClosed() {
-        return server.forAll(GatedServer::isPortClosed);
+        return server.forAll(ConnectionLimitingServer::isPortClosed);
     }
 
-    /** Ends the connections that carry no request, each after a last look at what has come over it. */
-    public void endIdle() {
-        gate.endIdle();
+    /** Closes the connections without a request, after reading each socket once more. */
+    public void closeIdleConnections() {
+        connectionLimiter.closeIdleConnections();
     }
 
     @Override
@@ -168,121 +168,127 @@
     }
 
     private void handle(Context context) {
-        requests.incrementAndGet();
-        unsentReplies.incrementAndGet();
-        context.onClose(outcome -> unsentReplies.decrementAndGet());
+        requestCount.incrementAndGet();
+        unsentResponses.incrementAndGet();
+        context.onClose(outcome -> unsentResponses.decrementAndGet());
         context.getRequest()
                 .getBody(limits.maxBodyBytes(), () -> send(context, bodyTooLarge()))
-                .then(body -> dispatch(context, askOf(context, body.getBytes())));
+                .then(body -> dispatch(context, requestOf(context, body.getBytes())));
     }
 
-    /** A fault of this host: the request may have run or not. */
-    private void failed(Context context, Throwable fault) {
-        if (!(fault instanceof ConnectionClosedException)) {
-            Logger.error(fault, "caller: a request failed");
+    /** Responds with an unknown outcome after an internal error, since the request may have run. */
+    private void onError(Context context, Throwable error) {
+        if (!(error instanceof ConnectionClosedException)) {
+            Logger.error(error, "caller: internal error while handling a request");
         }
-        Failure failure = Failure.of(Step.ACCEPT, host, "the entry host failed");
-        send(context, Replies.of("", new Outcome.Unknown(failure), false));
+        Failure failure = Failure.of(Step.ACCEPT, host, "internal error of the entry host");
+        send(context, CallerResponses.of("", new Outcome.Unknown(failure), false));
     }
 
-    private void dispatch(Context context, HttpAsk ask) {
-        String path = ask.path();
-        if (path.equals(AskReader.CHAT) || path.startsWith(AskReader.SERVICES)) {
-            serve(context, ask);
+    private void dispatch(Context context, CallerRequest callerRequest) {
+        String path = callerRequest.path();
+        if (path.equals(RequestParser.CHAT_PATH) || path.startsWith(RequestParser.SERVICES_PREFIX)) {
+            serve(context, callerRequest);
         } else if (path.equals("v1/entry-hosts")) {
-            send(context, entryHosts(ask));
+            send(context, entryHosts(callerRequest));
         } else if (path.equals("v1/idempotency-keys")) {
-            send(context, newKey(ask));
+            send(context, newIdempotencyKey(callerRequest));
         } else if (path.equals("healthz")) {
-            send(context, Replies.json(OK, Map.of("status", "alive")));
+            send(context, CallerResponses.json(OK, Map.of("status", "alive")));
         } else if (path.equals("readyz")) {
-            send(context, ready());
+            send(context, readiness());
         } else {
-            send(context, Replies.of("", Refusal.accept(Refusal.NOT_FOUND, "", "no such call")));
+            send(context, CallerResponses.of("", Rejection.invalid(Rejection.NOT_FOUND, "", "unknown path")));
         }
     }
 
-    private void serve(Context context, HttpAsk ask) {
+    private void serve(Context context, CallerRequest callerRequest) {
         if (calls.isFull()) {
-            send(context, Replies.of("", Refusal.busy(host, "too many requests are in flight")));
+            send(context, CallerResponses.of("", Rejection.busy(host, "too many requests in flight")));
             return;
         }
-        Either<Refusal, Asked> read = reader.read(ask, node.configuration(), clock.nowMillis());
-        if (read.isLeft()) {
-            send(context, Replies.of("", read.getLeft()));
+        Either<Rejection, ParsedRequest> parsed = parser.parse(callerRequest, node.configuration(), clock.nowMillis());
+        if (parsed.isLeft()) {
+            send(context, CallerResponses.of("", parsed.getLeft()));
             return;
         }
-        serve(context, read.get());
+        serve(context, parsed.get());
     }
 
-    private void serve(Context context, Asked asked) {
-        String requestId = asked.request().id();
-        long deadlineMillis = asked.request().deadlineMillis();
+    private void serve(Context context, ParsedRequest parsed) {
+        String requestId = parsed.request().id();
+        long deadlineMillis = parsed.request().deadlineMillis();
         Channel channel = context.getDirectChannelAccess().getChannel();
-        PartQueue parts = new PartQueue(channel, limits.streamBufferBytes());
-        HttpAsker asker = new HttpAsker(requestId, host, () -> clock.nowMillis() >= deadlineMillis, parts);
-        context.getRequest().setIdleTimeout(Duration.ofMillis(deadlineMillis - clock.nowMillis() + IDLE_GRACE_MILLIS));
-        noticeWhenGone(context, channel, requestId, asker);
-        calls.add(Call.of(asked.request(), asked.envelope(), asker));
-        if (!events.offer(new Event.CallerAsked(asked.request()))) {
+        StreamEventPublisher streamEvents = new StreamEventPublisher(channel, limits.streamBufferBytes());
+        HttpRequester requester =
+                new HttpRequester(requestId, host, () -> clock.nowMillis() >= deadlineMillis, streamEvents);
+        context.getRequest()
+                .setIdleTimeout(Duration.ofMillis(deadlineMillis - clock.nowMillis() + IDLE_TIMEOUT_GRACE_MILLIS));
+        detectDisconnect(context, channel, requestId, requester);
+        calls.add(Call.of(parsed.request(), parsed.envelope(), requester));
+        if (!events.offer(new Event.CallerAsked(parsed.request()))) {
             calls.remove(requestId);
-            send(context, Replies.of(requestId, Refusal.busy(host, "too many events wait")));
+            send(context, CallerResponses.of(requestId, Rejection.busy(host, "event queue is full")));
             return;
         }
-        await(asker.reply()).then(reply -> send(context, reply, parts));
+        await(requester.response()).then(response -> send(context, response, streamEvents));
     }
 
-    /** A caller who is gone would otherwise hold a target until the deadline, and this host's stop for ever. */
-    private void noticeWhenGone(Context context, Channel channel, String requestId, HttpAsker asker) {
-        ChannelFutureListener gone = future -> left(requestId, asker);
-        channel.closeFuture().addListener(gone);
+    /** Detects a disconnected caller, which would otherwise occupy a target until the deadline and block a graceful stop. */
+    private void detectDisconnect(Context context, Channel channel, String requestId, HttpRequester requester) {
+        ChannelFutureListener disconnected = future -> requesterLeft(requestId, requester);
+        channel.closeFuture().addListener(disconnected);
         context.onClose(outcome -> {
-            channel.closeFuture().removeListener(gone);
-            left(requestId, asker);
+            channel.closeFuture().removeListener(disconnected);
+            requesterLeft(requestId, requester);
         });
     }
 
-    private void left(String requestId, HttpAsker asker) {
+    private void requesterLeft(String requestId, HttpRequester requester) {
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
             events.raise(new Event.AskerLeft(requestId));
-            asker.abandon();
+            requester.abandon();
         }
     }
 
-    private CallerReply entryHosts(HttpAsk ask) {
-        String account = tokens.accountOf(ask.header("Authorization"), node.configuration())
+    private CallerResponse entryHosts(CallerRequest callerRequest) {
+        String account = authenticator
+                .accountOf(callerRequest.header("Authorization"), node.configuration())
                 .map(Account::name)
                 .getOrElse("");
-        return Replies.json(OK, node.entryHosts(account, clock.nowMillis()));
+        return CallerResponses.json(OK, node.entryHosts(account, clock.nowMillis()));
     }
 
-    private CallerReply newKey(HttpAsk ask) {
-        if (tokens.accountOf(ask.header("Authorization"), node.configuration()).isEmpty()) {
-            return Replies.of("", Refusal.accept(Refusal.UNAUTHORIZED, "", "the token is not known"));
+    private CallerResponse newIdempotencyKey(CallerRequest callerRequest) {
+        if (authenticator
+                .accountOf(callerRequest.header("Authorization"), node.configuration())
+                .isEmpty()) {
+            return CallerResponses.of(
+                    "", Rejection.invalid(Rejection.UNAUTHORIZED, "", "the bearer token is missing or unknown"));
         }
-        return Replies.json(OK, Map.of("key", Uuids.version7(clock.nowMillis())));
+        return CallerResponses.json(OK, Map.of("key", Uuids.version7(clock.nowMillis())));
     }
 
-    private CallerReply ready() {
+    private CallerResponse readiness() {
         return node.isReady()
-                ? Replies.json(OK, Map.of("status", "ready"))
-                : Replies.of("", Refusal.busy(host, "no configuration is in force, or the host is leaving"));
+                ? CallerResponses.json(OK, Map.of("status", "ready"))
+                : CallerResponses.of("", Rejection.busy(host, "no configuration is in effect, or the host is leaving"));
     }
 
-    private CallerReply bodyTooLarge() {
-        String reason = "the body is larger than " + limits.maxBodyBytes() + " bytes";
-        return Replies.of("", Refusal.accept(Refusal.BODY_TOO_LARGE, "", reason));
+    private CallerResponse bodyTooLarge() {
+        String reason = "the request body is larger than " + limits.maxBodyBytes() + " bytes";
+        return CallerResponses.of("", Rejection.invalid(Rejection.BODY_TOO_LARGE, "", reason));
     }
 
-    private static HttpAsk askOf(Context context, byte[] body) {
+    private static CallerRequest requestOf(Context context, byte[] body) {
         Map<String, String> headers = new TreeMap<>();
         context.getRequest()
                 .getHeaders()
                 .getNames()
                 .forEach(name ->
                         headers.put(name, context.getRequest().getHeaders().get(name)));
-        return new HttpAsk(
+        return new CallerRequest(
                 context.getRequest().getMethod().getName(),
                 context.getRequest().getPath(),
                 context.getRequest().getQuery(),
@@ -290,41 +296,41 @@
                 body);
     }
 
-    private static Promise<CallerReply> await(CompletableFuture<CallerReply> reply) {
-        return Promise.async(downstream -> reply.thenAccept(downstream::success));
+    private static Promise<CallerResponse> await(CompletableFuture<CallerResponse> response) {
+        return Promise.async(downstream -> response.thenAccept(downstream::success));
     }
 
-    private void send(Context context, CallerReply reply) {
-        head(context, reply).send(reply.body());
+    private void send(Context context, CallerResponse callerResponse) {
+        prepareResponse(context, callerResponse).send(callerResponse.body());
     }
 
-    private void send(Context context, CallerReply reply, PartQueue parts) {
-        if (reply.stream()) {
-            head(context, reply).sendStream(parts);
+    private void send(Context context, CallerResponse callerResponse, StreamEventPublisher streamEvents) {
+        if (callerResponse.stream()) {
+            prepareResponse(context, callerResponse).sendStream(streamEvents);
         } else {
-            send(context, reply);
+            send(context, callerResponse);
         }
     }
 
-    private Response head(Context context, CallerReply reply) {
+    private Response prepareResponse(Context context, CallerResponse callerResponse) {
         Response response = context.getResponse().noCompress();
         if (leaving) {
             response.forceCloseConnection();
         }
-        response.status(ratpack.http.Status.of(reply.status()));
-        reply.headers().forEach((name, value) -> response.getHeaders().set(name, value));
-        if (reply.status() == Refusal.UNAVAILABLE) {
-            response.getHeaders().set(ENTRY_HOSTS, otherHosts());
+        response.status(ratpack.http.Status.of(callerResponse.status()));
+        callerResponse.headers().forEach((name, value) -> response.getHeaders().set(name, value));
+        if (callerResponse.status() == Rejection.UNAVAILABLE) {
+            response.getHeaders().set(ENTRY_HOSTS_HEADER, alternativeHosts());
         }
-        return reply.contentType().isEmpty() ? response : response.contentType(reply.contentType());
+        return callerResponse.contentType().isEmpty() ? response : response.contentType(callerResponse.contentType());
     }
 
-    /** A host that leaves or is full names others, so that its callers need not wait to ask elsewhere. */
-    private String otherHosts() {
+    /** Returns other entry hosts for callers that a leaving or full host rejects, so that they can retry without waiting. */
+    private String alternativeHosts() {
         return node.entryHosts("", clock.nowMillis()).hosts().stream()
-                .filter(other -> !other.host().equals(host))
-                .limit(MAX_OTHER_HOSTS)
-                .map(other -> other.address() + ":" + other.port())
+                .filter(entryHost -> !entryHost.host().equals(host))
+                .limit(MAX_ALTERNATIVE_HOSTS)
+                .map(entryHost -> entryHost.address() + ":" + entryHost.port())
                 .collect(Collectors.joining(","));
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/Asked.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/ParsedRequest.java
@@ -6,13 +6,13 @@
 import org.rattanplank.daemon.call.Envelope;
 
 /**
- * A sound request. Immutable and thread safe.
+ * A valid request of a caller. Immutable and thread safe.
  *
- * @param request what the core sees
- * @param envelope the rest
+ * @param request the request for the core
+ * @param envelope the data that the core does not use
  */
-record Asked(Request request, Envelope envelope) {
-    Asked {
+record ParsedRequest(Request request, Envelope envelope) {
+    ParsedRequest {
         Objects.requireNonNull(request, "request");
         Objects.requireNonNull(envelope, "envelope");
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/Tokens.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/TokenAuthenticator.java
@@ -12,25 +12,25 @@
 import org.rattanplank.core.intent.Configuration;
 
 /**
- * Finds the account of a bearer token; only hashes of tokens are known.
+ * Finds the client account of a bearer token, of which only the hash is stored.
  *
- * <p>Invariant: an answer comes from the index of the very configuration that was asked with. Thread safe; an index is
- * replaced as a whole.
+ * <p>Invariant: each lookup uses the index of the configuration that it was given. Thread safe; the index is immutable
+ * and replaced as a whole.
  */
-final class Tokens {
-    private static final String SCHEME = "Bearer ";
+final class TokenAuthenticator {
+    private static final String BEARER_PREFIX = "Bearer ";
 
-    private volatile Index index = Index.of(Configuration.empty());
+    private volatile AccountIndex index = AccountIndex.of(Configuration.empty());
 
     Option<Account> accountOf(Option<String> authorization, Configuration configuration) {
-        Index current = index;
+        AccountIndex current = index;
         if (current.configuration() != configuration) {
-            current = Index.of(configuration);
+            current = AccountIndex.of(configuration);
             index = current;
         }
         return authorization
-                .filter(header -> header.regionMatches(true, 0, SCHEME, 0, SCHEME.length()))
-                .map(header -> sha256(header.substring(SCHEME.length()).strip()))
+                .filter(header -> header.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length()))
+                .map(header -> sha256(header.substring(BEARER_PREFIX.length()).strip()))
                 .flatMap(current::find);
     }
 
@@ -41,18 +41,18 @@
                 .get();
     }
 
-    /** The accounts of one configuration by the hash of their token. */
-    private record Index(Configuration configuration, Map<String, Account> accounts) {
-        static Index of(Configuration configuration) {
+    /** Index of the client accounts of one configuration by the hash of their token. */
+    private record AccountIndex(Configuration configuration, Map<String, Account> accountsByTokenHash) {
+        static AccountIndex of(Configuration configuration) {
             Map<String, Account> accounts = new HashMap<>();
             configuration.accounts().values().stream()
                     .filter(account -> !account.tokenSha256().isEmpty())
                     .forEach(account -> accounts.put(account.tokenSha256(), account));
-            return new Index(configuration, Map.copyOf(accounts));
+            return new AccountIndex(configuration, Map.copyOf(accounts));
         }
 
         Option<Account> find(String hash) {
-            return Option.of(accounts.get(hash));
+            return Option.of(accountsByTokenHash.get(hash));
         }
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/Uuids.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/Uuids.java
@@ -3,7 +3,7 @@
 import java.util.UUID;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Makes version 7 UUIDs, which carry when they were made. Stateless and thread safe. */
+/** Creates version 7 UUIDs, which contain their time of creation. Stateless and thread safe. */
 final class Uuids {
     private static final int TIME_SHIFT = 16;
     private static final long VERSION = 0x7000L;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Exchange.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Exchange.java
@@ -2,7 +2,7 @@
 
 import io.netty.channel.Channel;
 
-/** One call on a connection of its own. Thread safe. */
+/** One HTTP request and its response on a dedicated connection. Thread safe. */
 public final class Exchange {
     private final Channel channel;
     private final ExchangeHandler handler;
@@ -12,9 +12,9 @@
         this.handler = handler;
     }
 
-    /** Closes the connection; the listener hears nothing more. */
+    /** Closes the connection; the listener is not called any more. */
     public void close() {
-        handler.silence();
+        handler.detach();
         channel.close();
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeCall.java
@@ -4,13 +4,14 @@
 import java.util.Objects;
 
 /**
- * A call whose answer is watched as it comes. Immutable and thread safe as long as nobody writes into the body.
+ * An HTTP request whose response is processed incrementally. Immutable and thread safe as long as the body array is not
+ * modified.
  *
  * @param address the IP address
  * @param port the port
- * @param method the method
+ * @param method the HTTP method
  * @param path the path and query
- * @param headers the headers but for host and length
+ * @param headers the headers except for host and content length
  * @param body the body
  */
 public record ExchangeCall(
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeHandler.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeHandler.java
@@ -16,44 +16,44 @@
 import io.netty.handler.codec.http.LastHttpContent;
 
 /**
- * Writes one request and reads its answer.
+ * Writes one request and reads its response.
  *
- * <p>Invariants: the listener hears one end; an answer whose length is unknown never counts as whole, since a cut one
- * would look the same. Confined to the channel's event loop but for {@link #silence}.
+ * <p>Invariants: the listener is notified of one end at most; a response of unknown length never counts as complete, since
+ * a truncated one would look the same. Confined to the channel's event loop except for {@link #detach}.
  */
 final class ExchangeHandler extends SimpleChannelInboundHandler<HttpObject> {
-    private final ExchangeCall call;
+    private final ExchangeCall request;
     private final ExchangeListener listener;
-    private boolean handedOver;
-    private volatile boolean over;
+    private boolean maybeSent;
+    private volatile boolean ended;
 
-    ExchangeHandler(ExchangeCall call, ExchangeListener listener) {
-        this.call = call;
+    ExchangeHandler(ExchangeCall request, ExchangeListener listener) {
+        this.request = request;
         this.listener = listener;
     }
 
-    void silence() {
-        over = true;
+    void detach() {
+        ended = true;
     }
 
-    void notConnected(Throwable cause) {
+    void connectFailed(Throwable cause) {
         fail(Failures.reasonOf(cause));
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-        DefaultFullHttpRequest request = new DefaultFullHttpRequest(
+        DefaultFullHttpRequest httpRequest = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
-                HttpMethod.valueOf(call.method()),
-                call.path(),
-                Unpooled.wrappedBuffer(call.body()));
-        call.headers().forEach((name, value) -> request.headers().set(name, value));
-        request.headers().set(HttpHeaderNames.HOST, call.address() + ":" + call.port());
-        if (call.body().length > 0 || !call.method().equals("GET")) {
-            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, call.body().length);
+                HttpMethod.valueOf(request.method()),
+                request.path(),
+                Unpooled.wrappedBuffer(request.body()));
+        request.headers().forEach((name, value) -> httpRequest.headers().set(name, value));
+        httpRequest.headers().set(HttpHeaderNames.HOST, request.address() + ":" + request.port());
+        if (request.body().length > 0 || !request.method().equals("GET")) {
+            httpRequest.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.body().length);
         }
-        handedOver = true;
-        context.writeAndFlush(request).addListener(written -> {
+        maybeSent = true;
+        context.writeAndFlush(httpRequest).addListener(written -> {
             if (!written.isSuccess()) {
                 fail(Failures.reasonOf(written.cause()));
                 context.close();
@@ -62,24 +62,24 @@
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, HttpObject part) {
-        if (over) {
+    protected void channelRead0(ChannelHandlerContext context, HttpObject message) {
+        if (ended) {
             return;
         }
-        if (part.decoderResult().isFailure()) {
-            fail("the answer is not sound HTTP");
+        if (message.decoderResult().isFailure()) {
+            fail("the response is not valid HTTP");
             context.close();
             return;
         }
-        if (part instanceof HttpResponse response && !head(response)) {
+        if (message instanceof HttpResponse response && !handleHeaders(response)) {
             context.close();
             return;
         }
-        if (part instanceof HttpContent content && content.content().isReadable()) {
+        if (message instanceof HttpContent content && content.content().isReadable()) {
             listener.content(ByteBufUtil.getBytes(content.content()));
         }
-        if (part instanceof LastHttpContent && !over) {
-            over = true;
+        if (message instanceof LastHttpContent && !ended) {
+            ended = true;
             listener.ended();
             context.close();
         }
@@ -87,7 +87,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        fail("the connection ended before the answer did");
+        fail("the connection closed before the response was complete");
     }
 
     @Override
@@ -96,13 +96,13 @@
         context.close();
     }
 
-    private boolean head(HttpResponse response) {
+    private boolean handleHeaders(HttpResponse response) {
         int status = response.status().code();
-        boolean bodiless = call.method().equals("HEAD")
+        boolean bodiless = request.method().equals("HEAD")
                 || status == HttpResponseStatus.NO_CONTENT.code()
                 || status == HttpResponseStatus.NOT_MODIFIED.code();
         if (!bodiless && !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response)) {
-            fail("the answer does not say where it ends");
+            fail("the response has neither a content length nor chunked encoding");
             return false;
         }
         listener.head(status, response.headers());
@@ -110,10 +110,10 @@
     }
 
     private void fail(String reason) {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
-        listener.failed(handedOver, reason);
+        ended = true;
+        listener.failed(maybeSent, reason);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeListener.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeListener.java
@@ -3,34 +3,34 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Hears how an exchange goes, on one event loop. After {@code ended} or {@code failed} it hears nothing more; after the
- * exchange was closed it hears nothing at all.
+ * Receives the response of an exchange, on one event loop. No method is called after {@code ended} or {@code failed}, or
+ * after the exchange was closed.
  */
 public interface ExchangeListener {
 
     /**
-     * The head of the answer came.
+     * Called when the status and headers of the response were received.
      *
-     * @param status the status
+     * @param status the HTTP status
      * @param headers the headers
      */
     void head(int status, HttpHeaders headers);
 
     /**
-     * A piece of the body came.
+     * Called when a chunk of the body was received.
      *
      * @param bytes the bytes
      */
     void content(byte[] bytes);
 
-    /** The body ended as its length or its chunks say. */
+    /** Called when the body was received completely according to its content length or chunked encoding. */
     void ended();
 
     /**
-     * The exchange failed before the body's end.
+     * Called when the exchange failed before the end of the body.
      *
-     * @param handedOver whether any byte of the request may have been handed to the transport
-     * @param reason a short sentence
+     * @param maybeSent whether any byte of the request may have been sent
+     * @param reason a short description of the failure
      */
-    void failed(boolean handedOver, String reason);
+    void failed(boolean maybeSent, String reason);
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Exchanges.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Exchanges.java
@@ -10,15 +10,15 @@
 import ratpack.util.internal.TransportDetector;
 
 /**
- * Makes calls whose answers are watched as they come, each on a connection of its own.
+ * Sends HTTP requests whose responses are processed incrementally, each on a dedicated connection.
  *
- * <p>Ratpack's client cannot be stopped before the answer's head is there, and does not tell whether a request was
- * written; so these calls use the HTTP codec of the Netty that Ratpack brings. A connection is not used twice: one that
- * went silent harms one attempt only, and no late answer of an earlier call can be taken for that of the next. Thread
+ * <p>Ratpack's client cannot be cancelled before the response headers arrive, and does not report whether a request was
+ * written. This client therefore uses the HTTP codec of Netty, which Ratpack depends on. Connections are not reused: an
+ * unresponsive one affects one attempt only, and a late response cannot be mistaken for that of a later request. Thread
  * safe.
  */
 public final class Exchanges {
-    private static final int MAX_LINE_BYTES = 8_192;
+    private static final int MAX_STATUS_LINE_BYTES = 8_192;
     private static final int MAX_HEADER_BYTES = 32_768;
     private static final int MAX_CHUNK_BYTES = 65_536;
 
@@ -29,26 +29,26 @@
     }
 
     /**
-     * Makes a starter of exchanges.
+     * Creates a client.
      *
-     * @param connectTimeoutMillis when connecting is given up
-     * @return the starter
+     * @param connectTimeoutMillis the timeout for establishing a connection
+     * @return the client
      */
     public static Exchanges of(long connectTimeoutMillis) {
         return new Exchanges(Math.toIntExact(connectTimeoutMillis));
     }
 
     /**
-     * Begins a call.
+     * Connects and sends a request.
      *
-     * @param loop the event loop on which everything about it happens
-     * @param call the call
-     * @param listener hears how it goes
-     * @return the exchange, by which it can be closed
+     * @param loop the event loop that handles the connection
+     * @param request the request
+     * @param listener receives the response
+     * @return the exchange, which can be closed
      */
-    public Exchange start(EventLoop loop, ExchangeCall call, ExchangeListener listener) {
-        ExchangeHandler handler = new ExchangeHandler(call, listener);
-        ChannelFuture connected = new Bootstrap()
+    public Exchange start(EventLoop loop, ExchangeCall request, ExchangeListener listener) {
+        ExchangeHandler handler = new ExchangeHandler(request, listener);
+        ChannelFuture connecting = new Bootstrap()
                 .group(loop)
                 .channel(TransportDetector.getSocketChannelImpl())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMillis)
@@ -57,16 +57,16 @@
                     @Override
                     protected void initChannel(SocketChannel channel) {
                         channel.pipeline()
-                                .addLast(new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
+                                .addLast(new HttpClientCodec(MAX_STATUS_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES))
                                 .addLast(handler);
                     }
                 })
-                .connect(call.address(), call.port());
-        connected.addListener(done -> {
+                .connect(request.address(), request.port());
+        connecting.addListener(done -> {
             if (!done.isSuccess()) {
-                handler.notConnected(done.cause());
+                handler.connectFailed(done.cause());
             }
         });
-        return new Exchange(connected.channel(), handler);
+        return new Exchange(connecting.channel(), handler);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Failures.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Failures.java
@@ -4,34 +4,34 @@
 
 import io.netty.channel.ConnectTimeoutException;
 
-/** Turns what went wrong on a connection into a short sentence without addresses. Stateless and thread safe. */
+/** Describes connection errors in short texts without addresses. Stateless and thread safe. */
 public final class Failures {
-    private static final String REFUSED = "refused";
+    private static final String REFUSED_MESSAGE = "refused";
 
     private Failures() {}
 
     /**
-     * Tells whether a connection was refused, so that no process listens at the address.
+     * Returns whether a connection was refused, which shows that no process listens on the address.
      *
-     * @param error what went wrong
-     * @return whether it was refused; a timeout is no refusal
+     * @param error the connection error
+     * @return whether it was refused; a timeout does not count as refused
      */
     public static boolean isRefused(Throwable error) {
         return error instanceof ConnectException
                 && !(error instanceof ConnectTimeoutException)
-                && String.valueOf(error.getMessage()).contains(REFUSED);
+                && String.valueOf(error.getMessage()).contains(REFUSED_MESSAGE);
     }
 
     /**
-     * Puts what went wrong into words.
+     * Describes a connection error.
      *
-     * @param error what went wrong
-     * @return a short sentence
+     * @param error the connection error
+     * @return a short description
      */
     public static String reasonOf(Throwable error) {
         if (isRefused(error)) {
-            return "the connection was refused";
+            return "connection refused";
         }
-        return error instanceof ConnectException ? "the connection could not be made" : "the connection broke";
+        return error instanceof ConnectException ? "cannot connect" : "connection failed";
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WaitingBytes.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WaitingBytes.java
@@ -9,17 +9,17 @@
 import org.tinylog.Logger;
 
 /**
- * Reads what has come over a connection and still waits in its socket, so that it isn't ended as idle while a request
- * waits there. Stateless; called on the connection's event loop.
+ * Reads the input that is pending in the socket of a connection, so that the connection is not closed as idle while a
+ * request is pending. Stateless; must be called on the connection's event loop.
  */
 public final class WaitingBytes {
-    private static final int MOST_BYTES = 65_536;
-    private static final int ENDED = -1;
+    private static final int MAX_READ_BYTES = 65_536;
+    private static final int END_OF_STREAM = -1;
 
     private WaitingBytes() {}
 
     /**
-     * Hands all that has come to the connection's handlers.
+     * Reads the pending input and passes it to the connection's handlers.
      *
      * @param channel the connection
      */
@@ -31,12 +31,12 @@
         if (!channel.isActive()) {
             return;
         }
-        // The library has no call for this: its own read waits for the next turn of the event loop.
-        ByteBuf bytes = channel.alloc().directBuffer(MOST_BYTES);
+        // Netty has no synchronous read: Channel.read() takes effect only in a later iteration of the event loop.
+        ByteBuf bytes = channel.alloc().directBuffer(MAX_READ_BYTES);
         int count = read(epoll, bytes);
         if (count <= 0) {
             bytes.release();
-            if (count == ENDED) {
+            if (count == END_OF_STREAM) {
                 channel.close();
             }
             return;
@@ -48,11 +48,11 @@
 
     private static int read(EpollSocketChannel channel, ByteBuf bytes) {
         try {
-            ByteBuffer space = bytes.internalNioBuffer(0, MOST_BYTES);
-            return channel.fd().read(space, space.position(), space.limit());
+            ByteBuffer buffer = bytes.internalNioBuffer(0, MAX_READ_BYTES);
+            return channel.fd().read(buffer, buffer.position(), buffer.limit());
         } catch (IOException e) {
-            Logger.debug(e, "a connection broke before its end");
-            return ENDED;
+            Logger.debug(e, "cannot read the pending input of a connection");
+            return END_OF_STREAM;
         }
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebCall.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 
 /**
- * A short HTTP call. Immutable and thread safe as long as nobody writes into the body.
+ * A short HTTP request. Immutable and thread safe as long as the body array is not modified.
  *
- * @param method the method
- * @param uri where to
- * @param headers further headers
- * @param body the body, empty for none; JSON unless the headers say otherwise
- * @param timeoutMillis when it is given up
+ * @param method the HTTP method
+ * @param uri the URI
+ * @param headers the additional headers
+ * @param body the body, or empty; JSON unless the headers set another media type
+ * @param timeoutMillis the timeout of the complete exchange
  */
 public record WebCall(String method, URI uri, Map<String, String> headers, byte[] body, long timeoutMillis) {
     public WebCall {
@@ -22,49 +22,49 @@
     }
 
     /**
-     * Makes a call that reads.
+     * Creates a GET request.
      *
-     * @param uri where to
-     * @param timeoutMillis when it is given up
-     * @return the call
+     * @param uri the URI
+     * @param timeoutMillis the timeout of the complete exchange
+     * @return the request
      */
     public static WebCall get(URI uri, long timeoutMillis) {
         return new WebCall("GET", uri, Map.of(), new byte[0], timeoutMillis);
     }
 
     /**
-     * Makes a call that posts JSON.
+     * Creates a POST request with a JSON body.
      *
-     * @param uri where to
+     * @param uri the URI
      * @param json the body
-     * @param timeoutMillis when it is given up
-     * @return the call
+     * @param timeoutMillis the timeout of the complete exchange
+     * @return the request
      */
     public static WebCall post(URI uri, byte[] json, long timeoutMillis) {
         return new WebCall("POST", uri, Map.of(), json, timeoutMillis);
     }
 
     /**
-     * Makes a call that deletes.
+     * Creates a DELETE request.
      *
-     * @param uri where to
-     * @param timeoutMillis when it is given up
-     * @return the call
+     * @param uri the URI
+     * @param timeoutMillis the timeout of the complete exchange
+     * @return the request
      */
     public static WebCall delete(URI uri, long timeoutMillis) {
         return new WebCall("DELETE", uri, Map.of(), new byte[0], timeoutMillis);
     }
 
     /**
-     * Copies this call with one more header.
+     * Returns a copy of this request with an additional header.
      *
-     * @param name the header
-     * @param value its value
+     * @param name the header's name
+     * @param value the header's value
      * @return the copy
      */
     public WebCall withHeader(String name, String value) {
-        Map<String, String> more = new java.util.HashMap<>(headers);
-        more.put(name, value);
-        return new WebCall(method, uri, more, body, timeoutMillis);
+        Map<String, String> extendedHeaders = new java.util.HashMap<>(headers);
+        extendedHeaders.put(name, value);
+        return new WebCall(method, uri, extendedHeaders, body, timeoutMillis);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebClient.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebClient.java
@@ -14,9 +14,9 @@
 import ratpack.http.client.RequestSpec;
 
 /**
- * Makes short calls to targets and the platform with Ratpack's client, each on a connection of its own.
+ * Sends short HTTP requests to targets and the platform with Ratpack's client, each on a dedicated connection.
  *
- * <p>Invariant: each call ends with one reply, at the latest at its timeout. Thread safe.
+ * <p>Invariant: each request completes with one result, at the latest at its timeout. Thread safe.
  */
 public final class WebClient implements AutoCloseable {
     private final ExecController controller;
@@ -33,46 +33,47 @@
     }
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param controller what runs the calls
-     * @param connectTimeoutMillis when connecting is given up
-     * @param maxAnswerBytes the largest answer
-     * @param sentBytes told how many bytes of bodies went out
-     * @param receivedBytes told how many bytes of bodies came in
+     * @param controller runs the requests
+     * @param connectTimeoutMillis the timeout for establishing a connection
+     * @param maxResponseBytes the maximum size of a response body
+     * @param sentBytes receives the number of body bytes of each request
+     * @param receivedBytes receives the number of body bytes of each response
      * @return the client
      */
     public static WebClient of(
             ExecController controller,
             long connectTimeoutMillis,
-            int maxAnswerBytes,
+            int maxResponseBytes,
             LongConsumer sentBytes,
             LongConsumer receivedBytes) {
         HttpClient client = Try.of(() -> HttpClient.of(spec -> spec.execController(controller)
                         .useJdkAddressResolver()
                         .poolSize(0)
                         .connectTimeout(Duration.ofMillis(connectTimeoutMillis))
-                        .maxContentLength(maxAnswerBytes)))
+                        .maxContentLength(maxResponseBytes)))
                 .get();
         return new WebClient(controller, client, sentBytes, receivedBytes);
     }
 
     /**
-     * Makes a call.
+     * Sends a request.
      *
-     * @param call the call
-     * @return its end, which never fails
+     * @param request the request
+     * @return the result, which never completes exceptionally
      */
-    public CompletableFuture<WebReply> send(WebCall call) {
-        CompletableFuture<WebReply> reply = new CompletableFuture<>();
-        sentBytes.accept(call.body().length);
-        controller.fork().onError(error -> reply.complete(replyOf(error))).start(execution -> client.request(
-                        call.uri(), spec -> write(call, spec))
-                .onError(error -> reply.complete(replyOf(error)))
-                .then(response -> reply.complete(replyOf(response))));
-        // Ratpack's own timeout starts anew with each byte: an answer that trickles in would be waited for without end.
-        return reply.completeOnTimeout(
-                new WebReply.Lost("no answer came in time"), call.timeoutMillis(), TimeUnit.MILLISECONDS);
+    public CompletableFuture<WebReply> send(WebCall request) {
+        CompletableFuture<WebReply> result = new CompletableFuture<>();
+        sentBytes.accept(request.body().length);
+        controller.fork().onError(error -> result.complete(resultOf(error))).start(execution -> client.request(
+                        request.uri(), spec -> configure(request, spec))
+                .onError(error -> result.complete(resultOf(error)))
+                .then(response -> result.complete(resultOf(response))));
+        // Ratpack restarts its read timeout with each received byte, so it does not limit the duration of a slow
+        // response.
+        return result.completeOnTimeout(
+                new WebReply.Lost("no response within the timeout"), request.timeoutMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -80,23 +81,23 @@
         client.close();
     }
 
-    private static void write(WebCall call, RequestSpec spec) {
-        spec.method(HttpMethod.of(call.method()));
+    private static void configure(WebCall request, RequestSpec spec) {
+        spec.method(HttpMethod.of(request.method()));
         spec.redirects(0);
-        spec.readTimeout(Duration.ofMillis(call.timeoutMillis()));
-        call.headers().forEach((name, value) -> spec.getHeaders().set(name, value));
-        if (call.body().length > 0) {
-            spec.getBody().type("application/json").bytes(call.body());
+        spec.readTimeout(Duration.ofMillis(request.timeoutMillis()));
+        request.headers().forEach((name, value) -> spec.getHeaders().set(name, value));
+        if (request.body().length > 0) {
+            spec.getBody().type("application/json").bytes(request.body());
         }
     }
 
-    private WebReply replyOf(ReceivedResponse response) {
+    private WebReply resultOf(ReceivedResponse response) {
         byte[] body = response.getBody().getBytes();
         receivedBytes.accept(body.length);
         return new WebReply.Answered(response.getStatusCode(), body);
     }
 
-    private static WebReply replyOf(Throwable error) {
+    private static WebReply resultOf(Throwable error) {
         String reason = Failures.reasonOf(error);
         return error instanceof ConnectException ? new WebReply.NotSent(reason) : new WebReply.Lost(reason);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebReply.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebReply.java
@@ -1,18 +1,18 @@
 package org.rattanplank.daemon.http;
 
-/** How a short HTTP call ended. Immutable and thread safe. */
+/** Result of a short HTTP request. Immutable and thread safe. */
 public sealed interface WebReply {
 
     /**
-     * An answer came, whatever its status.
+     * A response was received, with any status.
      *
-     * @param status the status
+     * @param status the HTTP status
      * @param body the body
      */
     record Answered(int status, byte[] body) implements WebReply {
 
         /**
-         * Tells whether the call did what it asked for.
+         * Returns whether the request succeeded.
          *
          * @return whether the status is 2xx
          */
@@ -22,23 +22,23 @@
     }
 
     /**
-     * No connection could be made, so the other side has seen nothing.
+     * The connection could not be established, so no byte of the request was sent.
      *
-     * @param reason a short sentence
+     * @param reason a short description of the failure
      */
     record NotSent(String reason) implements WebReply {}
 
     /**
-     * The call was sent, or may have been, and no answer came.
+     * The request was or may have been sent, but no complete response was received.
      *
-     * @param reason a short sentence
+     * @param reason a short description of the failure
      */
     record Lost(String reason) implements WebReply {}
 
     /**
-     * The answer of a call that succeeded.
+     * Returns the response body of a successful request.
      *
-     * @return the answer's body, or none
+     * @return the body, or none if the request did not succeed
      */
     default io.vavr.control.Option<byte[]> successBody() {
         return this instanceof Answered answered && answered.isSuccess()
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/DaemonMetrics.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/DaemonMetrics.java
@@ -11,7 +11,7 @@
 import org.rattanplank.core.store.StoreReply;
 import org.rattanplank.gateway.PrometheusText;
 
-/** The numbers of one entry host, by Dropwizard Metrics. Thread safe. */
+/** Metrics of one entry host, recorded with Dropwizard Metrics. Thread safe. */
 public final class DaemonMetrics {
     private static final String PREFIX = "rattanplank_";
     private static final String ANSWERED = "answered";
@@ -19,38 +19,38 @@
     private final MetricRegistry registry = new MetricRegistry();
 
     /**
-     * Counts a request's outcome.
+     * Records the outcome of a request.
      *
      * @param outcome the outcome
-     * @param claimed whether the request was one that may not be repeated
+     * @param claimed whether the request must not be retried and therefore needs a claim
      */
-    public void finished(Outcome outcome, boolean claimed) {
+    public void requestFinished(Outcome outcome, boolean claimed) {
         String labels =
                 "outcome=\"%s\",step=\"%s\",claimed=\"%s\"".formatted(outcome.label(), stepOf(outcome), claimed);
         registry.counter(name("requests_total", labels)).inc();
     }
 
-    /** Counts a request whose asker left before its outcome. */
-    public void askerLeft() {
+    /** Counts a request whose requester disconnected before the outcome. */
+    public void requesterLeft() {
         registry.counter(name("askers_left_total", "")).inc();
     }
 
     /**
-     * Counts an attempt and its time.
+     * Records the result and duration of an attempt.
      *
-     * @param kind target or peer
-     * @param result how it ended
-     * @param tookNanos how long it took
+     * @param kind {@code target} or {@code forward}
+     * @param result the result
+     * @param durationNanos the duration
      */
-    public void attemptEnded(String kind, AttemptResult result, long tookNanos) {
+    public void attemptEnded(String kind, AttemptResult result, long durationNanos) {
         String labels = "kind=\"%s\",result=\"%s\",step=\"%s\"".formatted(kind, labelOf(result), stepOf(result));
-        registry.timer(name("attempts", labels)).update(tookNanos, TimeUnit.NANOSECONDS);
+        registry.timer(name("attempts", labels)).update(durationNanos, TimeUnit.NANOSECONDS);
     }
 
     /**
      * Counts a call to the store.
      *
-     * @param reply how it ended
+     * @param reply the reply of the store
      */
     public void storeReplied(StoreReply reply) {
         String label = reply.getClass().getSimpleName().toLowerCase(java.util.Locale.ROOT);
@@ -58,11 +58,11 @@
     }
 
     /**
-     * Counts bytes between hosts, or between this host and the platform and targets.
+     * Counts bytes transferred between hosts, or between this host and the platform or targets.
      *
-     * @param kind control for all that is not a caller's request or its answer, forward for the rest
-     * @param direction in or out
-     * @param bytes how many
+     * @param kind {@code forward} for forwarded requests and their responses, {@code control} for all other traffic
+     * @param direction {@code in} or {@code out}
+     * @param bytes the number of bytes
      */
     public void traffic(String kind, String direction, long bytes) {
         String labels = "kind=\"%s\",direction=\"%s\"".formatted(kind, direction);
@@ -72,7 +72,7 @@
     /**
      * Counts a message about claims.
      *
-     * @param direction in or out
+     * @param direction {@code in} or {@code out}
      */
     public void claimMessage(String direction) {
         registry.counter(name("claim_messages_total", "direction=\"" + direction + "\""))
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Shows a number that is read when it is asked for.
+     * Registers a gauge that is evaluated whenever the metrics are read.
      *
-     * @param name its name
-     * @param value reads it
+     * @param name the metric's name without prefix
+     * @param value supplies the current value
      */
     public void gauge(String name, IntSupplier value) {
         Gauge<Integer> gauge = value::getAsInt;
@@ -91,9 +91,9 @@
     }
 
     /**
-     * Writes all numbers.
+     * Returns all metrics.
      *
-     * @return Prometheus's text format
+     * @return the metrics in Prometheus text format
      */
     public String text() {
         return PrometheusText.of(registry);
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/LinkTraffic.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/LinkTrafficCounter.java
@@ -8,15 +8,15 @@
 import org.rattanplank.schema.message.RequestMessage;
 
 /**
- * Counts what goes over links: control apart from forwarded requests. Immutable and thread safe.
+ * Counts the bytes and claim messages on peer links, with forwarded requests separate from control traffic. Immutable and thread safe.
  *
- * @param metrics the numbers
+ * @param metrics the metrics to update
  */
-public record LinkTraffic(DaemonMetrics metrics) implements Traffic {
+public record LinkTrafficCounter(DaemonMetrics metrics) implements Traffic {
     private static final String IN = "in";
     private static final String OUT = "out";
 
-    public LinkTraffic {
+    public LinkTrafficCounter {
         Objects.requireNonNull(metrics, "metrics");
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/operator/OperatorServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/operator/OperatorServer.java
@@ -14,7 +14,7 @@
 import ratpack.server.RatpackServer;
 import ratpack.server.ServerConfig;
 
-/** The port for operators: status, explanations, draining and metrics. Thread safe. */
+/** HTTP server for operators: status, explanations of requests, draining and metrics. Thread safe. */
 public final class OperatorServer implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int ACCEPTED = 202;
@@ -28,12 +28,12 @@
     private Option<RatpackServer> server = Option.none();
 
     /**
-     * Makes a server that is not open yet.
+     * Creates a server that is not open yet.
      *
      * @param node the node
-     * @param drain begins a graceful stop
+     * @param drain starts a graceful stop
      * @param clock the clock
-     * @param metrics writes the metrics as text
+     * @param metrics supplies the metrics in Prometheus text format
      */
     public OperatorServer(Node node, Runnable drain, MillisClock clock, java.util.function.Supplier<String> metrics) {
         this.node = node;
@@ -46,8 +46,8 @@
      * Opens the port.
      *
      * @param address the IP address
-     * @param port the port, zero for a free one
-     * @return the port that is open, or why none is
+     * @param port the port, or zero for any free port
+     * @return the bound port, or the error if it cannot be opened
      */
     public Try<Integer> open(String address, int port) {
         return Try.of(() -> {
@@ -58,11 +58,11 @@
                     .development(false)
                     .registerShutdownHook(false)
                     .build();
-            RatpackServer made =
+            RatpackServer started =
                     RatpackServer.of(spec -> spec.serverConfig(config).handlers(this::addHandlers));
-            made.start();
-            server = Option.some(made);
-            return made.getBindPort();
+            started.start();
+            server = Option.some(started);
+            return started.getBindPort();
         });
     }
 
@@ -83,12 +83,12 @@
         String requestId = context.getPathTokens().get("id");
         node.explain(requestId).peek(explanation -> send(context, explanation)).onEmpty(() -> {
             context.getResponse().status(NOT_FOUND);
-            send(context, Map.of("reason", "the request is not among the newest of this host"));
+            send(context, Map.of("reason", "the request is not among the most recent requests of this host"));
         });
     }
 
     private void drain(Context context) {
-        Logger.info("operator: a graceful stop was asked for");
+        Logger.info("operator: graceful stop requested");
         drain.run();
         context.getResponse().status(ACCEPTED);
         send(context, Map.of("draining", true));
@@ -96,7 +96,7 @@
 
     private static void send(Context context, Object value) {
         byte[] body = Try.of(() -> JSON.writeValueAsBytes(value))
-                .onFailure(error -> Logger.error(error, "operator: an answer cannot be written"))
+                .onFailure(error -> Logger.error(error, "operator: cannot serialize a response"))
                 .getOrElse(new byte[0]);
         context.getResponse().send(JSON_TYPE, body);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/Events.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/Events.java
@@ -2,21 +2,21 @@
 
 import org.rattanplank.core.Event;
 
-/** Where the parts of the daemon hand in what happened. Implementations are thread safe and never block. */
+/** Accepts events from the components of the daemon. Implementations are thread safe and never block. */
 public interface Events {
 
     /**
-     * Hands in an event that must not be lost.
+     * Submits an event that must not be rejected.
      *
      * @param event the event
      */
     void raise(Event event);
 
     /**
-     * Hands in new work, which may be refused when too many events wait.
+     * Submits an event that starts new work and is rejected when too many events are queued.
      *
      * @param event the event
-     * @return whether it was taken
+     * @return whether the event was accepted
      */
     boolean offer(Event event);
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/MillisClock.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/MillisClock.java
@@ -3,10 +3,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time in milliseconds since the epoch, as the core sees it. Immutable and thread safe.
+ * Clock of the core, in milliseconds since the epoch. Immutable and thread safe.
  *
- * <p>Invariant: it never falls. It takes the wall clock once, at the start, and counts on by the monotonic clock, so
- * that a step of the wall clock moves no deadline.
+ * <p>Invariant: the time never decreases. The wall clock is read once at creation, and the monotonic clock advances the
+ * time from there, so that an adjustment of the wall clock does not shift deadlines.
  */
 public final class MillisClock {
     private final long startMillis;
@@ -18,7 +18,7 @@
     }
 
     /**
-     * Makes a clock that starts at the wall clock's time.
+     * Creates a clock that starts at the current wall clock time.
      *
      * @return the clock
      */
@@ -27,18 +27,18 @@
     }
 
     /**
-     * Reads the clock.
+     * Returns the current time.
      *
-     * @return the time
+     * @return the time in milliseconds since the epoch
      */
     public long nowMillis() {
         return startMillis + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     /**
-     * The time at which the clock was made.
+     * Returns the time at which the clock was created.
      *
-     * @return the process's start time
+     * @return the time in milliseconds since the epoch
      */
     public long startMillis() {
         return startMillis;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
@@ -13,28 +13,28 @@
 import org.tinylog.Logger;
 
 /**
- * Drives the node with a fixed pool of workers.
+ * Runs the node on a fixed pool of worker threads.
  *
- * <p>Invariant: events with the same key (a request, a peer, a part that calls the store) are handled in the order in
- * which they were handed in, since one worker takes them all; others may overtake each other. Actions of one event are
- * carried out in order by the worker that handled it, with none of the core's locks held. Thread safe.
+ * <p>Invariant: events with the same key (a request, a peer, or an owner of store calls) are handled in the order of
+ * submission, since they are assigned to the same worker; events with different keys are not ordered. The actions of an
+ * event are executed in order by the worker that handled it, without holding locks of the core. Thread safe.
  */
 public final class NodeRunner implements Events, AutoCloseable {
-    private static final long CLOSE_MILLIS = 1_000;
+    private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
     private final Node node;
     private final MillisClock clock;
-    private final Actions actions;
+    private final ActionExecutor actionExecutor;
     private final List<ExecutorService> workers;
     private final ScheduledExecutorService ticker;
     private final AtomicInteger backlog = new AtomicInteger();
     private final int maxBacklog;
-    private volatile boolean tickWaits;
+    private volatile boolean tickPending;
 
-    private NodeRunner(Node node, MillisClock clock, Actions actions, int workers, int maxBacklog) {
+    private NodeRunner(Node node, MillisClock clock, ActionExecutor actionExecutor, int workers, int maxBacklog) {
         this.node = node;
         this.clock = clock;
-        this.actions = actions;
+        this.actionExecutor = actionExecutor;
         this.maxBacklog = maxBacklog;
         this.workers = List.range(0, workers)
                 .map(number -> Executors.newSingleThreadExecutor(task -> daemonThread(task, "worker-" + number)));
@@ -42,32 +42,33 @@
     }
 
     /**
-     * Makes a runner whose workers wait for events.
+     * Creates a runner with idle workers.
      *
      * @param node the node
      * @param clock the clock
-     * @param actions what carries out the node's actions
-     * @param workers how many workers there are
-     * @param maxBacklog how many events may wait before new work is refused
+     * @param actionExecutor executes the node's actions
+     * @param workers the number of worker threads
+     * @param maxBacklog the number of queued events from which new work is rejected
      * @return the runner
      */
-    public static NodeRunner of(Node node, MillisClock clock, Actions actions, int workers, int maxBacklog) {
-        return new NodeRunner(node, clock, actions, workers, maxBacklog);
+    public static NodeRunner of(
+            Node node, MillisClock clock, ActionExecutor actionExecutor, int workers, int maxBacklog) {
+        return new NodeRunner(node, clock, actionExecutor, workers, maxBacklog);
     }
 
     /**
-     * Counts the events that wait for a worker.
+     * Returns the number of events that are queued for a worker.
      *
-     * @return the number
+     * @return the number of events
      */
     public int backlog() {
         return backlog.get();
     }
 
     /**
-     * Begins to tell the node that time passes.
+     * Starts raising tick events periodically.
      *
-     * @param intervalMillis how often
+     * @param intervalMillis the interval between ticks
      */
     public void startTicking(long intervalMillis) {
         ticker.scheduleWithFixedDelay(this::tick, intervalMillis, intervalMillis, TimeUnit.MILLISECONDS);
@@ -96,46 +97,50 @@
     public void close() {
         ticker.shutdownNow();
         workers.forEach(ExecutorService::shutdown);
-        workers.forEach(NodeRunner::awaitEnd);
+        workers.forEach(NodeRunner::awaitTermination);
     }
 
     private void tick() {
-        // A tick that still waits says the same as the next one: without this, workers that fall behind would find
-        // their queues full of ticks.
-        if (tickWaits) {
+        // A queued tick makes a further one redundant. Without this check the queues of overloaded workers would fill
+        // with ticks.
+        if (tickPending) {
             return;
         }
-        tickWaits = true;
+        tickPending = true;
         raise(new Event.Ticked());
     }
 
     private void handle(Event event) {
         backlog.decrementAndGet();
         if (event instanceof Event.Ticked) {
-            tickWaits = false;
+            tickPending = false;
         }
         try {
             for (Action action : node.handle(event, clock.nowMillis())) {
-                carryOut(action);
+                execute(action);
             }
         } catch (RuntimeException e) {
-            Logger.error(e, "worker: an event failed: {}", event.getClass().getSimpleName());
+            Logger.error(
+                    e, "worker: error while handling event {}", event.getClass().getSimpleName());
         }
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         try {
-            actions.carryOut(action);
+            actionExecutor.execute(action);
         } catch (RuntimeException e) {
-            Logger.error(e, "worker: an action failed: {}", action.getClass().getSimpleName());
+            Logger.error(
+                    e,
+                    "worker: error while executing action {}",
+                    action.getClass().getSimpleName());
         }
     }
 
     private static String keyOf(Event event) {
-        if (event instanceof Event.CallerAsked asked) {
-            return asked.request().id();
-        } else if (event instanceof Event.PeerAsked asked) {
-            return asked.request().id();
+        if (event instanceof Event.CallerAsked requested) {
+            return requested.request().id();
+        } else if (event instanceof Event.PeerAsked requested) {
+            return requested.request().id();
         } else if (event instanceof Event.AskerLeft left) {
             return left.requestId();
         } else if (event instanceof Event.StreamProgressed progressed) {
@@ -144,8 +149,8 @@
             return ended.requestId();
         } else if (event instanceof Event.PeerConnected connected) {
             return connected.host();
-        } else if (event instanceof Event.PeerLost lost) {
-            return lost.host();
+        } else if (event instanceof Event.PeerLost disconnected) {
+            return disconnected.host();
         } else if (event instanceof Event.MessageReceived received) {
             return received.host();
         } else if (event instanceof Event.StoreReplied replied) {
@@ -158,9 +163,9 @@
         return event.getClass().getSimpleName();
     }
 
-    private static void awaitEnd(ExecutorService worker) {
+    private static void awaitTermination(ExecutorService worker) {
         try {
-            worker.awaitTermination(CLOSE_MILLIS, TimeUnit.MILLISECONDS);
+            worker.awaitTermination(CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/Resources.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/Resources.java
@@ -7,12 +7,12 @@
 import org.rattanplank.daemon.http.WebClient;
 
 /**
- * What the parts that talk to others share. Immutable and thread safe.
+ * Resources shared by the components that communicate with targets, peers and the platform. Immutable and thread safe.
  *
- * @param loops Ratpack's event loops
- * @param client makes short calls
- * @param exchanges makes calls whose answers are watched as they come
- * @param events hears what happens
+ * @param loops the event loops of Ratpack
+ * @param client sends short requests
+ * @param exchanges sends requests whose responses are processed incrementally
+ * @param events receives the events of the components
  * @param clock the clock
  */
 public record Resources(EventLoopGroup loops, WebClient client, Exchanges exchanges, Events events, MillisClock clock) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/LogSpanExporter.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/LogSpanExporter.java
@@ -15,7 +15,7 @@
     public CompletableResultCode export(Collection<SpanData> spans) {
         for (SpanData span : spans) {
             Logger.info(
-                    "trace: {} {} {} under {} took {} us {}",
+                    "trace: name={} trace={} span={} parent={} micros={} {}",
                     span.getName(),
                     span.getTraceId(),
                     span.getSpanId(),
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/Traces.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/RequestTracer.java
@@ -16,11 +16,11 @@
 import org.rattanplank.daemon.call.AttemptKey;
 
 /**
- * The spans of requests in flight: one for the request at this host, one for each attempt below it.
+ * Records the spans of requests in flight: one for each request at this host, with a child span for each attempt.
  *
- * <p>Invariant: a span is in the table from its start until its end. Thread safe; the tables have no lock of their own.
+ * <p>Invariant: a span is in its table from start to end. Thread safe without locks.
  */
-public final class Traces implements AutoCloseable {
+public final class RequestTracer implements AutoCloseable {
     private static final String TRACE_PARENT = "traceparent";
     private static final W3CTraceContextPropagator W3C = W3CTraceContextPropagator.getInstance();
 
@@ -29,29 +29,29 @@
     private final Map<String, Span> requests = new ConcurrentHashMap<>();
     private final Map<AttemptKey, Span> attempts = new ConcurrentHashMap<>();
 
-    private Traces(OpenTelemetry telemetry) {
+    private RequestTracer(OpenTelemetry telemetry) {
         this.telemetry = telemetry;
         tracer = telemetry.getTracer("org.rattanplank");
     }
 
     /**
-     * Makes traces that hold no span.
+     * Creates a tracer without spans.
      *
-     * @param exporter where spans go
+     * @param exporter the destination of spans
      * @param host this host's name
-     * @param url the collector's address, or empty
-     * @return the traces
+     * @param url the URL of the collector, or empty
+     * @return the tracer
      */
-    public static Traces of(TraceExporter exporter, String host, String url) {
-        return new Traces(exporter.open(host, url));
+    public static RequestTracer of(TraceExporter exporter, String host, String url) {
+        return new RequestTracer(exporter.open(host, url));
     }
 
     /**
-     * Begins a request's span.
+     * Starts the span of a request.
      *
-     * @param requestId the request
-     * @param name entry or peer
-     * @param traceParent the trace context of whoever asked, or empty
+     * @param requestId the request's identifier
+     * @param name {@code entry} or {@code peer}
+     * @param traceParent the trace context of the requester, or empty
      */
     public void requestStarted(String requestId, String name, String traceParent) {
         Context parent = W3C.extract(Context.root(), Map.of(TRACE_PARENT, traceParent), new MapGetter());
@@ -65,23 +65,23 @@
     }
 
     /**
-     * Ends a request's span.
+     * Ends the span of a request.
      *
-     * @param requestId the request
+     * @param requestId the request's identifier
      * @param outcome the outcome's label
-     * @param step the step at which an error arose, or empty
+     * @param step the step that failed, or empty
      */
     public void requestEnded(String requestId, String outcome, String step) {
         Option.of(requests.remove(requestId)).forEach(span -> end(span, outcome, step));
     }
 
     /**
-     * Begins an attempt's span.
+     * Starts the span of an attempt.
      *
      * @param key the attempt
-     * @param name target or forward
-     * @param peer the other side
-     * @return the trace context for the other side, or empty
+     * @param name {@code target} or {@code forward}
+     * @param peer the target or host that the attempt is sent to
+     * @return the trace context to propagate, or empty
      */
     public String attemptStarted(AttemptKey key, String name, String peer) {
         Context parent = Option.of(requests.get(key.requestId()))
@@ -95,16 +95,16 @@
                 .startSpan();
         attempts.put(key, span);
         Map<String, String> carrier = new HashMap<>();
-        W3C.inject(Context.root().with(span), carrier, (map, name1, value) -> map.put(name1, value));
+        W3C.inject(Context.root().with(span), carrier, (map, header, value) -> map.put(header, value));
         return carrier.getOrDefault(TRACE_PARENT, "");
     }
 
     /**
-     * Ends an attempt's span.
+     * Ends the span of an attempt.
      *
      * @param key the attempt
-     * @param result how it ended
-     * @param step the step at which an error arose, or empty
+     * @param result the result's label
+     * @param step the step that failed, or empty
      */
     public void attemptEnded(AttemptKey key, String result, String step) {
         Option.of(attempts.remove(key)).forEach(span -> end(span, result, step));
@@ -126,7 +126,7 @@
         span.end();
     }
 
-    /** Reads a header out of a map. */
+    /** Reads headers from a map. */
     private static final class MapGetter implements TextMapGetter<Map<String, String>> {
         @Override
         @SuppressWarnings("deprecation")
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/TraceExporter.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/trace/TraceExporter.java
@@ -12,16 +12,16 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor;
 
-/** Where spans go. */
+/** Destination of trace spans. */
 public enum TraceExporter {
-    /** Nowhere; a caller's trace context is still passed on. */
+    /** Discards spans; the trace context of a caller is still propagated. */
     NONE {
         @Override
         OpenTelemetry open(String host, String url) {
             return OpenTelemetry.noop();
         }
     },
-    /** To the log, one line for each span. */
+    /** Writes one log line per span. */
     LOG {
         @Override
         OpenTelemetry open(String host, String url) {
@@ -33,7 +33,7 @@
                     .build();
         }
     },
-    /** To a collector, over OTLP on HTTP, in batches; what does not fit into the queue is dropped. */
+    /** Sends batches of spans to a collector by OTLP over HTTP; spans that exceed the queue are dropped. */
     OTLP {
         @Override
         OpenTelemetry open(String host, String url) {
@@ -54,9 +54,9 @@
     private static final long EXPORT_TIMEOUT_MILLIS = 5_000;
 
     /**
-     * Finds an exporter by its name in lower case.
+     * Returns the exporter with a name.
      *
-     * @param name the name, which has been checked
+     * @param name the validated name in lower case
      * @return the exporter
      */
     public static TraceExporter of(String name) {
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/CallerDrainTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/CallerDrainTest.java
@@ -30,7 +30,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What callers see of the last moments of a planned stop. */
+/** Tests what callers observe at the end of a graceful stop. */
 @Timeout(60)
 class CallerDrainTest {
     private static final String DOCUMENT =
@@ -40,143 +40,140 @@
               "20": {"kind": "account", "name": "floor", "homeRegion": "suva", "homeDataCentre": "suva-hall",
                 "tokenSha256": "3c469e9d6c5875d37a43f353d4f88e61fcf812c66eee3457465a40b0da4153e0"}}}
             """;
-    private static final String QUESTION = "GET /v1/entry-hosts HTTP/1.1\r\nHost: x\r\n\r\n";
-    private static final String BOOKING = "POST /services/crew-desk/book HTTP/1.1\r\nHost: x\r\n"
+    private static final String ENTRY_HOSTS_REQUEST = "GET /v1/entry-hosts HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final String BOOKING_REQUEST = "POST /services/crew-desk/book HTTP/1.1\r\nHost: x\r\n"
             + "Authorization: Bearer token\r\nIdempotency-Key: k\r\nContent-Length: 2\r\n\r\n{}";
     private static final int CALLERS = 10;
-    private static final int LIMIT_MILLIS = 20_000;
+    private static final int SOCKET_TIMEOUT_MILLIS = 20_000;
 
-    /** Longer than any quiet time of a stop. */
-    private static final long LONG_MILLIS = 1_000;
+    /** Longer than the quiet period of a drain. */
+    private static final long CLOCK_STEP_MILLIS = 1_000;
 
-    private static final int LONG_TIMES = 5;
+    private static final int CLOCK_STEPS = 5;
 
     private final AtomicLong nowMillis = new AtomicLong(1);
-    private final CountDownLatch standing = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch loopBlocked = new CountDownLatch(1);
+    private final CountDownLatch releaseLoop = new CountDownLatch(1);
     private CallerServer server;
     private int port;
 
     @BeforeEach
-    void open() {
+    void openServer() {
         MillisClock clock = MillisClock.ofWallClock();
         Node node = Node.of(new NodeIdentity("suva-1", 1, TestHosts.SUVA), Policy.COST, 1);
         StoreReply.Found found = new StoreReply.Found(List.of(new StoreEntry("k", DOCUMENT, 1)), 1);
         node.handle(new Event.StoreReplied(StoreOwner.CONFIGURATION, 1, found), clock.nowMillis());
         CallerLimits limits = new CallerLimits(2_048, 8_192, 100, 65_536, 60_000, 60_000, 30_000, 60_000);
-        server = new CallerServer("suva-1", node, Calls.of(2), new StandingEvents(), clock, limits);
+        server = new CallerServer("suva-1", node, Calls.of(2), new BlockingEventSink(), clock, limits);
         port = server.open("127.0.0.1", 0, 1).get();
     }
 
     @AfterEach
-    void close() {
-        goOn.countDown();
+    void closeServer() {
+        releaseLoop.countDown();
         server.close();
     }
 
     /**
-     * Symptom: a call on a kept connection gets a reset or an end of stream instead of a reply when its host is replaced.
-     * Sequence: a stopping host gets no processor time for a while near its end; requests come meanwhile; when it goes
-     * on, it ends. Cause: 300 ms by the clock in which no request was handled were taken for 300 ms in which none came.
-     * It showed on a host that was told to stop, held for 0.6 s and let go on: of ten requests that were sent in that
-     * time up to eight were reset, none at other moments, and no reply of a stopping host told its caller to leave the
-     * connection.
+     * Guards against resets on persistent connections when a host is replaced. A stopping host without CPU time handles no
+     * request while requests arrive in its sockets; the drain must not take 300 ms without a handled request for 300 ms
+     * without an arriving one. A host that was suspended for 0.6 s while stopping reset up to eight of the ten requests
+     * sent in that time, and none of its responses announced the close of the connection.
      */
     @Test
-    void shouldReplyToWhatHasComeWhenTheHostStandsStillAtTheEndOfItsStop() throws Exception {
+    void shouldRespondToRequestsInSocketsWhenEventLoopIsBlockedDuringDrain() throws Exception {
         List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             Socket caller = connect();
-            send(caller, QUESTION);
-            readReply(caller);
+            send(caller, ENTRY_HOSTS_REQUEST);
+            readResponse(caller);
             callers.add(caller);
         }
-        CallerDrain drain = beginDrain();
-        standStill();
+        CallerDrain drain = startDraining();
+        blockEventLoop();
         for (Socket caller : callers) {
-            send(caller, QUESTION);
+            send(caller, ENTRY_HOSTS_REQUEST);
         }
 
-        assertNotDoneForLong(drain);
+        assertNotDone(drain);
 
-        goOn.countDown();
+        releaseLoop.countDown();
         for (Socket caller : callers) {
-            String reply = readReply(caller).toLowerCase(Locale.ROOT);
-            assertTrue(reply.contains("connection: close"), reply);
+            String response = readResponse(caller).toLowerCase(Locale.ROOT);
+            assertTrue(response.contains("connection: close"), response);
         }
         awaitDone(drain);
     }
 
     /**
-     * Symptom: "header parser received no bytes" on a new connection, once in two runs beside twenty busy processes.
-     * Sequence: a caller connects as the port closes; its request comes a moment later. Cause: the stop was over when the
-     * port had been told to close and the clock had gone on, whether or not the port was closed, who waited there was
-     * accepted, and what they sent was read.
+     * Guards against "header parser received no bytes" on a new connection, which occurred once in two runs next to
+     * twenty busy processes. A caller connects while the port closes and sends its request shortly after. The drain must
+     * not complete before the port is closed, pending connections are accepted and their requests are read.
      */
     @Test
-    void shouldReplyToWhoeverHasConnectedWhenThePortCloses() throws Exception {
-        CallerDrain drain = beginDrain();
-        standStill();
+    void shouldRespondToPendingConnectionsWhenPortCloses() throws Exception {
+        CallerDrain drain = startDraining();
+        blockEventLoop();
         List<Socket> callers = new ArrayList<>();
         for (int i = 0; i < CALLERS; i++) {
             callers.add(connect());
         }
 
-        assertNotDoneForLong(drain);
-        goOn.countDown();
+        assertNotDone(drain);
+        releaseLoop.countDown();
 
         for (Socket caller : callers) {
-            send(caller, QUESTION);
-            assertTrue(readReply(caller).startsWith("HTTP/1.1 200"));
+            send(caller, ENTRY_HOSTS_REQUEST);
+            assertTrue(readResponse(caller).startsWith("HTTP/1.1 200"));
         }
         awaitDone(drain);
     }
 
     @Test
-    void shouldEndWhatIsIdleWhenNoRequestHasCome() throws Exception {
+    void shouldCloseIdleConnectionsWhenNoRequestIsPending() throws Exception {
         Socket caller = connect();
-        send(caller, QUESTION);
-        readReply(caller);
-        CallerDrain drain = beginDrain();
+        send(caller, ENTRY_HOSTS_REQUEST);
+        readResponse(caller);
+        CallerDrain drain = startDraining();
 
         awaitDone(drain);
 
         assertTrue(caller.getInputStream().read() < 0);
     }
 
-    private CallerDrain beginDrain() {
-        server.leave();
-        return new CallerDrain(server, () -> server.unsentReplies() - unsentBooking(), nowMillis::get);
+    private CallerDrain startDraining() {
+        server.startLeaving();
+        return new CallerDrain(server, () -> server.unsentResponses() - unsentBlockingRequests(), nowMillis::get);
     }
 
-    /** The booking by which the host is made to stand still is no work that a stop waits for. */
-    private int unsentBooking() {
-        return standing.getCount() == 0 ? 1 : 0;
+    /** Returns the number of requests that only block the event loop, which the drain must not wait for. */
+    private int unsentBlockingRequests() {
+        return loopBlocked.getCount() == 0 ? 1 : 0;
     }
 
-    /** Lets the event loop stand still. */
-    private void standStill() throws Exception {
-        send(connect(), BOOKING);
-        standing.await();
+    /** Blocks the event loop of the server. */
+    private void blockEventLoop() throws Exception {
+        send(connect(), BOOKING_REQUEST);
+        loopBlocked.await();
     }
 
-    private void assertNotDoneForLong(CallerDrain drain) {
-        for (int i = 0; i < LONG_TIMES; i++) {
-            nowMillis.addAndGet(LONG_MILLIS);
-            assertFalse(drain.isDone());
+    private void assertNotDone(CallerDrain drain) {
+        for (int i = 0; i < CLOCK_STEPS; i++) {
+            nowMillis.addAndGet(CLOCK_STEP_MILLIS);
+            assertFalse(drain.advance());
         }
     }
 
     private void awaitDone(CallerDrain drain) throws InterruptedException {
-        while (!drain.isDone()) {
-            nowMillis.addAndGet(LONG_MILLIS);
+        while (!drain.advance()) {
+            nowMillis.addAndGet(CLOCK_STEP_MILLIS);
             Thread.sleep(10);
         }
     }
 
     private Socket connect() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
-        socket.setSoTimeout(LIMIT_MILLIS);
+        socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -184,7 +181,7 @@
         caller.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String readReply(Socket caller) throws IOException {
+    private static String readResponse(Socket caller) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(StandardCharsets.UTF_8).contains("}")) {
             int next = caller.getInputStream().read();
@@ -194,18 +191,18 @@
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    /** Holds the event loop that hands in the first request, for good: nobody serves it. */
-    private final class StandingEvents implements Events {
+    /** Blocks the event loop that offers an event until the test releases it, and rejects the event. */
+    private final class BlockingEventSink implements Events {
         @Override
         public void raise(Event event) {
-            // Nothing here hears of it.
+            // Ignored: no test depends on raised events.
         }
 
         @Override
         public boolean offer(Event event) {
-            standing.countDown();
+            loopBlocked.countDown();
             try {
-                goOn.await();
+                releaseLoop.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RawServer.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RawServer.java
@@ -11,9 +11,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Serves each connection by a script that may cut, stay silent or answer wrongly; the last script serves all further. */
+/**
+ * TCP server that runs a script for each connection, for example to close early, stay unresponsive or send an invalid
+ * response. The last script handles all further connections.
+ */
 public final class RawServer implements AutoCloseable {
-    private static final long LIMIT_SECONDS = 20;
+    private static final long REQUEST_TIMEOUT_SECONDS = 20;
 
     private final ServerSocket server;
     private final List<Script> scripts;
@@ -30,7 +33,7 @@
     }
 
     /**
-     * Finds a port on which nothing listens.
+     * Returns a port on which no process listens.
      *
      * @return the port
      */
@@ -47,12 +50,12 @@
     /**
      * Waits for the next request.
      *
-     * @return its head and body as they came
+     * @return its headers and body as received
      */
     public String nextRequest() throws InterruptedException {
-        String request = requests.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+        String request = requests.poll(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (request == null) {
-            throw new AssertionError("no request came");
+            throw new AssertionError("no request received within " + REQUEST_TIMEOUT_SECONDS + " s");
         }
         return request;
     }
@@ -64,8 +67,8 @@
 
     private void accept() {
         try {
-            for (int number = 0; ; number++) {
-                Script script = scripts.get(Math.min(number, scripts.size() - 1));
+            for (int connectionNumber = 0; ; connectionNumber++) {
+                Script script = scripts.get(Math.min(connectionNumber, scripts.size() - 1));
                 Connection connection = new Connection(server.accept(), requests);
                 start(() -> serve(script, connection));
             }
@@ -88,13 +91,13 @@
         thread.start();
     }
 
-    /** What one connection does. */
+    /** Script that handles one connection. */
     @FunctionalInterface
     public interface Script {
         void serve(Connection connection) throws IOException, InterruptedException;
     }
 
-    /** One connection. */
+    /** One accepted connection. */
     public static final class Connection implements AutoCloseable {
         private final Socket socket;
         private final BlockingQueue<String> requests;
@@ -107,18 +110,18 @@
         /**
          * Reads one request.
          *
-         * @return its head and body
+         * @return its headers and body
          */
         public String request() throws IOException {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             while (!bytes.toString(StandardCharsets.UTF_8).contains("\r\n\r\n")) {
                 readInto(bytes);
             }
-            String head = bytes.toString(StandardCharsets.UTF_8);
-            int length = head.toLowerCase(java.util.Locale.ROOT).contains("content-length: ")
-                    ? Integer.parseInt(header(head, "content-length"))
+            String headers = bytes.toString(StandardCharsets.UTF_8);
+            int length = headers.toLowerCase(java.util.Locale.ROOT).contains("content-length: ")
+                    ? Integer.parseInt(header(headers, "content-length"))
                     : 0;
-            while (bytes.size() < head.indexOf("\r\n\r\n") + 4 + length) {
+            while (bytes.size() < headers.indexOf("\r\n\r\n") + 4 + length) {
                 readInto(bytes);
             }
             String request = bytes.toString(StandardCharsets.UTF_8);
@@ -141,7 +144,7 @@
             socket.getOutputStream().flush();
         }
 
-        /** Returns once the other side has closed. */
+        /** Waits until the client closes the connection. */
         public void awaitClose() throws IOException {
             while (socket.getInputStream().read() >= 0) {
                 continue;
@@ -167,14 +170,14 @@
     }
 
     /**
-     * Finds a header's value, whatever its case.
+     * Returns the value of a header by its case-insensitive name.
      *
-     * @param head the head
-     * @param name the header
+     * @param headers the request line or status line with all headers
+     * @param name the header's name
      * @return its value, or empty
      */
-    public static String header(String head, String name) {
-        for (String line : head.split("\r\n")) {
+    public static String header(String headers, String name) {
+        for (String line : headers.split("\r\n")) {
             if (line.regionMatches(true, 0, name + ":", 0, name.length() + 1)) {
                 return line.substring(name.length() + 1).strip();
             }
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RecordingEvents.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RecordingEvents.java
@@ -9,17 +9,17 @@
 import org.rattanplank.core.Event;
 import org.rattanplank.daemon.runtime.Events;
 
-/** Keeps every event for a test. Thread safe. */
+/** Records all events for a test. Thread safe. */
 public final class RecordingEvents implements Events {
-    private static final long LIMIT_SECONDS = 20;
+    private static final long EVENT_TIMEOUT_SECONDS = 20;
 
-    private final BlockingQueue<Event> waiting = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Event> unread = new LinkedBlockingQueue<>();
     private final List<Event> all = new CopyOnWriteArrayList<>();
 
     @Override
     public void raise(Event event) {
         all.add(event);
-        waiting.add(event);
+        unread.add(event);
     }
 
     @Override
@@ -29,17 +29,17 @@
     }
 
     /**
-     * Waits for the next event of a type, passing over others.
+     * Waits for the next event of a type and skips events of other types.
      *
-     * @param type the type
-     * @param <T> the type
+     * @param type the class of the event
+     * @param <T> the type of the event
      * @return the event
      */
     public <T extends Event> T next(Class<T> type) throws InterruptedException {
         while (true) {
-            Event event = waiting.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+            Event event = unread.poll(EVENT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (event == null) {
-                throw new AssertionError("no " + type.getSimpleName() + " came; there were " + all);
+                throw new AssertionError("no " + type.getSimpleName() + " event received; all events: " + all);
             }
             if (type.isInstance(event)) {
                 return type.cast(event);
@@ -48,10 +48,10 @@
     }
 
     /**
-     * Counts the events of a type so far.
+     * Returns the number of events of a type received so far.
      *
-     * @param type the type
-     * @return the number
+     * @param type the class of the events
+     * @return the number of events
      */
     public long count(Class<? extends Event> type) {
         return all.stream().filter(type::isInstance).count();
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestHosts.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestHosts.java
@@ -22,19 +22,19 @@
 import org.rattanplank.daemon.runtime.Resources;
 import ratpack.exec.internal.DefaultExecController;
 
-/** Makes what many tests need. */
+/** Creates objects that several tests use. */
 public final class TestHosts {
     public static final Place SUVA = Place.of("suva", "suva-hall");
     public static final String CHAT = "/v1/chat/completions";
     private static final long CONNECT_TIMEOUT_MILLIS = 5_000;
-    private static final int MAX_ANSWER_BYTES = 65_536;
+    private static final int MAX_RESPONSE_BYTES = 65_536;
 
     private TestHosts() {}
 
     public static Resources resources(DefaultExecController controller, Events events) {
         return new Resources(
                 controller.getEventLoopGroup(),
-                WebClient.of(controller, CONNECT_TIMEOUT_MILLIS, MAX_ANSWER_BYTES, bytes -> {}, bytes -> {}),
+                WebClient.of(controller, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, bytes -> {}, bytes -> {}),
                 Exchanges.of(CONNECT_TIMEOUT_MILLIS),
                 events,
                 MillisClock.ofWallClock());
@@ -73,14 +73,14 @@
                 asker);
     }
 
-    /** Keeps what whoever asked got. Guarded by the lock of its call. */
+    /** Records the stream events and outcomes that a requester receives. Thread safe. */
     public static final class RecordingAsker implements Asker {
         private final List<String> parts = new ArrayList<>();
         private final List<Outcome> outcomes = new ArrayList<>();
 
         @Override
-        public synchronized void part(long number, byte[] part, List<String> path) {
-            parts.add(new String(part, java.nio.charset.StandardCharsets.UTF_8));
+        public synchronized void part(long number, byte[] event, List<String> path) {
+            parts.add(new String(event, java.nio.charset.StandardCharsets.UTF_8));
         }
 
         @Override
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
@@ -48,7 +48,7 @@
             """;
     private static final String TOKEN = "Authorization: Bearer token\r\n";
     private static final int MAX_BODY_BYTES = 2_048;
-    private static final long LIMIT_SECONDS = 20;
+    private static final long RESPONSE_TIMEOUT_SECONDS = 20;
 
     private final RecordingEvents events = new RecordingEvents();
     private final Calls calls = Calls.of(2);
@@ -58,24 +58,24 @@
     private int port;
 
     @BeforeEach
-    void open() {
+    void openServer() {
         node.handle(
                 new Event.StoreReplied(
                         StoreOwner.CONFIGURATION,
                         1,
                         new StoreReply.Found(List.of(new StoreEntry("k", DOCUMENT, 1)), 1)),
                 clock.nowMillis());
-        open(60_000, 100);
+        openServer(60_000, 100);
     }
 
     @AfterEach
-    void close() {
+    void closeServer() {
         server.close();
     }
 
     @Test
-    void shouldGiveWholeAnswerWithItsPathWhenAnswered() throws Exception {
-        try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", false))) {
+    void shouldSendResponseWithPathWhenAnswered() throws Exception {
+        try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", false))) {
             Request request = events.next(Event.CallerAsked.class).request();
             assertEquals("floor", request.account());
             Call call = calls.find(request.id()).get();
@@ -84,53 +84,54 @@
                     request.id(),
                     new Outcome.Answered(
                             Answer.of(200, "application/json", new byte[] {'{', '}'}), List.of("suva-1", "t1")));
-            String reply = read(caller, "{}");
-            assertEquals("answered", RawServer.header(reply, "Rattanplank-Outcome"));
-            assertEquals("suva-1,t1", RawServer.header(reply, "Rattanplank-Path"));
-            assertEquals(request.id(), RawServer.header(reply, "Rattanplank-Request-Id"));
+            String response = readUntil(caller, "{}");
+            assertEquals("answered", RawServer.header(response, "Rattanplank-Outcome"));
+            assertEquals("suva-1,t1", RawServer.header(response, "Rattanplank-Path"));
+            assertEquals(request.id(), RawServer.header(response, "Rattanplank-Request-Id"));
         }
     }
 
     @Test
-    void shouldGiveReasonAndRetryTimeInOneShapeWhenNotRun() throws Exception {
-        try (Socket caller = ask("POST", "/services/crew-desk/book?x=1", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
+    void shouldSendReasonAndRetryAfterWhenNotRun() throws Exception {
+        try (Socket caller =
+                sendRequest("POST", "/services/crew-desk/book?x=1", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
             Request request = events.next(Event.CallerAsked.class).request();
             assertFalse(request.repeatable());
             assertEquals("/book?x=1", calls.find(request.id()).get().envelope().path());
             Failure failure = Failure.of(Step.ROUTE, "crew-desk", "no target can take it");
             calls.finish(request.id(), new Outcome.NotRun(failure, 1_001));
-            String reply = read(caller, "}}");
-            assertTrue(reply.startsWith("HTTP/1.1 503 "), reply);
-            assertEquals("2", RawServer.header(reply, "Retry-After"));
-            assertTrue(reply.contains("\"step\":\"route\",\"peer\":\"crew-desk\""), reply);
+            String response = readUntil(caller, "}}");
+            assertTrue(response.startsWith("HTTP/1.1 503 "), response);
+            assertEquals("2", RawServer.header(response, "Retry-After"));
+            assertTrue(response.contains("\"step\":\"route\",\"peer\":\"crew-desk\""), response);
         }
     }
 
     @Test
-    void shouldNameOtherHostsWhenItCannotTakeTheRequest() throws Exception {
+    void shouldListOtherEntryHostsWhenHostIsLeaving() throws Exception {
         ListedHost other =
                 new ListedHost("suva-2", HostRole.ENTRY, TestHosts.SUVA, "127.0.0.1", 8_080, 9_090, "", false);
         node.handle(new Event.HostsListed(new HostList(1, List.of(other))), clock.nowMillis());
-        try (Socket caller = ask("POST", "/services/crew-desk/book", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
+        try (Socket caller = sendRequest("POST", "/services/crew-desk/book", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
             Request request = events.next(Event.CallerAsked.class).request();
             Failure failure = Failure.of(Step.ADMIT, "suva-1", "this host is leaving");
             calls.finish(request.id(), new Outcome.NotRun(failure, 1_000));
-            assertEquals("127.0.0.1:8080", RawServer.header(read(caller, "}}"), "Rattanplank-Entry-Hosts"));
+            assertEquals("127.0.0.1:8080", RawServer.header(readUntil(caller, "}}"), "Rattanplank-Entry-Hosts"));
         }
     }
 
     @Test
-    void shouldRefuseBeforeTheCoreWhenRequestIsUnsound() throws Exception {
-        assertEquals(401, status("POST", "/v1/chat/completions", "", chat("plank-serve", false)));
-        assertEquals(404, status("POST", "/v1/chat/completions", TOKEN, chat("nothing", false)));
-        assertEquals(400, status("POST", "/v1/chat/completions", TOKEN, chat("quote-once", true)));
+    void shouldRejectBeforeTheCoreWhenRequestIsInvalid() throws Exception {
+        assertEquals(401, status("POST", "/v1/chat/completions", "", chatBody("plank-serve", false)));
+        assertEquals(404, status("POST", "/v1/chat/completions", TOKEN, chatBody("nothing", false)));
+        assertEquals(400, status("POST", "/v1/chat/completions", TOKEN, chatBody("quote-once", true)));
         assertEquals(
                 400,
                 status(
                         "POST",
                         "/v1/chat/completions",
                         TOKEN + "Rattanplank-Class: odd\r\n",
-                        chat("plank-serve", false)));
+                        chatBody("plank-serve", false)));
         assertEquals(404, status("GET", "/services/none/x", TOKEN, ""));
         assertEquals(413, status("POST", "/v1/chat/completions", TOKEN, "x".repeat(MAX_BODY_BYTES + 1)));
         assertEquals(431, status("GET", "/healthz", "X-Long: " + "x".repeat(9_000) + "\r\n", ""));
@@ -139,18 +140,17 @@
     }
 
     /*
-     * Symptom: a draft that broke in the middle looks complete to the caller.
-     * Sequence: two parts go out; then the request ends without an answer.
-     * Cause: the response is closed as if it were whole.
+     * Guards against a truncated stream that looks complete to the caller: the request fails after the first stream event,
+     * and the response body must not end regularly.
      */
     @Test
-    void shouldBreakStreamVisiblyWhenOutcomeIsUnknown() throws Exception {
-        try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", true))) {
+    void shouldAbortStreamVisiblyWhenOutcomeIsUnknown() throws Exception {
+        try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", true))) {
             String requestId = events.next(Event.CallerAsked.class).request().id();
             Call call = calls.find(requestId).get();
             call.begin(1, false, "x");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(StandardCharsets.UTF_8), List.of("t1"));
-            read(caller, "data: p");
+            readUntil(caller, "data: p");
             calls.finish(requestId, new Outcome.Unknown(Failure.of(Step.RECEIVE, "t1", "lost")));
             String rest = readToEnd(caller);
             assertFalse(rest.contains("[DONE]"), rest);
@@ -159,8 +159,8 @@
     }
 
     @Test
-    void shouldCloseStreamWithItsLastEventWhenAnswered() throws Exception {
-        try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", true))) {
+    void shouldEndStreamWithDoneEventWhenAnswered() throws Exception {
+        try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", true))) {
             String requestId = events.next(Event.CallerAsked.class).request().id();
             calls.find(requestId).get().begin(1, false, "x");
             calls.find(requestId)
@@ -169,58 +169,56 @@
             calls.finish(
                     requestId,
                     new Outcome.Answered(Answer.ofStream(200, "text/event-stream"), List.of("suva-1", "t1")));
-            assertTrue(read(caller, "0\r\n\r\n").contains("data: [DONE]"));
+            assertTrue(readUntil(caller, "0\r\n\r\n").contains("data: [DONE]"));
         }
     }
 
     /*
-     * Symptom: targets are full of drafts that nobody waits for.
-     * Sequence: a caller closes its connection while its request runs.
-     * Cause: the connection is not read while the answer is awaited, so its end goes unnoticed.
+     * Guards against targets that are occupied by requests of disconnected callers: if the connection is not read while
+     * the response is awaited, the server does not detect its close.
      */
     @Test
-    void shouldTellAskerLeftWhenCallerCloses() throws Exception {
-        Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", false));
+    void shouldRaiseRequesterLeftWhenCallerDisconnects() throws Exception {
+        Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", false));
         String requestId = events.next(Event.CallerAsked.class).request().id();
         caller.close();
         assertEquals(new Event.AskerLeft(requestId), events.next(Event.AskerLeft.class));
         assertEquals(0, calls.size());
-        awaitNoUnsentReply();
+        awaitNoUnsentResponse();
     }
 
     /*
-     * Symptom: no caller gets through, although the host has little to do.
-     * Sequence: some callers open connections and send a byte now and then, or open very many.
-     * Cause: a request may take for ever to arrive, and connections have no bound.
+     * Guards against callers that lock out others on an idle host by opening many connections or sending their requests
+     * very slowly: both the number of connections and the time for a request to arrive must be limited.
      */
     @Test
-    void shouldCloseConnectionWhenRequestArrivesTooSlowlyOrTooManyAreOpen() throws Exception {
+    void shouldCloseConnectionWhenRequestIsSlowOrLimitIsExceeded() throws Exception {
         server.close();
-        open(200, 2);
-        try (Socket slowHead = new Socket("127.0.0.1", port);
+        openServer(200, 2);
+        try (Socket slowHeaders = new Socket("127.0.0.1", port);
                 Socket slowBody = new Socket("127.0.0.1", port);
-                Socket tooMany = new Socket("127.0.0.1", port)) {
-            slowHead.getOutputStream().write("GET /healthz HTT".getBytes(StandardCharsets.UTF_8));
+                Socket overLimit = new Socket("127.0.0.1", port)) {
+            slowHeaders.getOutputStream().write("GET /healthz HTT".getBytes(StandardCharsets.UTF_8));
             slowBody.getOutputStream()
                     .write("POST /services/x/ HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab"
                             .getBytes(StandardCharsets.UTF_8));
-            assertTrue(readToEnd(tooMany).startsWith("HTTP/1.1 503 "));
-            assertTrue(readToEnd(slowHead).startsWith("HTTP/1.1 408 "));
+            assertTrue(readToEnd(overLimit).startsWith("HTTP/1.1 503 "));
+            assertTrue(readToEnd(slowHeaders).startsWith("HTTP/1.1 408 "));
             assertTrue(readToEnd(slowBody).startsWith("HTTP/1.1 408 "));
         }
-        awaitNoUnsentReply();
+        awaitNoUnsentResponse();
     }
 
-    /** A reply that never counts as sent would keep the host from stopping. */
-    private void awaitNoUnsentReply() {
-        long limitNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_SECONDS);
-        while (server.unsentReplies() > 0) {
-            assertTrue(System.nanoTime() < limitNanos, "a reply never left");
+    /** Waits until all responses count as sent; one that never does would block a graceful stop. */
+    private void awaitNoUnsentResponse() {
+        long limitNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(RESPONSE_TIMEOUT_SECONDS);
+        while (server.unsentResponses() > 0) {
+            assertTrue(System.nanoTime() < limitNanos, "a response was not sent completely");
             Thread.onSpinWait();
         }
     }
 
-    private void open(long readTimeoutMillis, int maxConnections) {
+    private void openServer(long readTimeoutMillis, int maxConnections) {
         CallerLimits limits = new CallerLimits(
                 MAX_BODY_BYTES, 8_192, maxConnections, 65_536, 60_000, readTimeoutMillis, 30_000, 60_000);
         server = new CallerServer("suva-1", node, calls, events, clock, limits);
@@ -228,12 +226,12 @@
     }
 
     private int status(String method, String path, String headers, String body) throws IOException {
-        try (Socket caller = ask(method, path, headers + "Connection: close\r\n", body)) {
+        try (Socket caller = sendRequest(method, path, headers + "Connection: close\r\n", body)) {
             return Integer.parseInt(readToEnd(caller).split(" ")[1]);
         }
     }
 
-    private Socket ask(String method, String path, String headers, String body) throws IOException {
+    private Socket sendRequest(String method, String path, String headers, String body) throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         String text = method + " " + path + " HTTP/1.1\r\nHost: x\r\n" + headers + "Content-Length: " + body.length()
                 + "\r\n\r\n" + body;
@@ -241,11 +239,11 @@
         return socket;
     }
 
-    private static String chat(String model, boolean stream) {
+    private static String chatBody(String model, boolean stream) {
         return "{\"model\": \"" + model + "\", \"stream\": " + stream + ", \"messages\": []}";
     }
 
-    private static String read(Socket caller, String end) throws IOException {
+    private static String readUntil(Socket caller, String end) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         while (!bytes.toString(StandardCharsets.UTF_8).contains(end)) {
             int next = caller.getInputStream().read();
