--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/CallerDrain.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/CallerDrain.java
@@ -19,9 +19,7 @@
 final class CallerDrain {
     private static final long QUIET_PERIOD_MILLIS = 300;
 
-    /**
-     * Covers the lifetime of a host list, within which callers with persistent connections request a new one.
-     */
+    /** Covers the lifetime of a host list, within which callers with persistent connections request a new one. */
     private static final long KEEP_ALIVE_GRACE_MILLIS = 2_000;
 
     private static final long MAX_OPEN_MILLIS = 3_000;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
@@ -25,10 +25,10 @@
     private long partsPassedOn;
     private boolean finished;
 
-    private Call(Request request, Envelope envelope, Asker asker) {
+    private Call(Request request, Envelope envelope, Asker requester) {
         this.request = request;
         this.envelope = envelope;
-        this.asker = asker;
+        this.asker = requester;
     }
 
     /**
@@ -36,11 +36,11 @@
      *
      * @param request the request
      * @param envelope the data of the request that the core does not use
-     * @param asker the requester
+     * @param requester the requester
      * @return the call
      */
-    public static Call of(Request request, Envelope envelope, Asker asker) {
-        return new Call(request, envelope, asker);
+    public static Call of(Request request, Envelope envelope, Asker requester) {
+        return new Call(request, envelope, requester);
     }
 
     /**
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestHosts.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestHosts.java
@@ -66,11 +66,11 @@
                 false);
     }
 
-    public static Call call(String id, String path, RecordingAsker asker) {
+    public static Call call(String id, String path, RecordingAsker requester) {
         return Call.of(
                 request(id, true),
                 new Envelope("POST", path, "application/json", new byte[] {'{', '}'}, "", id),
-                asker);
+                requester);
     }
 
     /** Records the stream events and outcomes that a requester receives. Thread safe. */
