--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
@@ -43,7 +43,7 @@
     private final RecordingEvents events = new RecordingEvents();
     private final RecordingEvents otherEvents = new RecordingEvents();
     private final Calls otherCalls = Calls.of(10);
-    private final RecordingAsker asker = new RecordingAsker();
+    private final RecordingAsker requester = new RecordingAsker();
 
     @AfterEach
     void close() {
@@ -71,7 +71,7 @@
                     "r1", new Outcome.Answered(Answer.ofStream(200, "text/event-stream"), List.of("labasa-1", "t1")));
             AttemptResult.Whole whole = assertInstanceOf(AttemptResult.Whole.class, nextResult());
             assertEquals(List.of("t1"), whole.path());
-            assertEquals(List.of("id: 0\ndata: p\n\n"), asker.parts());
+            assertEquals(List.of("id: 0\ndata: p\n\n"), requester.parts());
 
             forward(links, "r2");
             otherEvents.next(Event.PeerAsked.class);
@@ -221,7 +221,7 @@
     }
 
     private void forward(Links links, String requestId) {
-        Call call = TestHosts.call(requestId, CHAT, asker);
+        Call call = TestHosts.call(requestId, CHAT, requester);
         Action.StartAttempt start = new Action.StartAttempt(
                 requestId,
                 1,
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
@@ -28,7 +28,7 @@
 
     private final DefaultExecController controller = new DefaultExecController(2);
     private final RecordingEvents events = new RecordingEvents();
-    private final RecordingAsker asker = new RecordingAsker();
+    private final RecordingAsker requester = new RecordingAsker();
 
     @AfterEach
     void close() {
@@ -56,7 +56,7 @@
                 respond(OK.replace("r1.1", "r1.3") + "Transfer-Encoding: chunked\r\n\r\n4\r\nbook\r\n"))) {
             Targets targets = targets(target.port(), 60_000);
             for (int attempt = 1; attempt <= 3; attempt++) {
-                start(targets, TestHosts.call("r1", "/book", asker), attempt, 0);
+                start(targets, TestHosts.call("r1", "/book", requester), attempt, 0);
                 assertLost(nextResult(), 0);
             }
         }
@@ -71,7 +71,7 @@
         String other = STREAM.replace("r1.1", "r2.1") + event(0) + done() + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(other))) {
             assertLost(run(target, TestHosts.CHAT, 0), 0);
-            assertEquals(List.of(), asker.parts());
+            assertEquals(List.of(), requester.parts());
         }
     }
 
@@ -85,7 +85,7 @@
         try (RawServer target = RawServer.of(respond(twice), respond(twice.replace("r1.1", "r1.2")))) {
             Targets targets = targets(target.port(), 60_000);
             for (int attempt = 1; attempt <= 2; attempt++) {
-                start(targets, TestHosts.call("r1", "/book", asker), attempt, 0);
+                start(targets, TestHosts.call("r1", "/book", requester), attempt, 0);
                 AttemptResult.Whole whole = assertInstanceOf(AttemptResult.Whole.class, nextResult());
                 assertArrayEquals("a".getBytes(), whole.answer().body());
             }
@@ -104,12 +104,13 @@
         String resumed = STREAM + event(1) + event(2) + done() + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(first), respond(resumed))) {
             Targets targets = targets(target.port(), 60_000);
-            Call call = TestHosts.call("r1", TestHosts.CHAT, asker);
+            Call call = TestHosts.call("r1", TestHosts.CHAT, requester);
             start(targets, call, 1, 0);
             assertLost(nextResult(), 2);
             start(targets, call, 2, 2);
             assertInstanceOf(AttemptResult.Whole.class, nextResult());
-            assertEquals(List.of("id: 0\ndata: p0\n\n", "id: 1\ndata: p1\n\n", "id: 2\ndata: p2\n\n"), asker.parts());
+            assertEquals(
+                    List.of("id: 0\ndata: p0\n\n", "id: 1\ndata: p1\n\n", "id: 2\ndata: p2\n\n"), requester.parts());
             target.nextRequest();
             String resume = target.nextRequest();
             assertTrue(resume.startsWith("GET /v1/streams/r1.1?from=2 "), resume);
@@ -123,9 +124,9 @@
         String open = STREAM.replace("r1.1", "r1.2") + event(0) + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(gap), respond(open))) {
             Targets targets = targets(target.port(), 60_000);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, asker), 1, 0);
+            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 1, 0);
             assertLost(nextResult(), 1);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, asker), 2, 0);
+            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 2, 0);
             assertLost(nextResult(), 1);
         }
     }
@@ -138,7 +139,7 @@
     @Test
     void shouldReportNotRunOnlyWhenNoByteWasSentOrTargetRejected() throws Exception {
         Targets unreachable = targets(RawServer.freePort(), 60_000);
-        start(unreachable, TestHosts.call("r1", "/book", asker), 1, 0);
+        start(unreachable, TestHosts.call("r1", "/book", requester), 1, 0);
         AttemptResult.NotRun notConnected = assertInstanceOf(AttemptResult.NotRun.class, nextResult());
         assertEquals(Step.CONNECT, notConnected.failure().step());
         String refusal = "HTTP/1.1 503 Busy\r\nX-Request-Id: r1.1\r\nX-Not-Run: true\r\nRetry-After: 2\r\n"
@@ -164,7 +165,7 @@
                 },
                 respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))) {
             Targets targets = targets(target.port(), 100);
-            start(targets, TestHosts.call("r1", "/book", asker), 1, 0);
+            start(targets, TestHosts.call("r1", "/book", requester), 1, 0);
             assertLost(nextResult(), 0);
             target.nextRequest();
             assertTrue(target.nextRequest().startsWith("GET /load "));
@@ -186,7 +187,7 @@
                 },
                 respond("HTTP/1.1 204 None\r\n\r\n"))) {
             Targets targets = targets(target.port(), 60_000);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, asker), 1, 0);
+            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 1, 0);
             events.next(Event.StreamProgressed.class);
             targets.cancel("r1", 1);
             target.nextRequest();
@@ -197,7 +198,7 @@
     }
 
     private AttemptResult run(RawServer target, String path, long resumeAtEvent) throws InterruptedException {
-        start(targets(target.port(), 60_000), TestHosts.call("r1", path, asker), 1, resumeAtEvent);
+        start(targets(target.port(), 60_000), TestHosts.call("r1", path, requester), 1, resumeAtEvent);
         return nextResult();
     }
 
