--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ApplyCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ApplyCommand.java
@@ -18,55 +18,56 @@
 import org.rattanplank.core.intent.Document;
 
 /**
- * Puts a folder into force.
+ * Applies a folder of intents as the next configuration generation.
  *
- * <p>Invariant: the base file changes only after the store surely holds the change. Run once by one thread.
+ * <p>Invariant: the base file changes only after the store has confirmed the change. Run once by one thread.
  */
-@Parameters(commandDescription = "put a folder of intents into force")
+@Parameters(commandDescription = "apply a folder of intents as the configuration")
 final class ApplyCommand extends Command {
     private static final long DEFAULT_WAIT_MILLIS = 30_000;
 
     @Parameter(description = "FOLDER", required = true, converter = PathConverter.class)
     private Path folder;
 
-    @Parameter(names = "--wait", description = "wait until every entry host has it in force")
-    private boolean waits;
+    @Parameter(names = "--wait", description = "wait until the generation is in force at every entry host")
+    private boolean waitForHosts;
 
-    @Parameter(names = "--wait-millis", description = "how long to wait at most")
+    @Parameter(names = "--wait-millis", description = "maximum wait in milliseconds")
     private long waitMillis = DEFAULT_WAIT_MILLIS;
 
     @ParametersDelegate
-    private final Connection connection = new Connection();
+    private final ConnectionOptions connectionOptions = new ConnectionOptions();
 
     @Override
     Report run(Console console) {
-        Either<Report, Report> report = connection.store(console).flatMap(store -> Folders.check(folder)
-                .flatMap(read ->
-                        BaseFile.of(folder).read().map(base -> apply(console, store, base, Folders.contents(read)))));
-        return report.fold(refused -> refused, done -> done);
+        Either<Report, Report> report = connectionOptions.store(console).flatMap(store -> IntentFolders.check(folder)
+                .flatMap(intents -> BaseFile.of(folder)
+                        .read()
+                        .map(base -> apply(console, store, base, IntentFolders.contents(intents)))));
+        return report.fold(failure -> failure, success -> success);
     }
 
     private Report apply(Console console, StoreClient store, Document base, SortedMap<String, JsonNode> wanted) {
         ConfigurationChange change =
                 new ConfigurationChange(base, wanted, UUID.randomUUID().toString());
-        ApplyStep end = drive(Apply.of(change), store);
-        if (end instanceof ApplyStep.Done done) {
+        ApplyStep result = runToEnd(Apply.of(change), store);
+        if (result instanceof ApplyStep.Done done) {
             return done(console, done, wanted);
         }
-        if (end instanceof ApplyStep.Refused refused) {
-            return Folders.refused(refused.faults());
+        if (result instanceof ApplyStep.Refused refused) {
+            return IntentFolders.faultReport(refused.faults());
         }
-        if (end instanceof ApplyStep.Conflicting conflicting) {
-            return Conflicts.report(conflicting.generation(), conflicting.conflicts());
+        if (result instanceof ApplyStep.Conflicting conflicting) {
+            return ConflictReport.of(conflicting.generation(), conflicting.conflicts());
         }
-        ApplyStep.Failed failed = (ApplyStep.Failed) end;
+        ApplyStep.Failed failed = (ApplyStep.Failed) result;
         String effect = failed.surelyNotApplied()
                 ? "nothing was applied"
                 : "it is unknown whether the change was applied; apply the same folder again";
         return Report.of(ExitCode.UNREACHABLE, "the store cannot be reached: " + failed.reason() + "; " + effect);
     }
 
-    private static ApplyStep drive(Apply start, StoreClient store) {
+    private static ApplyStep runToEnd(Apply start, StoreClient store) {
         Apply apply = start;
         while (apply.step() instanceof ApplyStep.CallStore call) {
             Pause.millis(call.delayMillis());
@@ -76,25 +77,25 @@
     }
 
     private Report done(Console console, ApplyStep.Done done, SortedMap<String, JsonNode> wanted) {
-        Document seen = new Document(done.generation(), done.digest(), "", List.of(), wanted);
-        Either<Report, Path> written = BaseFile.of(folder).write(seen);
+        Document applied = new Document(done.generation(), done.digest(), "", List.of(), wanted);
+        Either<Report, Path> written = BaseFile.of(folder).write(applied);
         if (written.isLeft()) {
             return written.getLeft();
         }
         String line = done.changed()
                 ? "generation " + done.generation() + " holds this folder"
-                : "nothing to change; generation " + done.generation() + " holds this folder";
-        ObjectNode json = Web.JSON
+                : "no changes; generation " + done.generation() + " holds this folder";
+        ObjectNode json = JsonHttpClient.JSON
                 .createObjectNode()
                 .put("generation", done.generation())
                 .put("digest", done.digest())
                 .put("changed", done.changed());
-        if (!waits) {
+        if (!waitForHosts) {
             return Report.of(ExitCode.DONE, List.of(line), json);
         }
         console.progress(line);
-        return connection.operators(console).fold(refused -> refused, operators -> new GenerationWait(
+        return connectionOptions.operators(console).fold(failure -> failure, operators -> new GenerationWaiter(
                         operators, console, json)
-                .until(done.generation(), waitMillis));
+                .await(done.generation(), waitMillis));
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/BaseFile.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/BaseFile.java
@@ -9,10 +9,10 @@
 import org.rattanplank.core.intent.Document;
 
 /**
- * The hidden file of a folder that says what its operator last saw.
+ * The hidden file of a folder that stores the document on which the folder is based.
  *
- * <p>Invariant: the file holds the folder's files as they were when they last agreed with the store, so that an apply
- * changes nothing that this operator did not change. Immutable and thread safe.
+ * <p>Invariant: the file holds the folder's files as they were when the folder last matched the store, so that an apply
+ * changes only the files that this operator has changed. Immutable and thread safe.
  */
 final class BaseFile {
     static final String NAME = ".rattanplank-base.json";
@@ -27,7 +27,7 @@
         return new BaseFile(folder.resolve(NAME));
     }
 
-    /** Reads the base; a folder without one was never applied or pulled. */
+    /** Reads the base document, empty for a folder that was never applied or pulled. */
     Either<Report, Document> read() {
         if (!Files.exists(path)) {
             return Either.right(Document.empty());
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Replaces the base in one step, since a torn base would make the next apply undo other operators' files. */
+    /** Replaces the base atomically: a partly written base would make the next apply undo other operators' changes. */
     Either<Report, Path> write(Document document) {
         Path next = path.resolveSibling(NAME + ".next");
         try {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/CheckCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/CheckCommand.java
@@ -6,18 +6,18 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.converters.PathConverter;
 
-/** Checks a folder of intents without changing anything. Run once by one thread. */
-@Parameters(commandDescription = "check a folder of intents")
+/** Checks a folder of intents without applying it. Run once by one thread. */
+@Parameters(commandDescription = "check a folder of intents without applying it")
 final class CheckCommand extends Command {
     @Parameter(description = "FOLDER", required = true, converter = PathConverter.class)
     private Path folder;
 
     @Override
     Report run(Console console) {
-        return Folders.check(folder)
+        return IntentFolders.check(folder)
                 .fold(
                         report -> report,
-                        read -> Report.of(
-                                ExitCode.DONE, folder + ": " + read.files().size() + " files are sound"));
+                        intents -> Report.of(
+                                ExitCode.DONE, folder + ": " + intents.files().size() + " files are sound"));
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Command.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Command.java
@@ -2,15 +2,15 @@
 
 import com.beust.jcommander.Parameter;
 
-/** One command of the tool. Written by JCommander, then run once by one thread. */
+/** A command of the command-line tool. Written by JCommander, then run once by one thread. */
 abstract class Command {
-    @Parameter(names = "--json", description = "print one JSON value for scripts")
+    @Parameter(names = "--json", description = "print the result as one JSON value")
     private boolean json;
 
-    /** Runs the command. */
+    /** Runs the command and returns its report. */
     abstract Report run(Console console);
 
-    final boolean wantsJson() {
+    final boolean isJsonOutput() {
         return json;
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Conflicts.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ConflictReport.java
@@ -6,12 +6,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.rattanplank.core.intent.ConfigurationConflict;
 
-/** Tells an operator that another one changed the same files. Stateless and thread safe. */
-final class Conflicts {
-    private Conflicts() {}
+/** Reports files that another operator has changed since this folder was pulled. Stateless and thread safe. */
+final class ConflictReport {
+    private ConflictReport() {}
 
-    static Report report(long generation, List<ConfigurationConflict> conflicts) {
-        ObjectNode json = Web.JSON.createObjectNode().put("generation", generation);
+    static Report of(long generation, List<ConfigurationConflict> conflicts) {
+        ObjectNode json = JsonHttpClient.JSON.createObjectNode().put("generation", generation);
         ArrayNode array = json.putArray("conflicts");
         conflicts.forEach(conflict -> array.addObject()
                 .put("file", conflict.file())
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Console.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Console.java
@@ -5,10 +5,10 @@
 import java.util.Objects;
 
 /**
- * Where a command runs: its streams and environment. Thread safe as far as the streams are.
+ * Output streams and environment of a command. Thread safe if the streams are.
  *
- * @param out the stream of results
- * @param err the stream of progress and complaints
+ * @param out the stream for results
+ * @param err the stream for progress and errors
  * @param environment the environment variables
  */
 public record Console(PrintStream out, PrintStream err, Map<String, String> environment) {
@@ -18,7 +18,7 @@
         environment = Map.copyOf(environment);
     }
 
-    /** Tells people how far a long command has come; scripts read the result only. */
+    /** Prints a progress line of a long command to the error stream, so that the output stream holds the result only. */
     void progress(String line) {
         err.println(line);
         err.flush();
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/EntryHostsCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/EntryHostsCommand.java
@@ -9,26 +9,26 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.vavr.control.Either;
 
-/** Shows which entry hosts callers are sent to. Run once by one thread. */
-@Parameters(commandDescription = "show which entry hosts callers are sent to")
+/** Shows the entry hosts that callers are directed to. Run once by one thread. */
+@Parameters(commandDescription = "show the entry hosts that callers are directed to")
 final class EntryHostsCommand extends Command {
-    @Parameter(names = "--account", description = "the account whose order of hosts is wanted")
+    @Parameter(names = "--account", description = "client account whose host order is shown")
     private String account = "";
 
     @ParametersDelegate
-    private final Connection connection = new Connection();
+    private final ConnectionOptions connectionOptions = new ConnectionOptions();
 
     @Override
     Report run(Console console) {
-        return connection.operators(console).fold(refused -> refused, this::ask);
+        return connectionOptions.operators(console).fold(failure -> failure, this::query);
     }
 
-    private Report ask(OperatorsClient operators) {
+    private Report query(OperatorsClient operators) {
         String path = account.isEmpty() ? "/entry-hosts" : "/entry-hosts?account=" + account;
         for (String address : operators.addresses()) {
-            Either<WebFailure, WebAnswer> answer = operators.get(address, path);
-            if (answer.isRight() && answer.get().isGood()) {
-                return show(answer.get().body());
+            Either<CallFailure, JsonResponse> response = operators.get(address, path);
+            if (response.isRight() && response.get().isSuccess()) {
+                return show(response.get().body());
             }
         }
         return Report.of(ExitCode.UNREACHABLE, "no entry host answers");
@@ -41,7 +41,7 @@
                     + host.path("dataCentre").asText() + " at "
                     + host.path("address").asText() + ":" + host.path("port").asInt());
         }
-        lines.add("ask again after " + entryHosts.path("ttlMillis").asLong() + " ms");
+        lines.add("refresh after " + entryHosts.path("ttlMillis").asLong() + " ms");
         return Report.of(ExitCode.DONE, lines, entryHosts);
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/EtcdClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/EtcdClient.java
@@ -14,21 +14,21 @@
 import org.rattanplank.core.store.StoreReply;
 
 /**
- * Calls the platform's store by etcd v3's JSON over HTTP.
+ * Calls the platform's store with the etcd v3 JSON API over HTTP.
  *
- * <p>Invariant: a write is called unavailable only if it was surely not made. Thread safe.
+ * <p>Invariant: a write is reported as {@link StoreReply.Unavailable} only if it definitely had no effect. Thread safe.
  */
 final class EtcdClient implements StoreClient {
     private final String address;
-    private final Web web;
+    private final JsonHttpClient web;
 
-    private EtcdClient(String address, Web web) {
+    private EtcdClient(String address, JsonHttpClient web) {
         this.address = address;
         this.web = web;
     }
 
     static EtcdClient of(String address, Duration timeout) {
-        return new EtcdClient(address, Web.of(timeout));
+        return new EtcdClient(address, JsonHttpClient.of(timeout));
     }
 
     @Override
@@ -39,57 +39,57 @@
         if (command instanceof StoreCommand.Put put) {
             return put(put);
         }
-        throw new IllegalArgumentException("the tool never makes this call: " + command);
+        throw new IllegalArgumentException("unsupported store command: " + command);
     }
 
     private StoreReply get(String key) {
-        ObjectNode range = Web.JSON.createObjectNode().put("key", base64(key));
+        ObjectNode range = JsonHttpClient.JSON.createObjectNode().put("key", base64(key));
         return web.post(address, "/v3/kv/range", range.toString())
                 .fold(
                         failure -> new StoreReply.Unavailable(failure.reason()),
-                        answer -> answer.isGood() ? found(answer.body()) : refused(answer));
+                        response -> response.isSuccess() ? found(response.body()) : unavailable(response));
     }
 
     private StoreReply put(StoreCommand.Put put) {
         String key = base64(put.key());
-        ObjectNode condition = Web.JSON
+        ObjectNode condition = JsonHttpClient.JSON
                 .createObjectNode()
                 .put("key", key)
                 .put("target", "MOD")
                 .put("result", "EQUAL")
                 .put("mod_revision", Long.toString(put.expectedModRevision()));
-        ObjectNode write = Web.JSON.createObjectNode();
+        ObjectNode write = JsonHttpClient.JSON.createObjectNode();
         write.putObject("request_put").put("key", key).put("value", base64(put.value()));
-        ObjectNode read = Web.JSON.createObjectNode();
+        ObjectNode read = JsonHttpClient.JSON.createObjectNode();
         read.putObject("request_range").put("key", key);
-        ObjectNode transaction = Web.JSON.createObjectNode();
+        ObjectNode transaction = JsonHttpClient.JSON.createObjectNode();
         transaction.putArray("compare").add(condition);
         transaction.putArray("success").add(write);
         transaction.putArray("failure").add(read);
         return web.post(address, "/v3/kv/txn", transaction.toString())
                 .fold(
-                        failure -> failure.surelyNotSent()
+                        failure -> failure.definitelyNotSent()
                                 ? new StoreReply.Unavailable(failure.reason())
                                 : new StoreReply.Unsure(failure.reason()),
-                        answer -> answer.isGood() ? written(answer.body()) : refused(answer));
+                        response -> response.isSuccess() ? written(response.body()) : unavailable(response));
     }
 
-    private static StoreReply written(JsonNode answer) {
-        if (answer.path("succeeded").asBoolean(false)) {
-            return new StoreReply.Written(answer.at("/header/revision").asLong());
+    private static StoreReply written(JsonNode response) {
+        if (response.path("succeeded").asBoolean(false)) {
+            return new StoreReply.Written(response.at("/header/revision").asLong());
         }
-        JsonNode range = answer.at("/responses/0/response_range");
+        JsonNode range = response.at("/responses/0/response_range");
         return new StoreReply.Conflicted(
                 Option.ofOptional(entries(range).stream().findFirst()));
     }
 
-    private static StoreReply refused(WebAnswer answer) {
-        return new StoreReply.Unavailable("the store answered " + answer.status() + " " + answer.body());
+    private static StoreReply unavailable(JsonResponse response) {
+        return new StoreReply.Unavailable("the store answered " + response.status() + " " + response.body());
     }
 
-    private static StoreReply found(JsonNode answer) {
+    private static StoreReply found(JsonNode response) {
         return new StoreReply.Found(
-                entries(answer), answer.at("/header/revision").asLong());
+                entries(response), response.at("/header/revision").asLong());
     }
 
     private static List<StoreEntry> entries(JsonNode range) {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ExitCode.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ExitCode.java
@@ -1,12 +1,12 @@
 package org.rattanplank.cli;
 
-/** How a command ended, for scripts. */
+/** Exit code of a command. */
 public enum ExitCode {
-    /** Done. */
+    /** The command succeeded. */
     DONE(0),
-    /** Refused, or not in force. */
+    /** The request was rejected, or the generation is not in force at every entry host. */
     REFUSED(1),
-    /** The command line or a setting is wrong. */
+    /** The command line or an environment variable is invalid. */
     USAGE(2),
     /** The store or the entry hosts could not be reached. */
     UNREACHABLE(3);
@@ -18,7 +18,7 @@
     }
 
     /**
-     * The number that the process ends with.
+     * Returns the numeric exit code of the process.
      *
      * @return the exit code
      */
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ExplainCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ExplainCommand.java
@@ -9,30 +9,30 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import io.vavr.control.Either;
 
-/** Tells why a request went where it went. Run once by one thread. */
-@Parameters(commandDescription = "tell why a request went where it went")
+/** Explains the routing of a request. Run once by one thread. */
+@Parameters(commandDescription = "explain the routing of a request")
 final class ExplainCommand extends Command {
     @Parameter(description = "REQUEST-ID", required = true)
     private String requestId = "";
 
     @ParametersDelegate
-    private final Connection connection = new Connection();
+    private final ConnectionOptions connectionOptions = new ConnectionOptions();
 
     @Override
     Report run(Console console) {
-        return connection.operators(console).fold(refused -> refused, this::ask);
+        return connectionOptions.operators(console).fold(failure -> failure, this::query);
     }
 
-    private Report ask(OperatorsClient operators) {
-        boolean reached = false;
+    private Report query(OperatorsClient operators) {
+        boolean anyReachable = false;
         for (String address : operators.addresses()) {
-            Either<WebFailure, WebAnswer> answer = operators.get(address, "/explain/" + requestId);
-            if (answer.isRight() && answer.get().isGood()) {
-                return show(answer.get().body());
+            Either<CallFailure, JsonResponse> response = operators.get(address, "/explain/" + requestId);
+            if (response.isRight() && response.get().isSuccess()) {
+                return show(response.get().body());
             }
-            reached |= answer.isRight();
+            anyReachable |= response.isRight();
         }
-        return reached
+        return anyReachable
                 ? Report.of(ExitCode.REFUSED, "no entry host remembers request " + requestId)
                 : Report.of(ExitCode.UNREACHABLE, "no entry host answers");
     }
@@ -46,7 +46,8 @@
         for (JsonNode routing : explanation.path("routings")) {
             attempt++;
             lines.add("attempt " + attempt + ": "
-                    + firstOf(routing.at("/route/target"), routing.at("/route/host"), routing.at("/failure/reason")));
+                    + firstNonEmpty(
+                            routing.at("/route/target"), routing.at("/route/host"), routing.at("/failure/reason")));
             for (JsonNode candidate : routing.path("candidates")) {
                 lines.add("  " + candidate.path("peer").asText() + ": "
                         + candidate.path("verdict").asText() + ", score "
@@ -56,7 +57,7 @@
         return Report.of(ExitCode.DONE, lines, explanation);
     }
 
-    private static String firstOf(JsonNode... nodes) {
+    private static String firstNonEmpty(JsonNode... nodes) {
         for (JsonNode node : nodes) {
             if (node.isValueNode() && !node.asText().isEmpty()) {
                 return node.asText();
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/FileDifference.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/FileDifference.java
@@ -11,10 +11,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * One file that differs. Immutable and thread safe.
+ * A difference in one file between two versions of a folder. Immutable and thread safe.
  *
- * @param file the file's name
- * @param verb what happens to it: add, change or remove
+ * @param file the name of the file
+ * @param verb the operation on the file: add, change or remove
  */
 record FileDifference(String file, String verb) {
     FileDifference {
@@ -22,16 +22,16 @@
         Objects.requireNonNull(verb, "verb");
     }
 
-    static List<FileDifference> between(SortedMap<String, JsonNode> before, SortedMap<String, JsonNode> after) {
-        TreeSet<String> names = new TreeSet<>(before.keySet());
-        names.addAll(after.keySet());
+    static List<FileDifference> between(SortedMap<String, JsonNode> previous, SortedMap<String, JsonNode> next) {
+        TreeSet<String> names = new TreeSet<>(previous.keySet());
+        names.addAll(next.keySet());
         List<FileDifference> differences = new ArrayList<>();
         for (String name : names) {
-            if (!before.containsKey(name)) {
+            if (!previous.containsKey(name)) {
                 differences.add(new FileDifference(name, "add"));
-            } else if (!after.containsKey(name)) {
+            } else if (!next.containsKey(name)) {
                 differences.add(new FileDifference(name, "remove"));
-            } else if (!before.get(name).equals(after.get(name))) {
+            } else if (!previous.get(name).equals(next.get(name))) {
                 differences.add(new FileDifference(name, "change"));
             }
         }
@@ -39,9 +39,10 @@
     }
 
     static ObjectNode toJson(List<FileDifference> differences) {
-        ObjectNode json = Web.JSON.createObjectNode();
+        ObjectNode json = JsonHttpClient.JSON.createObjectNode();
         ArrayNode array = json.putArray("differences");
-        differences.forEach(each -> array.addObject().put("file", each.file()).put("verb", each.verb()));
+        differences.forEach(
+                difference -> array.addObject().put("file", difference.file()).put("verb", difference.verb()));
         return json;
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/HostStatus.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/HostStatus.java
@@ -6,13 +6,13 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 
 /**
- * The status that one entry host gives. Thread safe as long as nobody changes the JSON.
+ * The status of one entry host. Thread safe as long as the JSON is not modified.
  *
- * @param address its address for operators
- * @param reached whether it answered
- * @param json what it answered
+ * @param address the address of its operator port
+ * @param reachable whether the host returned its status
+ * @param json the status that the host returned, missing if it is unreachable
  */
-record HostStatus(String address, boolean reached, JsonNode json) {
+record HostStatus(String address, boolean reachable, JsonNode json) {
     HostStatus {
         Objects.requireNonNull(address, "address");
         Objects.requireNonNull(json, "json");
@@ -22,16 +22,16 @@
         return new HostStatus(address, true, json);
     }
 
-    static HostStatus outOfReach(String address) {
+    static HostStatus unreachable(String address) {
         return new HostStatus(address, false, MissingNode.getInstance());
     }
 
     String host() {
-        return reached ? json.at("/identity/host").asText() : address;
+        return reachable ? json.at("/identity/host").asText() : address;
     }
 
     String region() {
-        return reached ? json.at("/identity/place/region").asText() : "out of reach";
+        return reachable ? json.at("/identity/place/region").asText() : "out of reach";
     }
 
     String dataCentre() {
@@ -42,7 +42,7 @@
         return json.path("generation").asLong();
     }
 
-    boolean holds(long wanted) {
-        return reached && generation() >= wanted;
+    boolean hasGeneration(long minGeneration) {
+        return reachable && generation() >= minGeneration;
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Folders.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/IntentFolders.java
@@ -18,17 +18,17 @@
 import org.rattanplank.schema.intent.IntentFault;
 import org.rattanplank.schema.intent.IntentFolder;
 
-/** Reads, checks and writes operators' folders. Stateless and thread safe. */
-final class Folders {
+/** Reads, checks and writes folders of intents. Stateless and thread safe. */
+final class IntentFolders {
     private static final ObjectMapper YAML =
             new ObjectMapper(new YAMLFactory().disable(YAMLGenerator.Feature.WRITE_DOC_START_MARKER));
 
-    private Folders() {}
+    private IntentFolders() {}
 
     static Either<Report, IntentFolder> check(Path folder) {
-        return IntentFolder.read(folder).mapLeft(Folders::refused).flatMap(read -> {
-            List<IntentFault> faults = IntentChecks.check(read);
-            return faults.isEmpty() ? Either.right(read) : Either.left(refused(faults));
+        return IntentFolder.read(folder).mapLeft(IntentFolders::faultReport).flatMap(intents -> {
+            List<IntentFault> faults = IntentChecks.check(intents);
+            return faults.isEmpty() ? Either.right(intents) : Either.left(faultReport(faults));
         });
     }
 
@@ -38,8 +38,8 @@
         return contents;
     }
 
-    static Report refused(List<IntentFault> faults) {
-        ObjectNode json = Web.JSON.createObjectNode();
+    static Report faultReport(List<IntentFault> faults) {
+        ObjectNode json = JsonHttpClient.JSON.createObjectNode();
         ArrayNode array = json.putArray("faults");
         for (IntentFault fault : faults) {
             array.addObject()
@@ -58,7 +58,7 @@
 
     static void write(Path folder, String name, JsonNode content) throws IOException {
         String text = name.endsWith(".json")
-                ? Web.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(content)
+                ? JsonHttpClient.JSON.writerWithDefaultPrettyPrinter().writeValueAsString(content)
                 : YAML.writeValueAsString(content);
         Files.writeString(folder.resolve(name), text);
     }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Web.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/JsonHttpClient.java
@@ -13,15 +13,16 @@
 import io.vavr.control.Either;
 
 /**
- * Makes HTTP calls and tells those that were surely not made from those that may have taken effect. Thread safe.
+ * Makes HTTP calls with JSON responses, and separates calls that were definitely not sent from those that may have had an
+ * effect. Thread safe.
  */
-final class Web {
+final class JsonHttpClient {
     static final ObjectMapper JSON = new ObjectMapper();
 
     private final HttpClient client;
     private final Duration timeout;
 
-    private Web(Duration timeout) {
+    private JsonHttpClient(Duration timeout) {
         this.timeout = timeout;
         client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
@@ -29,34 +30,34 @@
                 .build();
     }
 
-    static Web of(Duration timeout) {
-        return new Web(timeout);
+    static JsonHttpClient of(Duration timeout) {
+        return new JsonHttpClient(timeout);
     }
 
-    Either<WebFailure, WebAnswer> get(String address, String path) {
-        return send(request(address, path).GET());
+    Either<CallFailure, JsonResponse> get(String address, String path) {
+        return send(requestBuilder(address, path).GET());
     }
 
-    Either<WebFailure, WebAnswer> post(String address, String path, String body) {
-        return send(request(address, path).POST(HttpRequest.BodyPublishers.ofString(body)));
+    Either<CallFailure, JsonResponse> post(String address, String path, String body) {
+        return send(requestBuilder(address, path).POST(HttpRequest.BodyPublishers.ofString(body)));
     }
 
-    private HttpRequest.Builder request(String address, String path) {
+    private HttpRequest.Builder requestBuilder(String address, String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address + path)).timeout(timeout);
     }
 
-    private Either<WebFailure, WebAnswer> send(HttpRequest.Builder builder) {
+    private Either<CallFailure, JsonResponse> send(HttpRequest.Builder builder) {
         HttpRequest request = builder.build();
         try {
             HttpResponse<String> response = WholeExchange.send(client, request, timeout);
-            return Either.right(new WebAnswer(response.statusCode(), JSON.readTree(response.body())));
+            return Either.right(new JsonResponse(response.statusCode(), JSON.readTree(response.body())));
         } catch (ConnectException | HttpConnectTimeoutException e) {
-            return Either.left(new WebFailure(true, "cannot connect to " + request.uri()));
+            return Either.left(new CallFailure(true, "cannot connect to " + request.uri()));
         } catch (IOException e) {
-            return Either.left(new WebFailure(false, "no answer from " + request.uri() + ": " + e));
+            return Either.left(new CallFailure(false, "no answer from " + request.uri() + ": " + e));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return Either.left(new WebFailure(false, "interrupted while waiting for " + request.uri()));
+            return Either.left(new CallFailure(false, "interrupted while waiting for " + request.uri()));
         }
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/LogFiles.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/LogFiles.java
@@ -9,16 +9,16 @@
 import com.beust.jcommander.Parameter;
 import io.vavr.control.Either;
 
-/** The flag that names the hosts' logs, for commands that read them. Written by JCommander, then read by one thread. */
+/** The flag for the hosts' log files, shared by the commands that read them. Written by JCommander, then read by one thread. */
 final class LogFiles {
     @Parameter(
             names = "--logs",
-            description = "files with the standard output of the hosts, one after the other",
+            description = "files with the standard output of the hosts",
             variableArity = true,
             required = true)
     private List<String> logs = new ArrayList<>();
 
-    /** Reads all lines of all files, or tells which one can't be read. */
+    /** Reads the lines of all files, or returns a report that names an unreadable file. */
     Either<Report, List<String>> lines() {
         List<String> lines = new ArrayList<>();
         for (String log : logs) {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Loss.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Loss.java
@@ -3,68 +3,68 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What became of a request, as far as its caller lost by it. The first that fits the last line of a request is its loss.
- * Immutable and thread safe.
+ * The outcome of a request from its caller's point of view. A request has the first outcome that matches its
+ * {@code ended} log line. Immutable and thread safe.
  */
 enum Loss {
-    /** Refused as it would have waited too long, or no target could take it; the reason tells which. */
+    /** Rejected because it would have waited too long or no target could accept it; the reason in the log line tells which. */
     REFUSED("refused") {
         @Override
-        boolean fits(JsonNode end) {
-            return end.path("outcome").asText().equals("refused");
+        boolean matches(JsonNode endedLine) {
+            return endedLine.path("outcome").asText().equals("refused");
         }
     },
-    /** The caller left before its answer was whole. */
+    /** The caller disconnected before the response was complete. */
     CALLER_LEFT("caller left") {
         @Override
-        boolean fits(JsonNode end) {
-            return end.path("outcome").asText().equals("caller_left");
+        boolean matches(JsonNode endedLine) {
+            return endedLine.path("outcome").asText().equals("caller_left");
         }
     },
-    /** A part of the answer was out when it broke and could not go on. */
+    /** The response failed after a part of it was sent and could not be continued. */
     BROKEN("broken midway") {
         @Override
-        boolean fits(JsonNode end) {
-            return end.path("outcome").asText().equals("broken");
+        boolean matches(JsonNode endedLine) {
+            return endedLine.path("outcome").asText().equals("broken");
         }
     },
-    /** A target's own failure was passed on. */
+    /** An error response of a target was forwarded. */
     FAILED_BY_TARGET("failed by its target") {
         @Override
-        boolean fits(JsonNode end) {
-            return isAnswered(end) && end.path("status").asInt() >= LEAST_FAILURE_STATUS;
+        boolean matches(JsonNode endedLine) {
+            return isAnswered(endedLine) && endedLine.path("status").asInt() >= MIN_SERVER_ERROR_STATUS;
         }
     },
-    /** The gateway ended it without an answer of a target. */
+    /** The gateway ended the request without a response from a target. */
     UNANSWERED("ended without an answer") {
         @Override
-        boolean fits(JsonNode end) {
-            return !isAnswered(end);
+        boolean matches(JsonNode endedLine) {
+            return !isAnswered(endedLine);
         }
     },
-    /** The first part of the answer came after the objective. */
+    /** The first stream event missed the latency objective. */
     FIRST_PART_LATE("first part late") {
         @Override
-        boolean fits(JsonNode end) {
-            return end.path("firstPartLate").asBoolean();
+        boolean matches(JsonNode endedLine) {
+            return endedLine.path("firstPartLate").asBoolean();
         }
     },
-    /** Two parts of the answer were further apart than callers hope for. */
+    /** The gap between two stream events exceeded the latency objective. */
     PAUSE_TOO_LONG("pause too long") {
         @Override
-        boolean fits(JsonNode end) {
-            return end.path("pauseTooLong").asBoolean();
+        boolean matches(JsonNode endedLine) {
+            return endedLine.path("pauseTooLong").asBoolean();
         }
     },
-    /** Nothing was lost. */
+    /** The response was complete and met the latency objectives. */
     NONE("in time") {
         @Override
-        boolean fits(JsonNode end) {
+        boolean matches(JsonNode endedLine) {
             return true;
         }
     };
 
-    private static final int LEAST_FAILURE_STATUS = 500;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     private final String label;
 
@@ -72,27 +72,27 @@
         this.label = label;
     }
 
-    abstract boolean fits(JsonNode end);
+    abstract boolean matches(JsonNode endedLine);
 
     String label() {
         return label;
     }
 
-    /** Whether its caller has the whole answer of a target, in time or late. */
+    /** Returns whether the caller received the complete response of a target, in time or late. */
     boolean isServed() {
         return this == FIRST_PART_LATE || this == PAUSE_TOO_LONG || this == NONE;
     }
 
-    static Loss of(JsonNode end) {
-        for (Loss each : values()) {
-            if (each.fits(end)) {
-                return each;
+    static Loss of(JsonNode endedLine) {
+        for (Loss loss : values()) {
+            if (loss.matches(endedLine)) {
+                return loss;
             }
         }
         return NONE;
     }
 
-    private static boolean isAnswered(JsonNode end) {
-        return end.path("outcome").asText().equals("answered");
+    private static boolean isAnswered(JsonNode endedLine) {
+        return endedLine.path("outcome").asText().equals("answered");
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/LossTable.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/LossTable.java
@@ -11,23 +11,24 @@
 import io.vavr.control.Try;
 
 /**
- * How many requests of each route were lost by which cause, and how often its largest generations were served, counted
- * from the last lines of requests.
+ * Counts the outcomes of the requests of each route, and the fractions of served requests among its largest generations,
+ * from the {@code ended} log lines.
  *
- * <p>Invariant: a request counts once, at the host that its caller asked. Requests of probes, which no route takes, don't
- * count. Confined to one thread.
+ * <p>Invariant: a request counts once, at the entry host that received it from its caller. Requests that match no route,
+ * such as probes, are not counted. Confined to one thread.
  */
 final class LossTable {
     private final Map<String, Map<String, Integer>> countsByRoute = new TreeMap<>();
     private final SizeTable sizes = new SizeTable();
     private int linesDropped;
 
-    /** Takes the lines of one host's log; anything in front of a line's JSON is passed over. */
+    /** Adds the lines of one host's log; text before the JSON of a line is ignored. */
     void add(List<String> log) {
         for (String text : log) {
             int brace = text.indexOf("{\"event\"");
             if (brace >= 0) {
-                Try.of(() -> Web.JSON.readTree(text.substring(brace))).forEach(this::add);
+                Try.of(() -> JsonHttpClient.JSON.readTree(text.substring(brace)))
+                        .forEach(this::add);
             }
         }
     }
@@ -43,8 +44,8 @@
         }
         Loss loss = Loss.of(line);
         String reason = line.path("reason").asText();
-        String cause = reason.isEmpty() ? loss.label() : loss.label() + ": " + reason;
-        countsByRoute.computeIfAbsent(route, each -> new TreeMap<>()).merge(cause, 1, Integer::sum);
+        String causeLabel = reason.isEmpty() ? loss.label() : loss.label() + ": " + reason;
+        countsByRoute.computeIfAbsent(route, key -> new TreeMap<>()).merge(causeLabel, 1, Integer::sum);
         sizes.add(route, line);
     }
 
@@ -55,11 +56,15 @@
     List<String> text() {
         List<String> text = new ArrayList<>();
         countsByRoute.forEach((route, counts) -> {
-            int all = sum(counts);
-            text.add(route + ": " + all + " requests");
+            int total = sum(counts);
+            text.add(route + ": " + total + " requests");
             largestFirst(counts)
-                    .forEach(each -> text.add(String.format(
-                            Locale.ROOT, "  %7d  %5.1f %%  %s", each.getValue(), percent(each, all), each.getKey())));
+                    .forEach(cause -> text.add(String.format(
+                            Locale.ROOT,
+                            "  %7d  %5.1f %%  %s",
+                            cause.getValue(),
+                            percent(cause, total),
+                            cause.getKey())));
         });
         text.addAll(sizes.text());
         if (linesDropped > 0) {
@@ -68,23 +73,23 @@
         return text;
     }
 
-    /** The causes, for scripts. */
+    /** Returns the outcome counts as JSON. */
     ArrayNode json() {
-        ArrayNode rows = Web.JSON.createArrayNode();
-        countsByRoute.forEach((route, counts) -> largestFirst(counts).forEach(each -> rows.addObject()
+        ArrayNode rows = JsonHttpClient.JSON.createArrayNode();
+        countsByRoute.forEach((route, counts) -> largestFirst(counts).forEach(cause -> rows.addObject()
                 .put("route", route)
-                .put("cause", each.getKey())
-                .put("requests", each.getValue())));
+                .put("cause", cause.getKey())
+                .put("requests", cause.getValue())));
         return rows;
     }
 
-    /** The served shares by size, for scripts. */
+    /** Returns the served fractions by size as JSON. */
     ArrayNode sizesJson() {
         return sizes.json();
     }
 
-    private static double percent(Map.Entry<String, Integer> part, int all) {
-        return 100.0 * part.getValue() / all;
+    private static double percent(Map.Entry<String, Integer> count, int total) {
+        return 100.0 * count.getValue() / total;
     }
 
     private static int sum(Map<String, Integer> counts) {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/LossesCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/LossesCommand.java
@@ -7,19 +7,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Counts from the logs of all hosts what requests were lost by, and how often the largest were served. Run once by one
- * thread.
+ * Counts the outcomes of requests, and the served fraction of the largest generations, from the logs of all hosts. Run
+ * once by one thread.
  */
 @Parameters(
         commandDescription =
-                "count from logs what requests of each route were lost by, and how often its largest were served")
+                "count request outcomes and served fractions of the largest generations of each route from logs")
 final class LossesCommand extends Command {
     @ParametersDelegate
     private final LogFiles logs = new LogFiles();
 
     @Override
     Report run(Console console) {
-        return logs.lines().fold(unreadable -> unreadable, LossesCommand::count);
+        return logs.lines().fold(failure -> failure, LossesCommand::count);
     }
 
     private static Report count(List<String> lines) {
@@ -32,7 +32,7 @@
     }
 
     private static ObjectNode json(LossTable table) {
-        ObjectNode json = Web.JSON.createObjectNode();
+        ObjectNode json = JsonHttpClient.JSON.createObjectNode();
         json.set("causes", table.json());
         json.set("sizes", table.sizesJson());
         return json;
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Main.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Main.java
@@ -8,14 +8,14 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 
-/** The operators' tool. Run by one thread. */
+/** The operators' command-line tool. Run by one thread. */
 public final class Main {
     private static final String PROGRAM = "rattanplank";
 
-    @Parameter(names = "--json", description = "print one JSON value for scripts")
+    @Parameter(names = "--json", description = "print the result as one JSON value")
     private boolean json;
 
-    @Parameter(names = "--help", description = "show this text", help = true)
+    @Parameter(names = "--help", description = "show this help", help = true)
     private boolean help;
 
     private Main() {}
@@ -33,9 +33,9 @@
     /**
      * Runs one command.
      *
-     * @param console where it runs
+     * @param console its output streams and environment
      * @param args the command line
-     * @return how it ended
+     * @return its exit code
      */
     public static ExitCode run(Console console, String... args) {
         Main main = new Main();
@@ -48,7 +48,7 @@
             commander.parse(args);
         } catch (ParameterException e) {
             console.err().println(e.getMessage());
-            console.err().println("rattanplank --help lists the commands and their flags");
+            console.err().println("see rattanplank --help for commands and flags");
             return ExitCode.USAGE;
         }
         Command command = commands.get(String.valueOf(commander.getParsedCommand()));
@@ -56,7 +56,7 @@
             (main.help ? console.out() : console.err()).println(usage(commander));
             return main.help ? ExitCode.DONE : ExitCode.USAGE;
         }
-        return print(console, command.run(console), main.json || command.wantsJson());
+        return print(console, command.run(console), main.json || command.isJsonOutput());
     }
 
     private static Map<String, Command> commands() {
@@ -76,8 +76,8 @@
     }
 
     private static ExitCode print(Console console, Report report, boolean asJson) {
-        boolean complains = report.code() == ExitCode.USAGE || report.code() == ExitCode.UNREACHABLE;
-        PrintStream stream = complains && !asJson ? console.err() : console.out();
+        boolean isError = report.code() == ExitCode.USAGE || report.code() == ExitCode.UNREACHABLE;
+        PrintStream stream = isError && !asJson ? console.err() : console.out();
         if (asJson) {
             stream.println(report.json());
         } else {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/OperatorsClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/OperatorsClient.java
@@ -5,40 +5,40 @@
 
 import io.vavr.control.Either;
 
-/** Calls the entry hosts' ports for operators. Thread safe. */
+/** Calls the operator ports of the entry hosts. Thread safe. */
 final class OperatorsClient {
     private final List<String> addresses;
-    private final Web web;
+    private final JsonHttpClient web;
 
-    private OperatorsClient(List<String> addresses, Web web) {
+    private OperatorsClient(List<String> addresses, JsonHttpClient web) {
         this.addresses = List.copyOf(addresses);
         this.web = web;
     }
 
     static OperatorsClient of(List<String> addresses, Duration timeout) {
-        return new OperatorsClient(addresses, Web.of(timeout));
+        return new OperatorsClient(addresses, JsonHttpClient.of(timeout));
     }
 
     List<String> addresses() {
         return addresses;
     }
 
-    Either<WebFailure, WebAnswer> get(String address, String path) {
+    Either<CallFailure, JsonResponse> get(String address, String path) {
         return web.get(address, path);
     }
 
-    Either<WebFailure, WebAnswer> post(String address, String path) {
+    Either<CallFailure, JsonResponse> post(String address, String path) {
         return web.post(address, path, "");
     }
 
-    /** Asks all hosts for their status; a host that gives none counts as out of reach. */
+    /** Requests the status of all hosts; a host that does not return it counts as unreachable. */
     List<HostStatus> statuses() {
         return addresses.stream()
                 .map(address -> web.get(address, "/status")
                         .toOption()
-                        .filter(WebAnswer::isGood)
-                        .map(answer -> HostStatus.of(address, answer.body()))
-                        .getOrElse(() -> HostStatus.outOfReach(address)))
+                        .filter(JsonResponse::isSuccess)
+                        .map(response -> HostStatus.of(address, response.body()))
+                        .getOrElse(() -> HostStatus.unreachable(address)))
                 .toList();
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Pause.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Pause.java
@@ -1,6 +1,6 @@
 package org.rattanplank.cli;
 
-/** Lets time pass between two calls. Stateless and thread safe. */
+/** Sleeps between two calls, and keeps the interrupt flag set when interrupted. Stateless and thread safe. */
 final class Pause {
     private Pause() {}
 
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/PlatformClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/PlatformClient.java
@@ -22,7 +22,7 @@
 import org.rattanplank.gateway.store.StorePage;
 import org.rattanplank.platform.PlatformStore;
 
-/** Calls the store of the users' platform, by the adapter that the gateway uses. Thread safe. */
+/** Calls the platform's store through the adapter that the gateway uses. Thread safe. */
 final class PlatformClient implements StoreClient {
     private final InetSocketAddress address;
     private final Duration timeout;
@@ -53,7 +53,7 @@
                             store.put(put.key(), value, 0, Option.some(put.expectedModRevision()), reply))
                     .fold(failure -> failed(put.key(), failure), StoreReply.Written::new);
         }
-        throw new IllegalArgumentException("the tool never makes this call: " + command);
+        throw new IllegalArgumentException("unsupported store command: " + command);
     }
 
     private StoreReply failed(String key, StoreFailure failure) {
@@ -78,11 +78,11 @@
         return new StoreEntry(item.key(), new String(item.value(), StandardCharsets.UTF_8), item.revision());
     }
 
-    private <T> Either<StoreFailure, T> await(Call<T> call) {
+    private <T> Either<StoreFailure, T> await(PendingCall<T> call) {
         EventLoopGroup group = new NioEventLoopGroup(1);
         CompletableFuture<Either<StoreFailure, T>> reply = new CompletableFuture<>();
         try {
-            group.execute(() -> call.make(PlatformStore.of(group, address), reply::complete));
+            group.execute(() -> call.start(PlatformStore.of(group, address), reply::complete));
             return reply.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException | ExecutionException e) {
             return Either.left(StoreFailure.NO_ANSWER);
@@ -94,8 +94,8 @@
         }
     }
 
-    /** A call whose end comes later. */
-    private interface Call<T> {
-        void make(PlatformStore store, Consumer<Either<StoreFailure, T>> reply);
+    /** An asynchronous call. */
+    private interface PendingCall<T> {
+        void start(PlatformStore store, Consumer<Either<StoreFailure, T>> reply);
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/PullCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/PullCommand.java
@@ -17,38 +17,38 @@
 import org.rattanplank.schema.intent.IntentFolder;
 
 /**
- * Writes the newest generation into a folder.
+ * Writes the newest configuration generation into a folder.
  *
- * <p>Invariant: a folder with files that were changed and not applied is left as it is. Run once by one thread.
+ * <p>Invariant: a folder with unapplied changes is not modified. Run once by one thread.
  */
-@Parameters(commandDescription = "write the newest generation into a folder")
+@Parameters(commandDescription = "write the newest configuration generation into a folder")
 final class PullCommand extends Command {
     @Parameter(description = "FOLDER", required = true, converter = PathConverter.class)
     private Path folder;
 
     @ParametersDelegate
-    private final Connection connection = new Connection();
+    private final ConnectionOptions connectionOptions = new ConnectionOptions();
 
     @Override
     Report run(Console console) {
-        Either<Report, Report> report = connection
+        Either<Report, Report> report = connectionOptions
                 .store(console)
-                .flatMap(StoreClient::newest)
+                .flatMap(StoreClient::readNewest)
                 .flatMap(newest -> BaseFile.of(folder).read().map(base -> pull(base, newest)));
-        return report.fold(refused -> refused, done -> done);
+        return report.fold(failure -> failure, success -> success);
     }
 
     private Report pull(Document base, Document newest) {
-        Either<Report, IntentFolder> present = Files.isDirectory(folder)
-                ? IntentFolder.read(folder).mapLeft(Folders::refused)
+        Either<Report, IntentFolder> existing = Files.isDirectory(folder)
+                ? IntentFolder.read(folder).mapLeft(IntentFolders::faultReport)
                 : Either.right(IntentFolder.empty());
-        if (present.isLeft()) {
-            return present.getLeft();
+        if (existing.isLeft()) {
+            return existing.getLeft();
         }
-        List<FileDifference> unapplied = FileDifference.between(base.files(), Folders.contents(present.get()));
+        List<FileDifference> unapplied = FileDifference.between(base.files(), IntentFolders.contents(existing.get()));
         if (!unapplied.isEmpty()) {
             List<String> lines = io.vavr.collection.List.ofAll(unapplied)
-                    .map(each -> each.file() + ": changed here and not applied")
+                    .map(difference -> difference.file() + ": changed here and not applied")
                     .append("nothing was written; apply this folder or pull into another one")
                     .asJava();
             return Report.of(ExitCode.REFUSED, lines, FileDifference.toJson(unapplied));
@@ -59,22 +59,22 @@
     private Report write(Document base, Document newest) {
         try {
             Files.createDirectories(folder);
-            for (FileDifference each : FileDifference.between(base.files(), newest.files())) {
-                if (each.verb().equals("remove")) {
-                    Files.delete(folder.resolve(each.file()));
+            for (FileDifference difference : FileDifference.between(base.files(), newest.files())) {
+                if (difference.verb().equals("remove")) {
+                    Files.delete(folder.resolve(difference.file()));
                 }
             }
             for (Map.Entry<String, JsonNode> file : newest.files().entrySet()) {
-                Folders.write(folder, file.getKey(), file.getValue());
+                IntentFolders.write(folder, file.getKey(), file.getValue());
             }
         } catch (IOException e) {
             return Report.of(ExitCode.REFUSED, folder + " cannot be written: " + e);
         }
-        return BaseFile.of(folder).write(newest).fold(refused -> refused, written -> done(newest));
+        return BaseFile.of(folder).write(newest).fold(failure -> failure, written -> done(newest));
     }
 
     private Report done(Document newest) {
-        ObjectNode json = Web.JSON
+        ObjectNode json = JsonHttpClient.JSON
                 .createObjectNode()
                 .put("generation", newest.generation())
                 .put("digest", newest.digest())
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/Report.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/Report.java
@@ -8,11 +8,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * What a command found, for people and for scripts. Thread safe as long as nobody changes the JSON.
+ * The result of a command as text and as JSON. Thread safe as long as the JSON is not modified.
  *
- * @param code how the command ended
- * @param lines the text for people
- * @param json the same for scripts
+ * @param code the exit code of the command
+ * @param lines the result as lines of text
+ * @param json the result as JSON
  */
 public record Report(ExitCode code, List<String> lines, JsonNode json) {
     public Report {
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Makes a report of one line.
+     * Creates a report of one line.
      *
-     * @param code how the command ended
+     * @param code the exit code of the command
      * @param line the line
      * @return the report
      */
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Makes a report of several lines.
+     * Creates a report of several lines.
      *
-     * @param code how the command ended
+     * @param code the exit code of the command
      * @param lines the lines
-     * @param json the same for scripts
+     * @param json the result as JSON
      * @return the report
      */
     public static Report of(ExitCode code, List<String> lines, JsonNode json) {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ServedBySize.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ServedBySize.java
@@ -7,57 +7,58 @@
 import java.util.TreeMap;
 
 /**
- * How many of a route's generations of each size were served.
+ * Counts the served and all generations of a route by size.
  *
- * <p>Invariant: what it tells doesn't depend on the order in which requests were added; where a band ends among requests
- * of one size, it has its part of those served. Confined to one thread.
+ * <p>Invariant: the results do not depend on the order in which requests were added. Where a band boundary falls among
+ * requests of equal size, the served requests of that size are divided in proportion. Confined to one thread.
  */
 final class ServedBySize {
-    /** Making a token takes so many times the work of reading one. */
-    private static final long OUTPUT_WEIGHT = 10;
+    /** Work of decoding one output token, in prompt tokens prefilled. */
+    private static final long OUTPUT_TOKEN_WEIGHT = 10;
 
-    private final TreeMap<Long, Tally> largestFirst = new TreeMap<>(Comparator.reverseOrder());
-    private Tally all = new Tally(0, 0);
+    private final TreeMap<Long, ServedCount> countsLargestFirst = new TreeMap<>(Comparator.reverseOrder());
+    private ServedCount total = new ServedCount(0, 0);
 
     void add(long promptTokens, long outputTokens, boolean served) {
-        Tally one = new Tally(1, served ? 1 : 0);
-        largestFirst.merge(promptTokens + OUTPUT_WEIGHT * outputTokens, one, Tally::plus);
-        all = all.plus(one);
+        ServedCount request = new ServedCount(1, served ? 1 : 0);
+        countsLargestFirst.merge(promptTokens + OUTPUT_TOKEN_WEIGHT * outputTokens, request, ServedCount::plus);
+        total = total.plus(request);
     }
 
     long requests() {
-        return all.requests();
+        return total.requests();
     }
 
     double servedShare() {
-        return all.servedShare();
+        return total.servedShare();
     }
 
-    /** The bands that have requests, the largest sizes first. */
-    List<SizeShare> shares() {
-        List<SizeShare> shares = new ArrayList<>();
+    /** Returns the bands that contain requests, largest sizes first. */
+    List<SizeBandShare> shares() {
+        List<SizeBandShare> shares = new ArrayList<>();
         for (SizeBand band : SizeBand.values()) {
-            long from = band.from(requests());
-            long to = band.to(requests());
-            if (to > from) {
-                shares.add(new SizeShare(band, to - from, served(from, to) / (to - from), servedShare()));
+            long startRank = band.startRank(requests());
+            long endRank = band.endRank(requests());
+            if (endRank > startRank) {
+                shares.add(new SizeBandShare(
+                        band, endRank - startRank, served(startRank, endRank) / (endRank - startRank), servedShare()));
             }
         }
         return shares;
     }
 
-    private double served(long from, long to) {
+    private double served(long startRank, long endRank) {
         double served = 0;
-        long begin = 0;
-        for (Map.Entry<Long, Tally> size : largestFirst.entrySet()) {
-            if (begin >= to) {
+        long sizeStart = 0;
+        for (Map.Entry<Long, ServedCount> entry : countsLargestFirst.entrySet()) {
+            if (sizeStart >= endRank) {
                 break;
             }
-            Tally tally = size.getValue();
-            long end = begin + tally.requests();
-            long inside = Math.min(end, to) - Math.max(begin, from);
-            served += Math.max(0, inside) * tally.servedShare();
-            begin = end;
+            ServedCount count = entry.getValue();
+            long sizeEnd = sizeStart + count.requests();
+            long overlap = Math.min(sizeEnd, endRank) - Math.max(sizeStart, startRank);
+            served += Math.max(0, overlap) * count.servedShare();
+            sizeStart = sizeEnd;
         }
         return served;
     }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/SizeBand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/SizeBand.java
@@ -1,13 +1,13 @@
 package org.rattanplank.cli;
 
 /**
- * A part of a route's generations, by their rank of size, that must not be served far less often than the whole. Immutable
+ * A range of size ranks among a route's generations, whose served fraction must not fall far below the route's. Immutable
  * and thread safe.
  */
 enum SizeBand {
-    /** The tenth with the largest size. */
+    /** The tenth of the requests with the largest size. */
     LARGEST_TENTH("largest tenth", 0, 1),
-    /** The fifth that comes next. */
+    /** The fifth of the requests next in size. */
     FIFTH_BELOW("fifth below it", 1, 3);
 
     private static final long TENTHS = 10;
@@ -26,18 +26,18 @@
         return label;
     }
 
-    /** How many of so many requests are larger than those of the band. */
-    long from(long requests) {
-        return ranks(requests, fromTenth);
+    /** Returns the first rank of the band, zero for the largest request. */
+    long startRank(long requests) {
+        return roundedUpRank(requests, fromTenth);
     }
 
-    /** How many of so many requests are larger than those behind the band, the band's own among them. */
-    long to(long requests) {
-        return ranks(requests, toTenth);
+    /** Returns the rank after the last one of the band. */
+    long endRank(long requests) {
+        return roundedUpRank(requests, toTenth);
     }
 
-    /** Rounded up, so that the largest tenth of a few requests is the largest one. */
-    private static long ranks(long requests, int tenths) {
+    /** Rounds up, so that the largest tenth of fewer than ten requests contains the largest one. */
+    private static long roundedUpRank(long requests, int tenths) {
         return (requests * tenths + TENTHS - 1) / TENTHS;
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/SizeTable.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/SizeTable.java
@@ -10,53 +10,56 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 
 /**
- * How often the largest generations of each route were served, beside all of the route.
+ * Fractions of served requests among the largest generations of each route, compared with all generations of the route.
  *
- * <p>Invariant: only requests count whose last line tells their size. Confined to one thread.
+ * <p>Invariant: only requests whose {@code ended} log line has token counts are included. Confined to one thread.
  */
 final class SizeTable {
-    private static final int LEAST_ERROR_STATUS = 400;
+    private static final int MIN_ERROR_STATUS = 400;
 
     private final Map<String, ServedBySize> byRoute = new TreeMap<>();
 
-    /** Takes the last line of a request at the host that its caller asked. */
-    void add(String route, JsonNode end) {
-        if (!end.has("promptTokens")) {
+    /** Adds the {@code ended} log line of a request at the entry host that received it from its caller. */
+    void add(String route, JsonNode endedLine) {
+        if (!endedLine.has("promptTokens")) {
             return;
         }
-        byRoute.computeIfAbsent(route, each -> new ServedBySize())
-                .add(end.path("promptTokens").asLong(), end.path("outputTokens").asLong(), isServed(end));
+        byRoute.computeIfAbsent(route, key -> new ServedBySize())
+                .add(
+                        endedLine.path("promptTokens").asLong(),
+                        endedLine.path("outputTokens").asLong(),
+                        isServed(endedLine));
     }
 
     List<String> text() {
         List<String> text = new ArrayList<>();
-        byRoute.forEach((route, sizes) -> {
+        byRoute.forEach((route, generations) -> {
             text.add(String.format(
                     Locale.ROOT,
                     "%s by size: %d generations, %.2f of them served",
                     route,
-                    sizes.requests(),
-                    sizes.servedShare()));
-            sizes.shares().forEach(share -> text.add(text(share)));
+                    generations.requests(),
+                    generations.servedShare()));
+            generations.shares().forEach(share -> text.add(text(share)));
         });
         return text;
     }
 
     ArrayNode json() {
-        ArrayNode rows = Web.JSON.createArrayNode();
-        byRoute.forEach((route, sizes) -> sizes.shares().forEach(share -> rows.addObject()
+        ArrayNode rows = JsonHttpClient.JSON.createArrayNode();
+        byRoute.forEach((route, generations) -> generations.shares().forEach(share -> rows.addObject()
                 .put("route", route)
                 .put("sizes", share.band().label())
                 .put("requests", share.requests())
                 .put("servedShare", share.servedShare())
                 .put("routeServedShare", share.routeServedShare())
-                .put("ofRoute", share.ofRoute().getOrNull())
-                .put("tooSmall", share.isTooSmall())));
+                .put("ofRoute", share.ratioToRoute().getOrNull())
+                .put("tooSmall", share.isUnderserved())));
         return rows;
     }
 
-    private static String text(SizeShare share) {
-        String ofRoute = share.ofRoute()
+    private static String text(SizeBandShare share) {
+        String ratioToRoute = share.ratioToRoute()
                 .map(ratio -> String.format(Locale.ROOT, "%.2f of the route's", ratio))
                 .getOrElse("nothing of the route was");
         return String.format(
@@ -65,12 +68,12 @@
                 share.requests(),
                 share.band().label(),
                 share.servedShare(),
-                ofRoute,
-                share.isTooSmall() ? ", LESS THAN HALF" : "");
+                ratioToRoute,
+                share.isUnderserved() ? ", LESS THAN HALF" : "");
     }
 
-    /** Late ones count, as their callers have the whole answer. */
-    private static boolean isServed(JsonNode end) {
-        return Loss.of(end).isServed() && end.path("status").asInt() < LEAST_ERROR_STATUS;
+    /** Counts late responses as served, because their callers received the complete response. */
+    private static boolean isServed(JsonNode endedLine) {
+        return Loss.of(endedLine).isServed() && endedLine.path("status").asInt() < MIN_ERROR_STATUS;
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/StatusCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/StatusCommand.java
@@ -13,20 +13,20 @@
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Shows what each region's entry hosts know. Run once by one thread. */
-@Parameters(commandDescription = "show generation, hosts, targets and who is leaving, for each region")
+/** Shows the status that the entry hosts of each region report. Run once by one thread. */
+@Parameters(commandDescription = "show generation, hosts, targets and leaving hosts and targets of each region")
 final class StatusCommand extends Command {
     @ParametersDelegate
-    private final Connection connection = new Connection();
+    private final ConnectionOptions connectionOptions = new ConnectionOptions();
 
     @Override
     Report run(Console console) {
-        return connection.operators(console).fold(refused -> refused, operators -> report(operators.statuses()));
+        return connectionOptions.operators(console).fold(failure -> failure, operators -> report(operators.statuses()));
     }
 
     private static Report report(List<HostStatus> statuses) {
         List<String> lines = new ArrayList<>();
-        ObjectNode json = Web.JSON.createObjectNode();
+        ObjectNode json = JsonHttpClient.JSON.createObjectNode();
         ArrayNode regions = json.putArray("regions");
         Map<String, List<HostStatus>> byRegion = new TreeMap<>();
         statuses.forEach(status -> byRegion.computeIfAbsent(status.region(), region -> new ArrayList<>())
@@ -43,11 +43,11 @@
     }
 
     private static ExitCode code(List<HostStatus> statuses) {
-        return statuses.stream().anyMatch(HostStatus::reached) ? ExitCode.DONE : ExitCode.UNREACHABLE;
+        return statuses.stream().anyMatch(HostStatus::reachable) ? ExitCode.DONE : ExitCode.UNREACHABLE;
     }
 
     private static String hostLine(HostStatus host) {
-        if (!host.reached()) {
+        if (!host.reachable()) {
             return "  host " + host.address() + " gives no status";
         }
         JsonNode json = host.json();
@@ -79,18 +79,21 @@
     }
 
     private static String targetLine(JsonNode target, JsonNode load) {
-        String described = load.isObject()
+        String loadText = load.isObject()
                 ? ", running " + load.path("running").asLong() + " of "
                         + load.path("slots").asLong() + ", queued "
                         + load.path("queued").asLong()
                 : "";
         return "  target " + target.path("name").asText() + " of "
-                + target.path("service").asText() + described;
+                + target.path("service").asText() + loadText;
     }
 
     private static JsonNode hostJson(HostStatus host) {
-        return host.reached()
+        return host.reachable()
                 ? host.json()
-                : Web.JSON.createObjectNode().put("address", host.address()).put("reached", false);
+                : JsonHttpClient.JSON
+                        .createObjectNode()
+                        .put("address", host.address())
+                        .put("reached", false);
     }
 }
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/StoreClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/StoreClient.java
@@ -9,25 +9,25 @@
 import org.rattanplank.core.store.StoreReply;
 
 /**
- * Calls a platform's store for the tool.
+ * Calls the platform's store for the command-line tool.
  *
- * <p>Invariant: a write is called unavailable only if it was surely not made. Thread safe.
+ * <p>Invariant: a write is reported as {@link StoreReply.Unavailable} only if it definitely had no effect. Thread safe.
  */
 interface StoreClient {
-    /** What an address of the users' platform begins with; any other is taken to speak etcd v3's JSON over HTTP. */
-    String PLATFORM = "platform://";
+    /** Prefix of an address of the platform's store; other addresses are used with the etcd v3 JSON API over HTTP. */
+    String PLATFORM_PREFIX = "platform://";
 
-    /** Makes a call; the tool needs reads of one key and conditional writes only. */
+    /** Makes a call; only reads of one key and conditional writes are supported. */
     StoreReply call(StoreCommand command);
 
     static StoreClient of(String address, Duration timeout) {
-        return address.startsWith(PLATFORM)
-                ? PlatformClient.of(address.substring(PLATFORM.length()), timeout)
+        return address.startsWith(PLATFORM_PREFIX)
+                ? PlatformClient.of(address.substring(PLATFORM_PREFIX.length()), timeout)
                 : EtcdClient.of(address, timeout);
     }
 
-    /** Reads the newest document, or tells why it cannot. */
-    default Either<Report, Document> newest() {
+    /** Reads the newest document, or returns a report of the failure. */
+    default Either<Report, Document> readNewest() {
         StoreReply reply = call(new StoreCommand.Get(Configurations.KEY));
         if (reply instanceof StoreReply.Found found) {
             return found.entry()
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/WholeExchange.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/WholeExchange.java
@@ -12,34 +12,34 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Makes a call whose whole exchange, the answer's body included, ends within a bound.
+ * Makes HTTP calls with a timeout that covers the whole exchange, including the response body.
  *
- * <p>The client's own timeout stops counting at the head of an answer: a server that starts an answer and never ends it
- * would hold its caller for ever, and one would see a command hang with its thread inside the client's send. Stateless
- * and thread safe.
+ * <p>The timeout of {@link HttpClient} ends with the response headers. A server that starts a response and never ends it
+ * would block the caller forever. Symptom: a command hangs with its thread inside the client's send. Stateless and
+ * thread safe.
  */
 public final class WholeExchange {
     private WholeExchange() {}
 
     /**
-     * Makes a call.
+     * Sends a request and waits for the complete response.
      *
-     * @param client what makes it
+     * @param client the HTTP client
      * @param request the request
-     * @param bound how long connecting, the head and the body may take together
-     * @return the answer
-     * @throws IOException if there is no whole answer within the bound
-     * @throws InterruptedException if the thread is interrupted meanwhile
+     * @param timeout the timeout for connecting, headers and body together
+     * @return the response
+     * @throws IOException if the complete response does not arrive within the timeout
+     * @throws InterruptedException if the thread is interrupted while waiting
      */
-    public static HttpResponse<String> send(HttpClient client, HttpRequest request, Duration bound)
+    public static HttpResponse<String> send(HttpClient client, HttpRequest request, Duration timeout)
             throws IOException, InterruptedException {
-        CompletableFuture<HttpResponse<String>> answer =
+        CompletableFuture<HttpResponse<String>> response =
                 client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
         try {
-            return answer.get(bound.toMillis(), TimeUnit.MILLISECONDS);
+            return response.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            answer.cancel(true);
-            throw new HttpTimeoutException("no whole answer within " + bound.toMillis() + " ms");
+            response.cancel(true);
+            throw new HttpTimeoutException("no complete response within " + timeout.toMillis() + " ms");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException cause) {
                 throw cause;
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/WhyCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/WhyCommand.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 
-/** Tells from the logs of all hosts what happened to a request. Run once by one thread. */
-@Parameters(commandDescription = "tell from logs what happened to a request")
+/** Reconstructs the history of a request from the logs of all hosts. Run once by one thread. */
+@Parameters(commandDescription = "show the history of a request from logs")
 final class WhyCommand extends Command {
     @Parameter(description = "REQUEST-ID", required = true)
     private String requestId = "";
@@ -19,17 +19,17 @@
 
     @Override
     Report run(Console console) {
-        return logs.lines().fold(unreadable -> unreadable, this::account);
+        return logs.lines().fold(failure -> failure, this::timelineReport);
     }
 
-    private Report account(List<String> log) {
-        List<JsonNode> lines = RequestAccount.linesOf(requestId, log);
+    private Report timelineReport(List<String> log) {
+        List<JsonNode> lines = RequestTimeline.linesOf(requestId, log);
         if (lines.isEmpty()) {
             return Report.of(ExitCode.REFUSED, "no line of request " + requestId + " in these logs");
         }
-        RequestAccount account = RequestAccount.of(lines);
-        ArrayNode json = Web.JSON.createArrayNode();
-        account.lines().forEach(json::add);
-        return Report.of(ExitCode.DONE, account.text(), json);
+        RequestTimeline timeline = RequestTimeline.of(lines);
+        ArrayNode json = JsonHttpClient.JSON.createArrayNode();
+        timeline.lines().forEach(json::add);
+        return Report.of(ExitCode.DONE, timeline.text(), json);
     }
 }
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/LossTableTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/LossTableTest.java
@@ -8,22 +8,22 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class LossTableTest {
-    private static String end(String fields) {
+    private static String endedLine(String fields) {
         return "12.3 suva-1 {\"event\":\"ended\",\"route\":\"drafts\"," + fields + "}";
     }
 
     @Test
-    void shouldCountEachRequestByItsFirstLossWhenLogsOfAllHostsAreRead() {
+    void shouldCountEachRequestOnceByFirstMatchingLossWhenLogsOfAllHostsAreRead() {
         LossTable table = new LossTable();
         table.add(List.of(
-                end("\"outcome\":\"answered\",\"status\":200"),
-                end("\"outcome\":\"answered\",\"status\":200,\"firstPartLate\":true,\"pauseTooLong\":true"),
-                end("\"outcome\":\"answered\",\"status\":200,\"pauseTooLong\":true"),
-                end("\"outcome\":\"answered\",\"status\":500"),
-                end("\"outcome\":\"refused\",\"reason\":\"it would wait too long\""),
-                end("\"outcome\":\"refused\",\"reason\":\"it would wait too long\""),
-                end("\"outcome\":\"504\",\"reason\":\"its time is up\""),
-                end("\"outcome\":\"answered\",\"forwardedBy\":\"labasa-1\""),
+                endedLine("\"outcome\":\"answered\",\"status\":200"),
+                endedLine("\"outcome\":\"answered\",\"status\":200,\"firstPartLate\":true,\"pauseTooLong\":true"),
+                endedLine("\"outcome\":\"answered\",\"status\":200,\"pauseTooLong\":true"),
+                endedLine("\"outcome\":\"answered\",\"status\":500"),
+                endedLine("\"outcome\":\"refused\",\"reason\":\"it would wait too long\""),
+                endedLine("\"outcome\":\"refused\",\"reason\":\"it would wait too long\""),
+                endedLine("\"outcome\":\"504\",\"reason\":\"its time is up\""),
+                endedLine("\"outcome\":\"answered\",\"forwardedBy\":\"labasa-1\""),
                 "{\"event\":\"ended\",\"route\":\"\",\"outcome\":\"404\"}",
                 "no line of ours"));
 
@@ -40,9 +40,9 @@
     }
 
     @Test
-    void shouldSayHowManyLinesAreMissingWhenALogLeftSomeOut() {
+    void shouldReportNumberOfMissingLinesWhenLogDroppedSome() {
         LossTable table = new LossTable();
-        table.add(List.of(end("\"outcome\":\"answered\""), "{\"event\":\"lines_dropped\",\"lines\":4}"));
+        table.add(List.of(endedLine("\"outcome\":\"answered\""), "{\"event\":\"lines_dropped\",\"lines\":4}"));
 
         assertTrue(table.text().get(2).startsWith("4 lines were left out"), table.text()::toString);
     }
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
@@ -33,42 +33,42 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     @TempDir
-    private Path mine;
+    private Path firstFolder;
 
     @TempDir
-    private Path theirs;
+    private Path secondFolder;
 
     @BeforeEach
-    void write() throws Exception {
-        Files.writeString(mine.resolve("10-region.yaml"), REGION);
-        Files.writeString(mine.resolve("30-service.yaml"), SERVICE + "false\n");
+    void writeFolder() throws Exception {
+        Files.writeString(firstFolder.resolve("10-region.yaml"), REGION);
+        Files.writeString(firstFolder.resolve("30-service.yaml"), SERVICE + "false\n");
     }
 
     @AfterEach
-    void close() {
+    void closeLoop() {
         loop.close();
     }
 
     @Test
     void shouldNameFileAndLineOfEveryFaultWhenTwoFilesAreFaulty() throws Exception {
-        Files.writeString(mine.resolve("10-region.yaml"), "kind: region\nname: 7\n");
-        Files.writeString(mine.resolve("30-service.yaml"), SERVICE + "maybe\n");
-        assertEquals(ExitCode.REFUSED, run("check", mine.toString()));
+        Files.writeString(firstFolder.resolve("10-region.yaml"), "kind: region\nname: 7\n");
+        Files.writeString(firstFolder.resolve("30-service.yaml"), SERVICE + "maybe\n");
+        assertEquals(ExitCode.REFUSED, run("check", firstFolder.toString()));
         assertTrue(out.toString().contains("10-region.yaml:"), out.toString());
         assertTrue(out.toString().contains("30-service.yaml:4: "), out.toString());
     }
 
     @Test
     void shouldApplyOnceWhenSameFolderIsAppliedTwice() throws Exception {
-        assertTrue(runJson("apply", mine.toString()).path("changed").asBoolean());
-        JsonNode again = runJson("apply", mine.toString());
+        assertTrue(runJson("apply", firstFolder.toString()).path("changed").asBoolean());
+        JsonNode again = runJson("apply", firstFolder.toString());
         assertFalse(again.path("changed").asBoolean());
         assertEquals(1, again.path("generation").asInt());
     }
 
     @Test
-    void shouldTellCausesAndSizesWhenLossesAreAskedForByAScript() throws Exception {
-        Path log = mine.resolve("suva-1.log");
+    void shouldReportCausesAndSizesWhenLossesAreRequestedAsJson() throws Exception {
+        Path log = firstFolder.resolve("suva-1.log");
         Files.writeString(
                 log,
                 "{\"event\":\"ended\",\"route\":\"torque\",\"outcome\":\"answered\",\"status\":200,"
@@ -78,79 +78,80 @@
         assertEquals(1, losses.path("sizes").get(0).path("servedShare").asDouble());
     }
 
-    // Symptom: an operator's new file is gone. Sequence: two operators pull the same generation, each adds a file, both
-    // apply. Cause: the second apply replaces the whole folder by one that never had the first one's file.
+    // Symptom: an operator's new file disappears. Sequence: two operators pull the same generation, each adds a file,
+    // and
+    // both apply. Cause: the second apply replaces the whole folder with one that lacks the first operator's file.
     @Test
-    void shouldKeepBothFilesWhenTwoOperatorsRace() throws Exception {
-        run("apply", mine.toString());
-        run("pull", theirs.toString());
-        Files.writeString(mine.resolve("40-mine.yaml"), "kind: retire\nname: suva-1\n");
-        Files.writeString(theirs.resolve("40-theirs.yaml"), "kind: retire\nname: suva-2\n");
-        assertEquals(ExitCode.DONE, run("apply", mine.toString()));
-        assertEquals(ExitCode.DONE, run("apply", theirs.toString()));
-        assertEquals(ExitCode.DONE, run("apply", mine.toString()));
-        assertEquals(ExitCode.DONE, run("pull", mine.toString()));
-        assertTrue(Files.exists(mine.resolve("40-theirs.yaml")));
-        assertTrue(Files.exists(mine.resolve("40-mine.yaml")));
-    }
-
-    // Symptom: an operator's change of a file is undone. Sequence: two operators change the same file of the same
-    // generation, both apply. Cause: the later apply does not notice that its copy of the file is old.
+    void shouldKeepBothFilesWhenTwoOperatorsApplyConcurrently() throws Exception {
+        run("apply", firstFolder.toString());
+        run("pull", secondFolder.toString());
+        Files.writeString(firstFolder.resolve("40-mine.yaml"), "kind: retire\nname: suva-1\n");
+        Files.writeString(secondFolder.resolve("40-theirs.yaml"), "kind: retire\nname: suva-2\n");
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()));
+        assertEquals(ExitCode.DONE, run("apply", secondFolder.toString()));
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()));
+        assertEquals(ExitCode.DONE, run("pull", firstFolder.toString()));
+        assertTrue(Files.exists(firstFolder.resolve("40-theirs.yaml")));
+        assertTrue(Files.exists(firstFolder.resolve("40-mine.yaml")));
+    }
+
+    // Symptom: an operator's change of a file is lost. Sequence: two operators change the same file of the same
+    // generation, and both apply. Cause: the later apply does not detect that its copy of the file is outdated.
     @Test
-    void shouldRefuseSecondChangeWhenTwoOperatorsChangeSameFile() throws Exception {
-        run("apply", mine.toString());
-        run("pull", theirs.toString());
-        Files.writeString(mine.resolve("30-service.yaml"), SERVICE + "true\n");
-        Files.writeString(theirs.resolve("30-service.yaml"), SERVICE + "true\nversion: b@2\n");
-        assertEquals(ExitCode.DONE, run("apply", mine.toString()));
-        assertEquals(ExitCode.REFUSED, run("diff", theirs.toString()));
-        JsonNode refused = runJson("apply", theirs.toString());
-        assertEquals("30-service.yaml", refused.at("/conflicts/0/file").asText());
-        assertEquals(2, refused.path("generation").asInt());
+    void shouldRejectSecondChangeWhenTwoOperatorsChangeSameFile() throws Exception {
+        run("apply", firstFolder.toString());
+        run("pull", secondFolder.toString());
+        Files.writeString(firstFolder.resolve("30-service.yaml"), SERVICE + "true\n");
+        Files.writeString(secondFolder.resolve("30-service.yaml"), SERVICE + "true\nversion: b@2\n");
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()));
+        assertEquals(ExitCode.REFUSED, run("diff", secondFolder.toString()));
+        JsonNode conflict = runJson("apply", secondFolder.toString());
+        assertEquals("30-service.yaml", conflict.at("/conflicts/0/file").asText());
+        assertEquals(2, conflict.path("generation").asInt());
     }
 
     @Test
-    void shouldLeaveFolderAloneWhenPullWouldLoseUnappliedChanges() throws Exception {
-        run("apply", mine.toString());
-        Files.writeString(mine.resolve("30-service.yaml"), SERVICE + "true\n");
-        assertEquals(ExitCode.REFUSED, run("pull", mine.toString()));
-        assertEquals(SERVICE + "true\n", Files.readString(mine.resolve("30-service.yaml")));
+    void shouldKeepFolderUnchangedWhenPullWouldLoseUnappliedChanges() throws Exception {
+        run("apply", firstFolder.toString());
+        Files.writeString(firstFolder.resolve("30-service.yaml"), SERVICE + "true\n");
+        assertEquals(ExitCode.REFUSED, run("pull", firstFolder.toString()));
+        assertEquals(SERVICE + "true\n", Files.readString(firstFolder.resolve("30-service.yaml")));
     }
 
     @Test
-    void shouldTellScriptsApartWhenUsageIsWrongOrNothingAnswers() {
+    void shouldReturnDistinctExitCodesWhenUsageIsWrongOrServersAreUnreachable() {
         assertEquals(ExitCode.USAGE, run("nonsense"));
         assertEquals(ExitCode.USAGE, run("status"));
-        assertEquals(ExitCode.USAGE, run("diff", "--timeout-millis", "soon", mine.toString()));
+        assertEquals(ExitCode.USAGE, run("diff", "--timeout-millis", "soon", firstFolder.toString()));
         assertEquals(ExitCode.UNREACHABLE, run("status", "--operators", closedAddress()));
-        assertEquals(ExitCode.UNREACHABLE, run("diff", "--store", closedAddress(), mine.toString()));
+        assertEquals(ExitCode.UNREACHABLE, run("diff", "--store", closedAddress(), firstFolder.toString()));
         assertEquals(ExitCode.DONE, run("version"));
     }
 
     @Test
-    void shouldSayNotInForceWhenOneHostStaysBehind() throws Exception {
+    void shouldReportNotInForceWhenHostHasOlderGeneration() throws Exception {
         String host = Addresses.write(loop.serve(0, MainTest::answerStatus));
-        JsonNode waited = runJson("apply", "--wait", "--wait-millis", "1", "--operators", host, mine.toString());
+        JsonNode waited = runJson("apply", "--wait", "--wait-millis", "1", "--operators", host, firstFolder.toString());
         assertEquals("suva-1", waited.at("/notInForceAt/0").asText());
         assertTrue(err.toString().contains("suva: 0 of 1 hosts at generation 1"), err.toString());
     }
 
     @Test
-    void shouldDrainOnlyNamedHostWhenItAnswers() {
+    void shouldDrainOnlyNamedHostWhenItIsReachable() {
         String host = Addresses.write(loop.serve(0, MainTest::answerStatus));
         assertEquals(ExitCode.DONE, run("drain", "--operators", host, "suva-1"));
         assertEquals(ExitCode.REFUSED, run("drain", "--operators", host, "suva-9"));
     }
 
     @Test
-    void shouldNameHostsAndTheirAddressesWhenCallersAreSentToThem() {
+    void shouldListEntryHostsWithAddressesWhenAsked() {
         String host = Addresses.write(loop.serve(0, MainTest::answerEntryHosts));
         assertEquals(ExitCode.DONE, run("entry-hosts", "--operators", host));
         assertTrue(out.toString().contains("suva-1 in suva-hall at 127.0.0.1:8080"), out.toString());
     }
 
     @Test
-    void shouldTellCandidatesAndScoresWhenRequestIsExplained() {
+    void shouldListCandidatesWithScoresWhenRequestIsExplained() {
         String host = Addresses.write(loop.serve(0, MainTest::answerExplanation));
         assertEquals(ExitCode.DONE, run("explain", "--operators", host, "r1"));
         assertTrue(out.toString().contains("attempt 1: desk-1"), out.toString());
@@ -205,6 +206,6 @@
                 .prepend(command)
                 .toJavaArray(String[]::new);
         run(line);
-        return Web.JSON.readTree(out.toString(StandardCharsets.UTF_8));
+        return JsonHttpClient.JSON.readTree(out.toString(StandardCharsets.UTF_8));
     }
 }
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/PlatformClientTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/PlatformClientTest.java
@@ -18,7 +18,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The folder of intents on the store of the users' platform. */
+/** Tests applying and pulling folders of intents with the platform's store. */
 @Timeout(60)
 class PlatformClientTest {
     private final EventLoop loop = EventLoop.of();
@@ -27,10 +27,10 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     @TempDir
-    private Path first;
+    private Path firstFolder;
 
     @TempDir
-    private Path second;
+    private Path secondFolder;
 
     @AfterEach
     void closeStore() {
@@ -42,47 +42,47 @@
         return Main.run(new Console(stream, stream, Map.of("RATTANPLANK_STORE", address)), args);
     }
 
-    private static void retire(Path folder, String file, String host) throws IOException {
+    private static void writeRetireIntent(Path folder, String file, String host) throws IOException {
         Files.writeString(folder.resolve(file), "kind: retire\nname: " + host + "\n");
     }
 
     @Test
-    void shouldPullWhatWasAppliedWhenTheStoreIsThePlatforms() throws IOException {
-        retire(first, "50-retire-a.yaml", "suva-1");
-        assertEquals(ExitCode.DONE, run("apply", first.toString()), out::toString);
+    void shouldPullAppliedFilesWhenPlatformStoreIsUsed() throws IOException {
+        writeRetireIntent(firstFolder, "50-retire-a.yaml", "suva-1");
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()), out::toString);
 
-        assertEquals(ExitCode.DONE, run("pull", second.toString()), out::toString);
+        assertEquals(ExitCode.DONE, run("pull", secondFolder.toString()), out::toString);
 
-        assertTrue(Files.exists(second.resolve("50-retire-a.yaml")), out::toString);
+        assertTrue(Files.exists(secondFolder.resolve("50-retire-a.yaml")), out::toString);
     }
 
     @Test
     void shouldMergeWhenTwoOperatorsChangeDifferentFiles() throws IOException {
-        retire(first, "50-retire-a.yaml", "suva-1");
-        retire(second, "60-retire-b.yaml", "suva-2");
+        writeRetireIntent(firstFolder, "50-retire-a.yaml", "suva-1");
+        writeRetireIntent(secondFolder, "60-retire-b.yaml", "suva-2");
 
-        assertEquals(ExitCode.DONE, run("apply", first.toString()), out::toString);
-        assertEquals(ExitCode.DONE, run("apply", second.toString()), out::toString);
-        assertEquals(ExitCode.DONE, run("pull", first.toString()), out::toString);
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()), out::toString);
+        assertEquals(ExitCode.DONE, run("apply", secondFolder.toString()), out::toString);
+        assertEquals(ExitCode.DONE, run("pull", firstFolder.toString()), out::toString);
 
-        assertTrue(Files.exists(first.resolve("60-retire-b.yaml")), out::toString);
+        assertTrue(Files.exists(firstFolder.resolve("60-retire-b.yaml")), out::toString);
     }
 
     @Test
-    void shouldRefuseWhenAnotherOperatorChangedTheSameFile() throws IOException {
-        retire(first, "50-retire.yaml", "suva-1");
-        retire(second, "50-retire.yaml", "suva-2");
+    void shouldRejectApplyWhenAnotherOperatorChangedSameFile() throws IOException {
+        writeRetireIntent(firstFolder, "50-retire.yaml", "suva-1");
+        writeRetireIntent(secondFolder, "50-retire.yaml", "suva-2");
 
-        assertEquals(ExitCode.DONE, run("apply", first.toString()), out::toString);
+        assertEquals(ExitCode.DONE, run("apply", firstFolder.toString()), out::toString);
 
-        assertEquals(ExitCode.REFUSED, run("apply", second.toString()), out::toString);
+        assertEquals(ExitCode.REFUSED, run("apply", secondFolder.toString()), out::toString);
     }
 
     @Test
-    void shouldSayThatTheStoreIsOutOfReachWhenItRefusesCalls() throws IOException {
-        retire(first, "50-retire.yaml", "suva-1");
+    void shouldReportUnreachableWhenStoreRefusesCalls() throws IOException {
+        writeRetireIntent(firstFolder, "50-retire.yaml", "suva-1");
         store.down(true);
 
-        assertEquals(ExitCode.UNREACHABLE, run("apply", first.toString()), out::toString);
+        assertEquals(ExitCode.UNREACHABLE, run("apply", firstFolder.toString()), out::toString);
     }
 }
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/SizeTableTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/SizeTableTest.java
@@ -14,11 +14,11 @@
 
 class SizeTableTest {
     private static final String ANSWERED = "\"outcome\":\"answered\",\"status\":200";
-    private static final String LEFT = "\"outcome\":\"caller_left\",\"status\":200";
+    private static final String CALLER_LEFT = "\"outcome\":\"caller_left\",\"status\":200";
 
-    private static String generation(int promptTokens, int outputTokens, String end) {
+    private static String endedLine(int promptTokens, int outputTokens, String outcome) {
         return "{\"event\":\"ended\",\"route\":\"torque\",\"promptTokens\":" + promptTokens + ",\"outputTokens\":"
-                + outputTokens + "," + end + "}";
+                + outputTokens + "," + outcome + "}";
     }
 
     private static LossTable table(List<String> lines) {
@@ -27,11 +27,11 @@
         return table;
     }
 
-    /** Ten generations of growing output: the first of so many was left by its caller, all others were answered. */
-    private static List<String> tenOfWhich(int smallestLeft) {
+    /** Returns ten generations of growing output; callers abandoned those from the given number on, the others were answered. */
+    private static List<String> tenGenerations(int firstAbandoned) {
         List<String> lines = new ArrayList<>();
         for (int i = 1; i <= 10; i++) {
-            lines.add(generation(100, 10 * i, i >= smallestLeft ? LEFT : ANSWERED));
+            lines.add(endedLine(100, 10 * i, i >= firstAbandoned ? CALLER_LEFT : ANSWERED));
         }
         return lines;
     }
@@ -45,10 +45,10 @@
         throw new AssertionError(sizes + " is not in " + table.sizesJson());
     }
 
-    /** Guards against long streams that begin in time, never end, and can't be told in the sum over their route. */
+    /** Guards against long streams that start in time but never end, a loss that the totals of their route conceal. */
     @Test
-    void shouldFlagTheLargestTenthWhenLongStreamsAreLeftByTheirCallers() {
-        LossTable table = table(tenOfWhich(10));
+    void shouldFlagLargestTenthWhenCallersAbandonLongStreams() {
+        LossTable table = table(tenGenerations(10));
 
         assertTrue(
                 table.text().contains("torque by size: 10 generations, 0.90 of them served"), table.text()::toString);
@@ -63,9 +63,9 @@
     }
 
     @Test
-    void shouldFlagTheFifthBelowWhenOnlyTheLargestTenthIsServed() {
-        List<String> lines = tenOfWhich(8);
-        lines.set(9, generation(100, 100, ANSWERED));
+    void shouldFlagFifthBelowWhenOnlyLargestTenthIsServed() {
+        List<String> lines = tenGenerations(8);
+        lines.set(9, endedLine(100, 100, ANSWERED));
 
         LossTable table = table(lines);
 
@@ -74,21 +74,21 @@
     }
 
     @Test
-    void shouldWeighOutputTenfoldWhenPromptsDiffer() {
-        LossTable ofOneToken =
-                table(List.of(generation(999, 1, ANSWERED), generation(1_008, 0, LEFT), generation(8, 100, LEFT)));
-        LossTable ofManyTokens =
-                table(List.of(generation(999, 1, LEFT), generation(1_008, 0, LEFT), generation(10, 100, ANSWERED)));
+    void shouldWeighOutputTokensTenfoldWhenPromptsDiffer() {
+        LossTable ofOneToken = table(
+                List.of(endedLine(999, 1, ANSWERED), endedLine(1_008, 0, CALLER_LEFT), endedLine(8, 100, CALLER_LEFT)));
+        LossTable ofManyTokens = table(List.of(
+                endedLine(999, 1, CALLER_LEFT), endedLine(1_008, 0, CALLER_LEFT), endedLine(10, 100, ANSWERED)));
 
         assertEquals(1.0, row(ofOneToken, "largest tenth").path("servedShare").asDouble());
         assertEquals(1.0, row(ofManyTokens, "largest tenth").path("servedShare").asDouble());
     }
 
     @Test
-    void shouldTellTheSameShareForAllSizesWhenSizesAreEqualInAnyOrder() {
+    void shouldReportSameShareForAllBandsWhenSizesAreEqual() {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            lines.add(generation(100, 10, i < 10 ? LEFT : ANSWERED));
+            lines.add(endedLine(100, 10, i < 10 ? CALLER_LEFT : ANSWERED));
         }
         LossTable table = table(lines);
 
@@ -97,9 +97,9 @@
     }
 
     @Test
-    void shouldTellTheSameWhenLogsAreReadInAnotherOrder() {
-        List<String> lines = new ArrayList<>(tenOfWhich(7));
-        lines.addAll(tenOfWhich(4));
+    void shouldReportSameSharesWhenLogsAreReadInAnotherOrder() {
+        List<String> lines = new ArrayList<>(tenGenerations(7));
+        lines.addAll(tenGenerations(4));
         LossTable first = table(lines);
         Collections.shuffle(lines, new Random(1));
 
@@ -107,26 +107,26 @@
     }
 
     @Test
-    void shouldCountLateAnswersAsServedAndFailuresNotWhenTheirSizeIsTold() {
+    void shouldCountLateResponsesAsServedAndFailuresAsNotServedWhenSizeIsLogged() {
         LossTable table = table(List.of(
-                generation(100, 10, ANSWERED + ",\"pauseTooLong\":true"),
-                generation(100, 10, "\"outcome\":\"answered\",\"status\":500"),
-                generation(100, 10, "\"outcome\":\"answered\",\"status\":429"),
-                generation(100, 10, "\"outcome\":\"refused\",\"status\":503")));
+                endedLine(100, 10, ANSWERED + ",\"pauseTooLong\":true"),
+                endedLine(100, 10, "\"outcome\":\"answered\",\"status\":500"),
+                endedLine(100, 10, "\"outcome\":\"answered\",\"status\":429"),
+                endedLine(100, 10, "\"outcome\":\"refused\",\"status\":503")));
 
         assertEquals(0.25, row(table, "largest tenth").path("routeServedShare").asDouble());
     }
 
     @Test
-    void shouldFlagNothingWhenNothingOfTheRouteWasServed() {
-        LossTable table = table(tenOfWhich(1));
+    void shouldFlagNothingWhenRouteServedNothing() {
+        LossTable table = table(tenGenerations(1));
 
         assertTrue(row(table, "largest tenth").path("ofRoute").isNull());
         assertFalse(row(table, "largest tenth").path("tooSmall").asBoolean());
     }
 
     @Test
-    void shouldTellNoSizesWhenARouteHasNoGenerations() {
+    void shouldReportNoSizesWhenRouteHasNoGenerations() {
         LossTable table = table(List.of("{\"event\":\"ended\",\"route\":\"crew\"," + ANSWERED + "}"));
 
         assertTrue(table.sizesJson().isEmpty());
@@ -134,9 +134,9 @@
     }
 
     @Test
-    void shouldCountARequestOnceWhenAnotherHostServedIt() {
+    void shouldCountRequestOnceWhenAnotherHostServedIt() {
         LossTable table = table(
-                List.of(generation(100, 10, ANSWERED), generation(100, 10, ANSWERED + ",\"forwardedBy\":\"suva-1\"")));
+                List.of(endedLine(100, 10, ANSWERED), endedLine(100, 10, ANSWERED + ",\"forwardedBy\":\"suva-1\"")));
 
         assertEquals(1, row(table, "largest tenth").path("requests").asInt());
         assertEquals(1, table.sizesJson().size());
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/Intent.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/Intent.java
@@ -6,13 +6,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One intent after all files about it were merged. Thread safe as long as nobody changes the content, which no code of
- * this project does.
+ * An intent merged from all files with its kind and name. Thread safe, because the content is never modified.
  *
- * @param kind the intent's kind
- * @param name what it is about
+ * @param kind the kind of the intent
+ * @param name the name of the configured object
  * @param content the merged fields
- * @param origins the file that gave each field its value, by field
+ * @param origins the file that set the value of each field, by field name
  */
 public record Intent(IntentKind kind, String name, JsonNode content, Map<String, IntentFile> origins) {
     public Intent {
@@ -23,17 +22,17 @@
     }
 
     /**
-     * Finds the file to blame for a field.
+     * Finds the file that set a field.
      *
      * @param field the field
-     * @return the file that gave it its value, or else the one that named the intent
+     * @return the file that set its value, or the file that set the name if no file set the field
      */
     public IntentFile originOf(String field) {
         return origins.getOrDefault(field, origins.get("name"));
     }
 
     /**
-     * Makes a fault of one field.
+     * Creates a fault in one field.
      *
      * @param field the field
      * @param expected what was expected
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFault.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFault.java
@@ -3,11 +3,11 @@
 import java.util.Objects;
 
 /**
- * One thing that is wrong with a folder of intents. Immutable and thread safe.
+ * A validation error in a folder of intents. Immutable and thread safe.
  *
- * @param file the file's name, empty if the fault is in no one file
- * @param line the line, counted from one, or zero if it is not known
- * @param field the field, empty for the file as a whole
+ * @param file the name of the file, empty if the fault concerns no single file
+ * @param line the line number from one, or zero if it is unknown
+ * @param field the name of the field, empty for the whole file
  * @param expected what was expected
  * @param found what was found
  */
@@ -20,13 +20,13 @@
     }
 
     /**
-     * Puts the fault into one line for operators.
+     * Formats the fault as one line for operators.
      *
      * @return the line, such as {@code 10-a.yaml:3: share: expected at most 1, found 2}
      */
     public String toLine() {
-        String place = line > 0 ? file + ":" + line : file;
-        String what = field.isEmpty() ? "" : field + ": ";
-        return place + ": " + what + "expected " + expected + ", found " + found;
+        String location = line > 0 ? file + ":" + line : file;
+        String fieldPrefix = field.isEmpty() ? "" : field + ": ";
+        return location + ": " + fieldPrefix + "expected " + expected + ", found " + found;
     }
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFile.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFile.java
@@ -6,11 +6,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One file with one intent. Thread safe as long as nobody changes the content, which no code of this project does.
+ * A file with one intent. Thread safe, because the content is never modified.
  *
- * @param name the file's name, which gives its place in the order of merging
- * @param content the intent as it stands in the file
- * @param lines the line of each field by JSON Pointer, empty if the intent did not come from a file
+ * @param name the name of the file, which determines its position in the merge order
+ * @param content the intent as written in the file
+ * @param lines the line number of each field by JSON Pointer, empty if the intent was not read from a file
  */
 public record IntentFile(String name, JsonNode content, Map<String, Integer> lines) {
     public IntentFile {
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Makes a file whose lines are not known.
+     * Creates a file without line numbers.
      *
      * @param name the file's name
      * @param content the intent
@@ -31,39 +31,39 @@
     }
 
     /**
-     * The word for the intent's kind.
+     * Returns the label of the intent's kind.
      *
-     * @return the word, empty if there is none
+     * @return the label, empty if it is missing
      */
     public String kind() {
         return content.path("kind").asText();
     }
 
     /**
-     * The name of what the intent is about.
+     * Returns the name of the configured object.
      *
-     * @return the name, empty if there is none
+     * @return the name, empty if it is missing
      */
     public String subject() {
         return content.path("name").asText();
     }
 
     /**
-     * Finds the line of a field.
+     * Finds the line number of a field.
      *
      * @param pointer the field's JSON Pointer
-     * @return its line, or that of the nearest field around it, or zero if no line is known
+     * @return its line number, or that of the nearest enclosing field, or zero if it is unknown
      */
     public int lineOf(String pointer) {
-        String nearest = pointer;
-        while (!lines.containsKey(nearest) && !nearest.isEmpty()) {
-            nearest = nearest.substring(0, nearest.lastIndexOf('/'));
+        String enclosing = pointer;
+        while (!lines.containsKey(enclosing) && !enclosing.isEmpty()) {
+            enclosing = enclosing.substring(0, enclosing.lastIndexOf('/'));
         }
-        return lines.getOrDefault(nearest, 0);
+        return lines.getOrDefault(enclosing, 0);
     }
 
     /**
-     * Makes a fault of one field of this file.
+     * Creates a fault in one field of this file.
      *
      * @param field the field's name, empty for the whole file
      * @param expected what was expected
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFolder.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFolder.java
@@ -13,9 +13,9 @@
 import io.vavr.control.Either;
 
 /**
- * A folder of intents, one a file, each of which fits the schema of its kind.
+ * A folder of intent files, each valid against the schema of its kind.
  *
- * <p>Invariant: the files are in the order of their names, which is the order of merging. Immutable and thread safe.
+ * <p>Invariant: the files are ordered by name, which is the merge order. Immutable and thread safe.
  *
  * @param files the files by name
  */
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Makes a folder without files.
+     * Creates a folder without files.
      *
      * @return the empty folder
      */
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Makes a folder of files that were checked before.
+     * Creates a folder of files that are already checked.
      *
      * @param files the files
      * @return the folder
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Reads a folder; files whose names begin with a dot are passed over.
+     * Reads a folder; files whose names start with a dot are ignored.
      *
      * @param folder the folder
-     * @return the folder's intents, or all faults of all files
+     * @return the intents of the folder, or the faults of all files
      */
     public static Either<List<IntentFault>, IntentFolder> read(Path folder) {
         List<IntentFault> faults = new ArrayList<>();
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentKind.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentKind.java
@@ -6,47 +6,48 @@
 
 import io.vavr.control.Option;
 
-/** What an intent is about; each kind has one JSON Schema. */
+/** Kind of object that an intent configures; each kind has a JSON Schema. */
 public enum IntentKind {
     /** A region with its data centres. */
     REGION,
-    /** A service that callers may ask for. */
+    /** A service that callers can request. */
     SERVICE,
-    /** An account of callers. */
+    /** A client account. */
     ACCOUNT,
     /** The regions that a residency label allows. */
     RESIDENCY,
-    /** The most that a region takes of all work. */
+    /** The maximum fraction of all work that a region accepts. */
     SHARE,
-    /** A host or target that is to leave. */
+    /** A host or target to be taken out of service. */
     RETIRE,
-    /** The most that an account may ask for. */
+    /** The maximum request rate and concurrency of a client account. */
     LIMIT;
 
     /**
-     * Finds a kind by the word that stands for it in a file.
+     * Finds a kind by its label in a file.
      *
-     * @param word the word
-     * @return the kind, or none if this version does not know it
+     * @param label the label
+     * @return the kind, or none if it is unknown to this version
      */
-    public static Option<IntentKind> of(String word) {
-        return Option.ofOptional(
-                Arrays.stream(values()).filter(kind -> kind.word().equals(word)).findFirst());
+    public static Option<IntentKind> of(String label) {
+        return Option.ofOptional(Arrays.stream(values())
+                .filter(kind -> kind.word().equals(label))
+                .findFirst());
     }
 
     /**
-     * Lists the words of all kinds.
+     * Returns the labels of all kinds.
      *
-     * @return the words, comma separated
+     * @return the labels, separated by commas
      */
-    public static String words() {
+    public static String labels() {
         return Arrays.stream(values()).map(IntentKind::word).collect(Collectors.joining(", "));
     }
 
     /**
-     * The word that stands for this kind in a file.
+     * Returns the label of this kind in a file.
      *
-     * @return the word
+     * @return the label
      */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentMerge.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentMerge.java
@@ -14,17 +14,17 @@
 import io.vavr.control.Option;
 
 /**
- * Merges the files of a folder in the order of their names: a later file refines an earlier one of the same kind and
- * name field by field. Stateless and thread safe.
+ * Merges the files of a folder in the order of their names: the fields of a later file override those of earlier
+ * files with the same kind and name. Stateless and thread safe.
  */
 public final class IntentMerge {
     private IntentMerge() {}
 
     /**
-     * Merges files; kinds that this version does not know are passed over.
+     * Merges files; kinds unknown to this version are ignored.
      *
      * @param files the files in any order
-     * @return one intent for each kind and name, in the order of first mention
+     * @return one intent for each kind and name, in the order of their first files
      */
     public static List<Intent> merge(Collection<IntentFile> files) {
         Map<String, List<IntentFile>> groups = new LinkedHashMap<>();
@@ -40,7 +40,8 @@
     }
 
     /**
-     * Checks what can only be checked after merging: fields that no file gives, and files that refine nothing.
+     * Checks the conditions that need all files: no required field is missing, and no later file repeats an intent
+     * without a change.
      *
      * @param files the files in any order
      * @return the faults
@@ -50,7 +51,7 @@
         for (Intent intent : merge(files)) {
             faults.addAll(IntentSchemas.checkMerged(intent));
         }
-        faults.addAll(checkRefinements(files));
+        faults.addAll(checkRepetitions(files));
         return faults;
     }
 
@@ -70,23 +71,25 @@
         return new Intent(kind, group.get(0).subject(), content, origins);
     }
 
-    private static List<IntentFault> checkRefinements(Collection<IntentFile> files) {
+    private static List<IntentFault> checkRepetitions(Collection<IntentFile> files) {
         List<IntentFault> faults = new ArrayList<>();
         Map<String, ObjectNode> merged = new TreeMap<>();
-        Map<String, String> first = new TreeMap<>();
+        Map<String, String> firstFiles = new TreeMap<>();
         for (IntentFile file :
                 files.stream().sorted(Comparator.comparing(IntentFile::name)).toList()) {
             String key = file.kind() + "/" + file.subject();
-            ObjectNode before = merged.computeIfAbsent(key, unused -> JsonNodeFactory.instance.objectNode());
-            ObjectNode after = before.deepCopy();
-            file.content().fields().forEachRemaining(field -> after.set(field.getKey(), field.getValue()));
-            JsonNode unchanged = before;
-            if (first.containsKey(key) && after.equals(unchanged)) {
+            ObjectNode previous = merged.computeIfAbsent(key, unused -> JsonNodeFactory.instance.objectNode());
+            ObjectNode next = previous.deepCopy();
+            file.content().fields().forEachRemaining(field -> next.set(field.getKey(), field.getValue()));
+            JsonNode unchanged = previous;
+            if (firstFiles.containsKey(key) && next.equals(unchanged)) {
                 faults.add(file.fault(
-                        "name", "a field that differs from " + first.get(key), "the same " + file.kind() + " again"));
+                        "name",
+                        "a field that differs from " + firstFiles.get(key),
+                        "the same " + file.kind() + " again"));
             }
-            first.putIfAbsent(key, file.name());
-            merged.put(key, after);
+            firstFiles.putIfAbsent(key, file.name());
+            merged.put(key, next);
         }
         return faults;
     }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentReader.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentReader.java
@@ -18,9 +18,9 @@
 import io.vavr.control.Either;
 import io.vavr.control.Option;
 
-/** Reads one file with one intent and checks it against the schema of its kind. Stateless and thread safe. */
+/** Reads files with one intent each and checks them against the schema of its kind. Stateless and thread safe. */
 final class IntentReader {
-    private static final long FILE_LIMIT_BYTES = 64 * 1024;
+    private static final long MAX_FILE_BYTES = 64 * 1024;
     private static final YAMLMapper YAML = YAMLMapper.builder(YAMLFactory.builder()
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     .build())
@@ -31,14 +31,15 @@
 
     static Either<List<IntentFault>, IntentFile> read(Path path) {
         String name = path.getFileName().toString();
-        // A file with another ending would be left out in silence: an operator who mistypes the ending of a retire
-        // intent would see the folder accepted and the host stay. Refusing it names the file instead.
+        // Files with other extensions are faults, not ignored: if an operator mistyped the extension of a retire
+        // intent,
+        // the folder would be accepted and the host would stay in service.
         if (!name.endsWith(".yaml") && !name.endsWith(".yml")) {
             return fault(name, 0, "", "a name that ends in .yaml or .yml", name);
         }
         try {
-            if (!Files.isRegularFile(path) || Files.size(path) > FILE_LIMIT_BYTES) {
-                return fault(name, 0, "", "a file of at most " + FILE_LIMIT_BYTES + " bytes", "something else");
+            if (!Files.isRegularFile(path) || Files.size(path) > MAX_FILE_BYTES) {
+                return fault(name, 0, "", "a file of at most " + MAX_FILE_BYTES + " bytes", "something else");
             }
             String text = Files.readString(path);
             JsonNode content = YAML.readTree(text);
@@ -66,7 +67,7 @@
         Option<IntentKind> kind = IntentKind.of(file.kind());
         if (kind.isEmpty()) {
             String found = file.kind().isEmpty() ? "nothing" : file.kind();
-            return Either.left(List.of(file.fault("kind", "one of " + IntentKind.words(), found)));
+            return Either.left(List.of(file.fault("kind", "one of " + IntentKind.labels(), found)));
         }
         if (file.subject().isEmpty()) {
             return Either.left(List.of(file.fault("name", "a name", "nothing")));
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentSchemas.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentSchemas.java
@@ -14,20 +14,20 @@
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
 
-/** Checks intents against the JSON Schema of their kind. Thread safe, because schemas never change. */
+/** Checks intents against the JSON Schema of their kind. Thread safe, because the schemas are immutable. */
 final class IntentSchemas {
     private static final String REQUIRED = "required";
     private static final String MIN_PROPERTIES = "minProperties";
-    private static final String UNKNOWN_FIELD = "additionalProperties";
+    private static final String ADDITIONAL_PROPERTIES = "additionalProperties";
     private static final Map<IntentKind, JsonSchema> SCHEMAS = load();
 
     private IntentSchemas() {}
 
-    /** Checks the fields that a file gives; those that it leaves out may stand in another file. */
+    /** Checks the fields that a file sets; missing ones may be set by another file. */
     static List<IntentFault> checkFile(IntentFile file, IntentKind kind) {
         List<IntentFault> faults = new ArrayList<>();
         for (ValidationMessage message : SCHEMAS.get(kind).validate(file.content())) {
-            if (isAboutMissingFields(message)) {
+            if (isMissingFieldMessage(message)) {
                 continue;
             }
             String pointer = pointerOf(message);
@@ -41,7 +41,7 @@
         return faults;
     }
 
-    /** Checks that all files together give every field that the kind needs. */
+    /** Checks that the merged intent has every field that its kind requires. */
     static List<IntentFault> checkMerged(Intent intent) {
         List<IntentFault> faults = new ArrayList<>();
         for (ValidationMessage message : SCHEMAS.get(intent.kind()).validate(intent.content())) {
@@ -54,7 +54,7 @@
         return faults;
     }
 
-    private static boolean isAboutMissingFields(ValidationMessage message) {
+    private static boolean isMissingFieldMessage(ValidationMessage message) {
         return REQUIRED.equals(message.getType()) || MIN_PROPERTIES.equals(message.getType());
     }
 
@@ -63,7 +63,7 @@
         for (int i = 0; i < message.getInstanceLocation().getNameCount(); i++) {
             pointer.append('/').append(message.getInstanceLocation().getElement(i));
         }
-        if (UNKNOWN_FIELD.equals(message.getType())) {
+        if (ADDITIONAL_PROPERTIES.equals(message.getType())) {
             pointer.append('/').append(message.getProperty());
         }
         return pointer.toString();
@@ -72,7 +72,7 @@
     private static String expected(ValidationMessage message, IntentKind kind) {
         JsonNode rule = message.getSchemaNode();
         return switch (message.getType()) {
-            case UNKNOWN_FIELD -> "one of the fields " + fields(kind);
+            case ADDITIONAL_PROPERTIES -> "one of the fields " + fields(kind);
             case "type" -> "a value of type " + rule.asText();
             case "enum" -> "one of " + rule;
             case "pattern" -> "text that matches " + rule.asText();
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/CentreBeat.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/CentreBeat.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Sent at a fixed interval from one data centre to another when there is nothing else to say.
+ * Heartbeat between data centres, sent at a fixed interval when there is no other message to send.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimAsk.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimAsk.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * Asks the host that holds a claim how its call ended; no answer while it runs.
+ * Requests the outcome of a claimed call from the host that owns the claim; not answered while the call is running.
  *
  * <p>Immutable and thread safe.
  *
- * @param incarnation the start time of the process that is asked
+ * @param incarnation the incarnation of the queried process, its start time in milliseconds
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that holds the claim
+ * @param requestId the request that owns the claim
  */
 public record ClaimAsk(long incarnation, String account, String key,
         String requestId) implements ClaimMessage {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimCopied.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimCopied.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * A member's word that it holds a claim.
+ * Acknowledges that a member has stored a claim.
  *
  * <p>Immutable and thread safe.
  *
  * @param viewNumber the sender's view
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that claims
- * @param sequence the sequence number of the copy
+ * @param requestId the claiming request
+ * @param sequence the sequence number of the stored claim
  */
 public record ClaimCopied(long viewNumber, String account, String key, String requestId,
         long sequence) implements ClaimMessage {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimCopy.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimCopy.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * The primary's order to a member to hold a claim; the call runs only after every member holds it.
+ * Replicates a claim from the primary to a member; the call is executed only after every member has stored it.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimEntry.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimEntry.java
@@ -4,25 +4,25 @@
 import java.util.Objects;
 
 /**
- * What a host holds about one idempotency key.
+ * The state of one idempotency key at a host.
  *
  * <p>Immutable and thread safe.
  *
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that claims
+ * @param requestId the claiming request
  * @param host the host of that request
- * @param incarnation the start time of that host's process
+ * @param incarnation the incarnation of that host, its start time in milliseconds
  * @param viewNumber the view in which the claim was ordered
- * @param sequence its place among the claims of this key in that view
- * @param claimedAtMillis when it was ordered
+ * @param sequence its position in the order of the claims of this key in that view
+ * @param claimedAtMillis the time at which it was ordered, in milliseconds since the epoch
  * @param state running, free, answered or unknown
- * @param status the HTTP status of a kept answer
- * @param contentType the media type of a kept answer
- * @param body the bytes of a kept answer
- * @param step the step at which an error arose, or empty
- * @param peer the peer at which an error arose, or empty
- * @param reason a short sentence on the error, or empty
+ * @param status the HTTP status of a stored response
+ * @param contentType the media type of a stored response
+ * @param body the body of a stored response
+ * @param step the step at which an error occurred, or empty
+ * @param peer the peer at which an error occurred, or empty
+ * @param reason a short description of the error, or empty
  */
 public record ClaimEntry(String account, String key, String requestId, String host,
         long incarnation, long viewNumber, long sequence, long claimedAtMillis, String state,
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimGrant.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimGrant.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * Tells the claiming host that every member holds the claim, so that the call may run.
+ * Notifies the claiming host that every member has stored the claim, so that the call may be executed.
  *
  * <p>Immutable and thread safe.
  *
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that may run
+ * @param requestId the request that may be executed
  */
 public record ClaimGrant(String account, String key, String requestId) implements ClaimMessage {
     public ClaimGrant {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimMessage.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimMessage.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Messages that keep a call which may not be repeated from running twice.
+ * Messages that prevent a non-repeatable call from being executed twice.
  */
 public sealed interface ClaimMessage extends PeerMessage permits ClaimOpen, ClaimCopy, ClaimCopied, ClaimGrant, ClaimSettle, ClaimSettled, ClaimAsk, ViewJoin, ViewLeave, ViewSync, ViewSynced, ViewPropose, ViewConsent, ViewWithdraw, ViewInstall, ViewInstalled, ViewAsk {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimOpen.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimOpen.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * Asks the key's primary for the right to run a call.
+ * Requests the claim of a key from its primary, as permission to execute a call.
  *
  * <p>Immutable and thread safe.
  *
  * @param viewNumber the sender's view
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that asks
+ * @param requestId the requesting request's identifier
  */
 public record ClaimOpen(long viewNumber, String account, String key,
         String requestId) implements ClaimMessage {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimSettle.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimSettle.java
@@ -2,11 +2,11 @@
 package org.rattanplank.schema.message;
 
 /**
- * How a claimed call ended; true in every view.
+ * Reports the outcome of a claimed call; valid in every view.
  *
  * <p>Immutable and thread safe.
  *
- * @param claim the claim with its end
+ * @param claim the claim with its outcome
  */
 public record ClaimSettle(ClaimEntry claim) implements ClaimMessage {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimSettled.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ClaimSettled.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * A member's word that it knows how a claimed call ended.
+ * Acknowledges that a member has recorded the outcome of a claimed call.
  *
  * <p>Immutable and thread safe.
  *
  * @param account the caller's account
  * @param key the caller's idempotency key
- * @param requestId the request that ran or did not
+ * @param requestId the request of the claimed call
  */
 public record ClaimSettled(String account, String key, String requestId) implements ClaimMessage {
     public ClaimSettled {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ConfigurationPull.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ConfigurationPull.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * Asks a peer for a generation of the configuration.
+ * Requests a generation of the configuration from a peer.
  *
  * <p>Immutable and thread safe.
  *
- * @param generation the generation that is wanted
+ * @param generation the requested generation
  * @param have the generation in force at the sender, zero for none
  * @param haveDigest the digest of that generation
  */
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ConfigurationPush.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ConfigurationPush.java
@@ -6,18 +6,18 @@
 import java.util.Objects;
 
 /**
- * Carries a generation of the configuration, whole or as a change of an earlier one.
+ * Carries a generation of the configuration, either complete or as a change to an earlier one.
  *
  * <p>Immutable and thread safe.
  *
- * @param generation the generation's number
+ * @param generation the number of the generation
  * @param digest the SHA-256 of the generation's files in lower-case hexadecimal
- * @param document the whole document, empty if the message carries a change
- * @param changeId the identity of the change that made the generation
- * @param baseGeneration the generation that the change starts from
+ * @param document the complete document, empty if the message carries a change
+ * @param changeId the identifier of the change that created the generation
+ * @param baseGeneration the generation to which the change applies
  * @param baseDigest the digest of that generation
- * @param changed the JSON of files that were added or changed, by file name
- * @param removed the names of files that were removed
+ * @param changed the JSON of added and changed files by file name
+ * @param removed the names of removed files
  */
 public record ConfigurationPush(long generation, String digest, String document, String changeId,
         long baseGeneration, String baseDigest, Map<String, String> changed,
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ControlMessage.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ControlMessage.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Messages that pass configuration and summaries between hosts.
+ * Messages that distribute the configuration between hosts.
  */
 public sealed interface ControlMessage extends PeerMessage permits ConfigurationPull, ConfigurationPush {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardCancel.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardCancel.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * Tells the receiving host that the answer is no longer wanted.
+ * Notifies the receiving host that the response is no longer needed.
  *
  * <p>Immutable and thread safe.
  *
  * @param requestId the request's identifier
- * @param attempt the attempt that is given up
+ * @param attempt the abandoned attempt
  */
 public record ForwardCancel(String requestId, long attempt) implements RequestMessage {
     public ForwardCancel {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardChunk.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardChunk.java
@@ -4,14 +4,14 @@
 import java.util.Objects;
 
 /**
- * A part of a forwarded request's answer; parts are numbered from zero without gaps.
+ * Carries one chunk of the response to a forwarded request; chunks are numbered from zero without gaps.
  *
  * <p>Immutable and thread safe.
  *
  * @param requestId the request's identifier
- * @param attempt the attempt that is answered
- * @param number the part's number
- * @param body the part's bytes
+ * @param attempt the sender's attempt number
+ * @param number the number of the chunk
+ * @param body the bytes of the chunk
  */
 public record ForwardChunk(String requestId, long attempt, long number,
         byte[] body) implements RequestMessage {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardEnd.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardEnd.java
@@ -4,19 +4,19 @@
 import java.util.Objects;
 
 /**
- * The outcome of a forwarded request; an answer counts as whole only with it.
+ * Carries the outcome of a forwarded request; a response is complete only with this message.
  *
  * <p>Immutable and thread safe.
  *
  * @param requestId the request's identifier
- * @param attempt the attempt that is answered
+ * @param attempt the sender's attempt number
  * @param outcome answered, not run or unknown
- * @param chunks the number of parts sent before this message
- * @param step the step at which an error arose, or empty
- * @param peer the peer at which an error arose, or empty
- * @param reason a short sentence on the error, or empty
- * @param target the target that answered, or empty
- * @param retryAfterMillis when to come back, zero if it does not apply
+ * @param chunks the number of chunks sent before this message
+ * @param step the step at which an error occurred, or empty
+ * @param peer the peer at which an error occurred, or empty
+ * @param reason a short description of the error, or empty
+ * @param target the target that responded, or empty
+ * @param retryAfterMillis the delay before a retry in milliseconds, zero if it does not apply
  */
 public record ForwardEnd(String requestId, long attempt, String outcome, long chunks, String step,
         String peer, String reason, String target,
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardRequest.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ForwardRequest.java
@@ -5,31 +5,31 @@
 import java.util.Objects;
 
 /**
- * Asks the receiving host to serve a request on targets of its own region.
+ * Forwards a request to be served on targets in the receiving host's region.
  *
  * <p>Immutable and thread safe.
  *
  * @param requestId the request's identifier
  * @param attempt the sender's attempt number
  * @param account the caller's account
- * @param service the service that is asked for
- * @param path the path and query behind the service
+ * @param service the requested service
+ * @param path the path and query after the service name
  * @param method the HTTP method
- * @param contentType the body's media type
+ * @param contentType the media type of the body
  * @param workClass interactive, draft or background
- * @param repeatable whether the call may run more than once
- * @param idempotencyKey the caller's key, or empty
- * @param claimed whether the sender holds the claim of the key
+ * @param repeatable whether the call may be executed more than once
+ * @param idempotencyKey the caller's idempotency key, or empty
+ * @param claimed whether the sender owns the claim of the key
  * @param homeRegion the home region of the account
  * @param residency the residency label, or empty
- * @param remainingMillis time left until the deadline when sent
- * @param promptTokens an estimate of the prompt's tokens
- * @param maxTokens the largest number of tokens to generate
+ * @param remainingMillis the time left until the deadline when sent, in milliseconds
+ * @param promptTokens the estimated number of prompt tokens
+ * @param maxTokens the maximum number of tokens to generate
  * @param prefixHashes hashes of the prompt's prefixes, shortest first
- * @param stream whether the answer is a stream
- * @param passedHosts hosts that the request has passed, oldest first
+ * @param stream whether the response is streamed
+ * @param passedHosts the hosts that have forwarded the request, in order
  * @param traceParent the W3C trace context, or empty
- * @param body the request's body
+ * @param body the request body
  */
 public record ForwardRequest(String requestId, long attempt, String account, String service,
         String path, String method, String contentType, String workClass, boolean repeatable,
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/LeavingNews.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/LeavingNews.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Sent inside a data centre as soon as a host learns that others are leaving.
+ * Reports leaving hosts and targets inside a data centre, as soon as a host observes them.
  *
  * <p>Immutable and thread safe.
  *
- * @param notices who is leaving
+ * @param notices the leaving hosts and targets
  */
 public record LeavingNews(List<LeavingNotice> notices) implements MemberMessage {
     public LeavingNews {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/LeavingNotice.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/LeavingNotice.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * First word that a host or target is leaving.
+ * Notice that a host or target is leaving.
  *
  * <p>Immutable and thread safe.
  *
  * @param name the host or target
- * @param incarnation the incarnation that is leaving, zero if it is not known
- * @param listRevision the revision of the platform's list that the first teller had
+ * @param incarnation the leaving incarnation, zero if it is unknown
+ * @param listRevision the revision of the platform's host list at the host that first sent the notice
  */
 public record LeavingNotice(String name, long incarnation, long listRevision) {
     public LeavingNotice {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/MemberMessage.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/MemberMessage.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Messages about which hosts are there and what they know.
+ * Messages about the membership of hosts and their state.
  */
 public sealed interface MemberMessage extends PeerMessage permits Hello, Ping, Pong, Heartbeat, CentreBeat, LeavingNews, RegionSummary {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/Ping.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/Ping.java
@@ -2,11 +2,11 @@
 package org.rattanplank.schema.message;
 
 /**
- * Asks the other end of a link for a sign of life.
+ * Checks whether the other end of a link responds.
  *
  * <p>Immutable and thread safe.
  *
- * @param number the ping's number on this link
+ * @param number the number of the ping on this link
  */
 public record Ping(long number) implements MemberMessage {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/Pong.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/Pong.java
@@ -2,11 +2,11 @@
 package org.rattanplank.schema.message;
 
 /**
- * Answers a ping on the same connection.
+ * Responds to a ping on the same connection.
  *
  * <p>Immutable and thread safe.
  *
- * @param number the number of the ping that is answered
+ * @param number the number of the ping
  */
 public record Pong(long number) implements MemberMessage {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/RegionSummary.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/RegionSummary.java
@@ -6,16 +6,16 @@
 import java.util.Objects;
 
 /**
- * Sums up one data centre for another; relayed once inside the data centre that receives it.
+ * Summarizes the state of one data centre for another; relayed once inside the receiving data centre.
  *
  * <p>Immutable and thread safe.
  *
  * @param region the region of the data centre
- * @param dataCentre the data centre that is summed up
+ * @param dataCentre the summarized data centre
  * @param generation the configuration generation in force there
- * @param hosts its entry hosts that live and take new work, bounded in number
- * @param services targets, slots, running and queued of each service of the region, bounded in number; empty unless this data centre speaks for its region
- * @param leaving the newest words of hosts and targets that are leaving, bounded in number
+ * @param hosts its live entry hosts that accept new work, bounded in number
+ * @param services the targets, slots, running and queued requests of each service of the region, bounded in number; empty unless this data centre represents its region
+ * @param leaving the newest notices of leaving hosts and targets, bounded in number
  */
 public record RegionSummary(String region, String dataCentre, long generation, List<String> hosts,
         Map<String, List<Long>> services, List<LeavingNotice> leaving) implements MemberMessage {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/RequestMessage.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/RequestMessage.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Messages about a request that one entry host forwards to another.
+ * Messages of a request forwarded from one entry host to another.
  */
 public sealed interface RequestMessage extends PeerMessage permits ForwardRequest, ForwardHead, ForwardChunk, ForwardEnd, ForwardCancel {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/UnknownMessage.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/UnknownMessage.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * A message of a kind that this version does not know; receivers pass over it.
+ * A message of a kind unknown to this version; receivers ignore it.
  */
 public record UnknownMessage() implements PeerMessage {
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewAsk.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewAsk.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Asks a host which view it knows, and whether a proposed one was formed.
+ * Requests the view that a host knows, and whether a proposed view was formed.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewConsent.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewConsent.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * The answer to a proposed view; whoever agrees has stopped its old view.
+ * Responds to a proposed view; a sender that agrees has stopped its previous view.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewInstall.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewInstall.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Tells which view the sender knows to be formed.
+ * Reports the newest view that the sender knows to be formed.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewInstalled.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewInstalled.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * A member's word that it acts in a view.
+ * Acknowledges that a member has installed a view.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewJoin.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewJoin.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * Asks a member to copy all claims to the sender and then to take it into the view.
+ * Requests a member to copy all claims to the sender and then to add the sender to the view.
  *
  * <p>Immutable and thread safe.
  *
- * @param sessionId the copying session that the sender is in, or empty
+ * @param sessionId the copying session of the sender, or empty
  */
 public record ViewJoin(String sessionId) implements ClaimMessage {
     public ViewJoin {
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewLeave.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewLeave.java
@@ -2,7 +2,7 @@
 package org.rattanplank.schema.message;
 
 /**
- * Asks a member to take the sender out of the view.
+ * Requests a member to remove the sender from the view.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewMember.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewMember.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * One process that holds the claims of a data centre.
+ * A process that stores the claims of a data centre.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewPropose.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewPropose.java
@@ -4,11 +4,11 @@
 import java.util.Objects;
 
 /**
- * Asks a member to stop its view and a joining host to be ready for the next one.
+ * Requests a member to stop its view, and a joining host to prepare for the next one.
  *
  * <p>Immutable and thread safe.
  *
- * @param fromNumber the view that is to stop
+ * @param fromNumber the number of the view to stop
  * @param sessionId the copying session of a joining host, or empty
  * @param view the next view
  */
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewRecord.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewRecord.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 
 /**
- * The processes that hold the claims of a data centre, as messages and the store carry them.
+ * The processes that store the claims of a data centre, as represented in messages and in the store.
  *
  * <p>Immutable and thread safe.
  *
  * @param dataCentre the data centre
- * @param number the view's number, higher for each change
- * @param completeFromMillis since when no claim has been forgotten
+ * @param number the number of the view, which increases with each change
+ * @param completeFromMillis the time since which no claim has been evicted, in milliseconds since the epoch
  * @param changeId the change that formed the view
  * @param members the members
  */
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewSync.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewSync.java
@@ -5,7 +5,7 @@
 import java.util.Objects;
 
 /**
- * One chunk of all claims for a host that joins; chunks are numbered from zero.
+ * Carries one chunk of all claims to a joining host; chunks are numbered from zero.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewSynced.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewSynced.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * The joining host's word that it holds a chunk and all before it.
+ * Acknowledges that the joining host has stored a chunk and all previous ones.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewWithdraw.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/message/ViewWithdraw.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Tells whoever agreed to a proposed view that it will never be formed.
+ * Notifies the hosts that agreed to a proposed view that it will never be formed.
  *
  * <p>Immutable and thread safe.
  *
--- a/rattanplank-schema/src/test/java/org/rattanplank/schema/generator/SchemaGenerator.java
+++ b/rattanplank-schema/src/test/java/org/rattanplank/schema/generator/SchemaGenerator.java
@@ -29,9 +29,9 @@
 import com.palantir.javapoet.TypeSpec;
 
 /**
- * Generates records from the JSON Schemas of messages.
+ * Generates message records from JSON Schemas.
  *
- * <p>Invariant: the same schemas give the same bytes, so that a test can tell stale code from fresh. Not thread safe.
+ * <p>Invariant: the output is deterministic, so that a test can detect stale committed sources. Not thread safe.
  */
 public final class SchemaGenerator {
     private static final String PACKAGE = "org.rattanplank.schema.message";
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Writes the sources of all messages, and removes those whose schema is gone.
+     * Writes the sources of all messages and deletes those without a schema.
      *
      * @param arguments the folder of schemas and the folder of sources
      * @throws IOException if a file cannot be written
@@ -71,8 +71,8 @@
         Path sources = Path.of(arguments[1]);
         Files.createDirectories(sources);
         Map<String, String> generated = generate(Path.of(arguments[0]));
-        try (var old = Files.list(sources)) {
-            for (Path path : old.toList()) {
+        try (var existing = Files.list(sources)) {
+            for (Path path : existing.toList()) {
                 if (!generated.containsKey(path.getFileName().toString())) {
                     Files.delete(path);
                 }
@@ -129,7 +129,7 @@
         emit(root.build());
         emit(TypeSpec.recordBuilder(UNKNOWN.simpleName())
                 .addModifiers(Modifier.PUBLIC)
-                .addJavadoc("A message of a kind that this version does not know; receivers pass over it.\n")
+                .addJavadoc("A message of a kind unknown to this version; receivers ignore it.\n")
                 .addSuperinterface(ROOT)
                 .recordConstructor(MethodSpec.constructorBuilder().build())
                 .build());
--- a/rattanplank-schema/src/test/java/org/rattanplank/schema/generator/SettingsGenerator.java
+++ b/rattanplank-schema/src/test/java/org/rattanplank/schema/generator/SettingsGenerator.java
@@ -14,9 +14,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Generates the daemon's settings from their schema: flags, the typed record, the table of bounds and the page.
+ * Generates the daemon's settings from their schema: the flags, the typed record, the table of bounds and the reference
+ * page.
  *
- * <p>Invariant: the same schema gives the same bytes, so that a test can tell stale files from fresh. Stateless and
+ * <p>Invariant: the output is deterministic, so that a test can detect stale committed files. Stateless and
  * thread safe.
  */
 public final class SettingsGenerator {
@@ -27,10 +28,10 @@
     private SettingsGenerator() {}
 
     /**
-     * Generates everything.
+     * Generates all files.
      *
      * @param schema the schema of the settings
-     * @return the files by their path below the repository's root
+     * @return the files by path relative to the root of the repository
      */
     public static Map<String, String> generate(Path schema) {
         List<JsonNode> settings = new ArrayList<>();
@@ -44,9 +45,9 @@
     }
 
     /**
-     * Writes everything.
+     * Writes all files.
      *
-     * @param arguments the schema and the repository's root
+     * @param arguments the schema and the root of the repository
      * @throws IOException if a file cannot be written
      */
     public static void main(String[] arguments) throws IOException {
@@ -62,7 +63,7 @@
                 .append("package " + PACKAGE + ";\n\n")
                 .append("import java.util.Map;\nimport java.util.TreeMap;\n\n")
                 .append("import com.beust.jcommander.Parameter;\n\n")
-                .append("/** The flags of the command line as they were written; an absent one is empty. Confined to"
+                .append("/** The flags of the command line as text; an absent one is empty. Confined to"
                         + " one thread. */\n")
                 .append("public final class DaemonFlags {\n")
                 .append("    private static final String ABSENT = \"\";\n\n");
@@ -75,14 +76,14 @@
         }
         code.append("    @Parameter(names = \"--help\", help = true)\n    private boolean help;\n\n")
                 .append("    @Parameter(names = \"--check\")\n    private boolean check;\n\n")
-                .append("    /**\n     * Tells whether only the list of settings is wanted.\n     *\n")
+                .append("    /**\n     * Returns whether only the list of settings is requested.\n     *\n")
                 .append("     * @return whether to print help\n     */\n")
                 .append("    public boolean isHelp() {\n        return help;\n    }\n\n")
-                .append("    /**\n     * Tells whether the settings are only to be checked.\n     *\n")
+                .append("    /**\n     * Returns whether the settings are only to be checked.\n     *\n")
                 .append("     * @return whether to exit after the check\n     */\n")
                 .append("    public boolean isCheck() {\n        return check;\n    }\n\n")
-                .append("    /**\n     * Finds the flags that were written.\n     *\n")
-                .append("     * @return the values by the setting's name\n     */\n")
+                .append("    /**\n     * Returns the flags that are present.\n     *\n")
+                .append("     * @return the values by setting name\n     */\n")
                 .append("    public Map<String, String> given() {\n")
                 .append("        Map<String, String> given = new TreeMap<>();\n");
         for (JsonNode setting : settings) {
@@ -96,7 +97,7 @@
         StringBuilder code = new StringBuilder(NOTE)
                 .append("package " + PACKAGE + ";\n\n")
                 .append("import org.rattanplank.daemon.setting.SettingValues;\n\n")
-                .append("/**\n * Every setting of the daemon, checked. Immutable and thread safe.\n *\n");
+                .append("/**\n * All settings of the daemon, validated. Immutable and thread safe.\n *\n");
         for (JsonNode setting : settings) {
             code.append(" * @param %s %s\n".formatted(field(setting), text(setting)));
         }
@@ -108,7 +109,7 @@
                 .collect(Collectors.joining(",\n"));
         return code.append(" */\npublic record DaemonSettings(\n")
                 .append(components)
-                .append(") {\n\n    /**\n     * Makes settings of checked values.\n     *\n")
+                .append(") {\n\n    /**\n     * Creates the settings from validated values.\n     *\n")
                 .append("     * @param values the values\n     * @return the settings\n     */\n")
                 .append("    public static DaemonSettings of(SettingValues values) {\n")
                 .append("        return new DaemonSettings(\n")
@@ -148,10 +149,10 @@
 
     private static String page(List<JsonNode> settings) {
         StringBuilder page = new StringBuilder("# Settings of rattanplankd\n\n")
-                .append("Made from `settings/daemon.json` by `bin/generate`; do not edit. A flag goes before its\n")
+                .append("Generated from `settings/daemon.json` by `bin/generate`; do not edit. A flag overrides its\n")
                 .append(
                         "environment variable. `--help` prints this list; `--check` checks the settings and exits with\n")
-                .append("0, or with 2 and every fault.\n\n")
+                .append("0, or with 2 and a list of all faults.\n\n")
                 .append("| flag | environment variable | type | unit | default | bounds | meaning |\n")
                 .append("|---|---|---|---|---|---|---|\n");
         for (JsonNode setting : settings) {
--- a/rattanplank-schema/src/test/java/org/rattanplank/schema/intent/IntentFolderTest.java
+++ b/rattanplank-schema/src/test/java/org/rattanplank/schema/intent/IntentFolderTest.java
@@ -19,7 +19,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"koro", "brazos"})
-    void shouldReadWhenFolderIsAnExample(String deployment) {
+    void shouldReadFolderWhenItIsAnExample(String deployment) {
         var read = IntentFolder.read(Path.of("..", "examples", deployment));
         assertTrue(read.isRight(), read::toString);
         assertEquals(10, read.get().merged().size());
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void shouldRefineFieldByFieldWhenLaterFileNamesTheSame() throws IOException {
+    void shouldMergeFieldByFieldWhenLaterFileHasSameKindAndName() throws IOException {
         write("10-a.yaml", "kind: service\nname: desk\ntype: plain\nversion: desk@1\n");
         write("20-b.yaml", "kind: service\nname: desk\nversion: desk@2\n");
         Intent intent = IntentFolder.read(folder).get().merged().get(0);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void shouldRefuseWhenNoFileGivesANeededFieldOrOneRefinesNothing() throws IOException {
+    void shouldReportFaultWhenRequiredFieldIsMissingOrFileChangesNothing() throws IOException {
         write("10-a.yaml", "kind: service\nname: desk\nversion: desk@1\n");
         write("20-b.yaml", "kind: retire\nname: host-1\n");
         write("30-c.yaml", "kind: retire\nname: host-1\n");
--- a/rattanplank-schema/src/test/java/org/rattanplank/schema/message/VersionsTest.java
+++ b/rattanplank-schema/src/test/java/org/rattanplank/schema/message/MessageCompatibilityTest.java
@@ -12,21 +12,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-class VersionsTest {
+class MessageCompatibilityTest {
     private static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory())
             .configure(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES, false);
 
     @Test
-    void shouldPassOverFieldWhenANewerHostAddsOne() throws IOException {
-        // Symptom: during a rolling upgrade, hosts of both versions take each other for lost. Sequence: a newer host
-        // sends a heartbeat with one more field. Cause: unknown fields are errors.
+    void shouldIgnoreUnknownFieldWhenNewerHostAddsOne() throws IOException {
+        // Symptom: during a rolling upgrade, hosts of different versions treat each other as failed. Sequence: a newer
+        // host sends a heartbeat with an additional field. Cause: the decoder rejects unknown fields.
         byte[] newer = MESSAGE_PACK.writeValueAsBytes(Map.of(
                 "kind", "Heartbeat", "incarnation", 7, "generation", 3, "draining", true, "load", 2, "added", "x"));
         assertEquals(new Heartbeat(7, 3, true, 2, false, List.of()), MESSAGE_PACK.readValue(newer, PeerMessage.class));
     }
 
     @Test
-    void shouldReadAbsentFieldsAsEmptyWhenAnOlderHostSendsFewer() throws IOException {
+    void shouldReadAbsentFieldsAsEmptyWhenOlderHostSendsFewer() throws IOException {
         byte[] older = MESSAGE_PACK.writeValueAsBytes(
                 Map.of("kind", "ConfigurationPush", "generation", 3, "digest", "d", "document", "{}"));
         assertEquals(
@@ -35,13 +35,13 @@
     }
 
     @Test
-    void shouldGiveUnknownMessageWhenANewerHostSendsAnotherKind() throws IOException {
+    void shouldReturnUnknownMessageWhenNewerHostSendsAnotherKind() throws IOException {
         byte[] newer = MESSAGE_PACK.writeValueAsBytes(Map.of("kind", "Gossip", "about", List.of(1, 2)));
         assertInstanceOf(UnknownMessage.class, MESSAGE_PACK.readValue(newer, PeerMessage.class));
     }
 
     @Test
-    void shouldReadTheSameWhenMessageGoesThroughMessagePack() throws IOException {
+    void shouldRestoreMessageWhenSerializedWithMessagePack() throws IOException {
         RegionSummary summary = new RegionSummary(
                 "suva",
                 "suva-hall",
