--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/WholeExchange.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/WholeExchange.java
@@ -39,7 +39,7 @@
             return response.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
             response.cancel(true);
-            throw new HttpTimeoutException("no complete response within " + timeout.toMillis() + " ms");
+            throw new HttpTimeoutException("no whole answer within " + timeout.toMillis() + " ms");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof IOException cause) {
                 throw cause;
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
@@ -79,8 +79,7 @@
     }
 
     // Symptom: an operator's new file disappears. Sequence: two operators pull the same generation, each adds a file,
-    // and
-    // both apply. Cause: the second apply replaces the whole folder with one that lacks the first operator's file.
+    // and both apply. Cause: the second apply replaces the whole folder with one that lacks the first operator's file.
     @Test
     void shouldKeepBothFilesWhenTwoOperatorsApplyConcurrently() throws Exception {
         run("apply", firstFolder.toString());
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFile.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentFile.java
@@ -65,7 +65,7 @@
     /**
      * Creates a fault in one field of this file.
      *
-     * @param field the field's name, empty for the whole file
+     * @param field the name of the field, empty for the whole file
      * @param expected what was expected
      * @param found what was found
      * @return the fault
