--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentReader.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentReader.java
@@ -32,8 +32,7 @@
     static Either<List<IntentFault>, IntentFile> read(Path path) {
         String name = path.getFileName().toString();
         // Files with other extensions are faults, not ignored: if an operator mistyped the extension of a retire
-        // intent,
-        // the folder would be accepted and the host would stay in service.
+        // intent, the folder would be accepted and the host would stay in service.
         if (!name.endsWith(".yaml") && !name.endsWith(".yml")) {
             return fault(name, 0, "", "a name that ends in .yaml or .yml", name);
         }
