--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
@@ -42,7 +42,7 @@
     public void raise(Event event) {
         if (event instanceof Event.AttemptEnded ended) {
             attemptEnded(ended);
-        } else if (event instanceof Event.AskerLeft left) {
+        } else if (event instanceof Event.RequesterLeft left) {
             metrics.requesterLeft();
             tracer.requestEnded(left.requestId(), "asker left", "");
         }
@@ -51,15 +51,15 @@
 
     @Override
     public boolean offer(Event event) {
-        if (event instanceof Event.CallerAsked received) {
+        if (event instanceof Event.CallerRequestReceived received) {
             requestStarted(received.request().id(), "entry");
-        } else if (event instanceof Event.PeerAsked received) {
+        } else if (event instanceof Event.PeerRequestReceived received) {
             requestStarted(received.request().id(), "peer");
         }
         boolean accepted = node.offer(event);
-        if (!accepted && event instanceof Event.CallerAsked received) {
+        if (!accepted && event instanceof Event.CallerRequestReceived received) {
             tracer.requestEnded(received.request().id(), NOT_RUN, "admit");
-        } else if (!accepted && event instanceof Event.PeerAsked received) {
+        } else if (!accepted && event instanceof Event.PeerRequestReceived received) {
             tracer.requestEnded(received.request().id(), NOT_RUN, "admit");
         }
         return accepted;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
@@ -226,7 +226,7 @@
                 .setIdleTimeout(Duration.ofMillis(deadlineMillis - clock.nowMillis() + IDLE_TIMEOUT_GRACE_MILLIS));
         detectDisconnect(context, channel, requestId, requester);
         calls.add(Call.of(parsed.request(), parsed.envelope(), requester));
-        if (!events.offer(new Event.CallerAsked(parsed.request()))) {
+        if (!events.offer(new Event.CallerRequestReceived(parsed.request()))) {
             calls.remove(requestId);
             send(context, CallerResponses.of(requestId, Rejection.busy(host, "event queue is full")));
             return;
@@ -247,7 +247,7 @@
     private void requesterLeft(String requestId, HttpRequester requester) {
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.AskerLeft(requestId));
+            events.raise(new Event.RequesterLeft(requestId));
             requester.abandon();
         }
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
@@ -163,7 +163,7 @@
             return;
         }
         attemptsInFlight.put(message.requestId(), message.attempt());
-        Event event = new Event.PeerAsked(remoteHello.get().host(), message.attempt(), call.request());
+        Event event = new Event.PeerRequestReceived(remoteHello.get().host(), message.attempt(), call.request());
         if (!events.offer(event)) {
             calls.finish(
                     message.requestId(),
@@ -184,7 +184,7 @@
         awaitingResponse.remove(requestId);
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.AskerLeft(requestId));
+            events.raise(new Event.RequesterLeft(requestId));
         }
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
@@ -137,11 +137,11 @@
     }
 
     private static String keyOf(Event event) {
-        if (event instanceof Event.CallerAsked requested) {
+        if (event instanceof Event.CallerRequestReceived requested) {
             return requested.request().id();
-        } else if (event instanceof Event.PeerAsked requested) {
+        } else if (event instanceof Event.PeerRequestReceived requested) {
             return requested.request().id();
-        } else if (event instanceof Event.AskerLeft left) {
+        } else if (event instanceof Event.RequesterLeft left) {
             return left.requestId();
         } else if (event instanceof Event.StreamProgressed progressed) {
             return progressed.requestId();
