--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallKind.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallKind.java
@@ -21,7 +21,7 @@
         }
 
         @Override
-        boolean isWhole(CallRequest request, String body) {
+        boolean isCompleteResponse(CallRequest request, String body) {
             JsonNode answer = Json.readOrEmpty(body);
             return answer.path("reference").asText().equals(request.reference()) && answer.has("confirmation");
         }
@@ -29,16 +29,16 @@
     /** A short answer of a model engine. */
     QUERY("interactive") {
         @Override
-        boolean isWhole(CallRequest request, String body) {
+        boolean isCompleteResponse(CallRequest request, String body) {
             String content =
                     Json.readOrEmpty(body).at("/choices/0/message/content").asText();
-            return List.of(content.trim().split(" ")).equals(expected(request));
+            return List.of(content.trim().split(" ")).equals(expectedTokens(request));
         }
     },
     /** A streamed answer of a model engine. */
     DRAFT("draft") {
         @Override
-        boolean isWhole(CallRequest request, String body) {
+        boolean isCompleteResponse(CallRequest request, String body) {
             List<String> contents = new ArrayList<>();
             boolean done = false;
             for (String line : body.split("\n")) {
@@ -49,7 +49,7 @@
                     contents.add(chunk.at("/choices/0/delta/content").asText().trim());
                 }
             }
-            return done && contents.equals(expected(request));
+            return done && contents.equals(expectedTokens(request));
         }
     };
 
@@ -73,11 +73,11 @@
         return true;
     }
 
-    abstract boolean isWhole(CallRequest request, String body);
+    abstract boolean isCompleteResponse(CallRequest request, String body);
 
-    private static List<String> expected(CallRequest request) {
+    private static List<String> expectedTokens(CallRequest request) {
         List<String> parts = new ArrayList<>();
-        for (int part = 0; part < request.parts(); part++) {
+        for (int part = 0; part < request.maxTokens(); part++) {
             parts.add(request.reference() + ":" + part);
         }
         return parts;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
@@ -16,7 +16,7 @@
  * @param idempotencyKey the key, or none
  * @param residency the residency label, or none
  * @param prompt the prompt of a model call
- * @param parts how many tokens a model call asks for
+ * @param maxTokens how many tokens a model call asks for
  * @param timeout how long the caller lets the system take
  */
 public record CallRequest(
@@ -26,9 +26,9 @@
         Option<String> idempotencyKey,
         Option<String> residency,
         String prompt,
-        int parts,
+        int maxTokens,
         Duration timeout) {
-    private static final Duration TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(10);
 
     public CallRequest {
         Objects.requireNonNull(reference, "reference");
@@ -46,7 +46,7 @@
      */
     public static CallRequest booking(String reference, String service, String idempotencyKey) {
         return new CallRequest(
-                reference, service, CallKind.BOOKING, Option.some(idempotencyKey), Option.none(), "", 0, TIMEOUT);
+                reference, service, CallKind.BOOKING, Option.some(idempotencyKey), Option.none(), "", 0, DEFAULT_TIMEOUT);
     }
 
     /**
@@ -60,7 +60,7 @@
      */
     public static CallRequest draft(String reference, String service, String prompt, int parts) {
         return new CallRequest(
-                reference, service, CallKind.DRAFT, Option.none(), Option.none(), prompt, parts, TIMEOUT);
+                reference, service, CallKind.DRAFT, Option.none(), Option.none(), prompt, parts, DEFAULT_TIMEOUT);
     }
 
     /**
@@ -74,7 +74,7 @@
      */
     public static CallRequest query(String reference, String service, String prompt, int parts) {
         return new CallRequest(
-                reference, service, CallKind.QUERY, Option.none(), Option.none(), prompt, parts, TIMEOUT);
+                reference, service, CallKind.QUERY, Option.none(), Option.none(), prompt, parts, DEFAULT_TIMEOUT);
     }
 
     /**
@@ -84,7 +84,7 @@
      * @return the copy
      */
     public CallRequest within(Duration newer) {
-        return new CallRequest(reference, service, kind, idempotencyKey, residency, prompt, parts, newer);
+        return new CallRequest(reference, service, kind, idempotencyKey, residency, prompt, maxTokens, newer);
     }
 
     String path() {
@@ -96,7 +96,7 @@
         if (!kind.isModelCall()) {
             return Json.write(body.put("reference", reference).put("part", "seal kit 40"));
         }
-        body.put("model", service).put("user", reference).put("max_tokens", parts);
+        body.put("model", service).put("user", reference).put("max_tokens", maxTokens);
         body.put("stream", kind == CallKind.DRAFT);
         ObjectNode message = Json.object().put("role", "user").put("content", prompt);
         body.set("messages", Json.array().add(message));
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
@@ -38,7 +38,7 @@
      * @param reason what went wrong
      * @return the result
      */
-    public static CallResult without(String reference, CallOutcome outcome, String reason) {
+    public static CallResult withoutResponse(String reference, CallOutcome outcome, String reason) {
         return new CallResult(reference, "", outcome, 0, "", "", false, reason, 0);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
@@ -27,7 +27,7 @@
  */
 public final class Caller {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
-    private static final Duration GRACE = Duration.ofSeconds(5);
+    private static final Duration OVERDUE_GRACE = Duration.ofSeconds(5);
 
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
@@ -59,7 +59,7 @@
     public List<String> entryHosts(String host) throws IOException {
         List<String> addresses = new ArrayList<>();
         HttpRequest request = request(host, "/v1/entry-hosts").GET().build();
-        for (JsonNode entry : Json.readOrEmpty(read(request)).path("hosts")) {
+        for (JsonNode entry : Json.readOrEmpty(fetchBody(request)).path("hosts")) {
             addresses.add(
                     entry.path("address").asText() + ":" + entry.path("port").asInt());
         }
@@ -73,11 +73,11 @@
      * @return the key
      * @throws IOException if the host gives no answer
      */
-    public String newKey(String host) throws IOException {
+    public String newIdempotencyKey(String host) throws IOException {
         HttpRequest request = request(host, "/v1/idempotency-keys")
                 .POST(HttpRequest.BodyPublishers.noBody())
                 .build();
-        JsonNode answer = Json.readOrEmpty(read(request));
+        JsonNode answer = Json.readOrEmpty(fetchBody(request));
         return answer.path("key").asText(answer.path("idempotencyKey").asText());
     }
 
@@ -109,7 +109,7 @@
         call.idempotencyKey().forEach(key -> request.header("Idempotency-Key", key));
         call.residency().forEach(label -> request.header("Rattanplank-Residency", label));
         request.POST(HttpRequest.BodyPublishers.ofString(call.body()));
-        Duration overdue = call.timeout().plus(GRACE);
+        Duration overdue = call.timeout().plus(OVERDUE_GRACE);
         return client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
                 .orTimeout(overdue.toMillis(), TimeUnit.MILLISECONDS)
                 .handle((response, failure) -> failure == null ? result(call, response) : result(call, failure));
@@ -131,7 +131,7 @@
                 response.statusCode(),
                 header(response, "Rattanplank-Path"),
                 response.body(),
-                outcome == CallOutcome.ANSWERED && call.kind().isWhole(call, response.body()),
+                outcome == CallOutcome.ANSWERED && call.kind().isCompleteResponse(call, response.body()),
                 reason,
                 retryAfter.isEmpty() ? 0 : Long.parseLong(retryAfter));
     }
@@ -142,14 +142,14 @@
         CallOutcome outcome = cause instanceof ConnectException
                 ? CallOutcome.UNREACHED
                 : cause instanceof TimeoutException ? CallOutcome.LOST : CallOutcome.BROKEN;
-        return CallResult.without(call.reference(), outcome, cause.toString());
+        return CallResult.withoutResponse(call.reference(), outcome, cause.toString());
     }
 
     private HttpRequest.Builder request(String host, String path) {
         return HttpRequest.newBuilder(URI.create("http://" + host + path)).header("Authorization", "Bearer " + token);
     }
 
-    private String read(HttpRequest request) throws IOException {
+    private String fetchBody(HttpRequest request) throws IOException {
         try {
             HttpResponse<String> response = client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
                     .get(CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Keys.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Keys.java
@@ -5,11 +5,11 @@
 
 /** Makes idempotency keys as callers do that cannot ask the system for one. Stateless and thread safe. */
 public final class Keys {
-    private static final int TIME_SHIFT = 16;
-    private static final long VERSION_7 = 0x7000;
-    private static final long LOW_12_BITS = 0xfff;
-    private static final long VARIANT = 0x8000000000000000L;
-    private static final long WITHOUT_VARIANT = 0x3fffffffffffffffL;
+    private static final int TIMESTAMP_SHIFT_BITS = 16;
+    private static final long VERSION_7_BITS = 0x7000;
+    private static final long LOW_12_BITS_MASK = 0xfff;
+    private static final long VARIANT_BITS = 0x8000000000000000L;
+    private static final long LOW_62_BITS_MASK = 0x3fffffffffffffffL;
 
     private Keys() {}
 
@@ -21,8 +21,8 @@
      * @return the key
      */
     public static String version7(long nowMillis, Random random) {
-        long high = nowMillis << TIME_SHIFT | VERSION_7 | random.nextLong() & LOW_12_BITS;
-        long low = VARIANT | random.nextLong() & WITHOUT_VARIANT;
+        long high = nowMillis << TIMESTAMP_SHIFT_BITS | VERSION_7_BITS | random.nextLong() & LOW_12_BITS_MASK;
+        long low = VARIANT_BITS | random.nextLong() & LOW_62_BITS_MASK;
         return new UUID(high, low).toString();
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
@@ -10,9 +10,9 @@
 
 /** Makes the demo's three calls through the host that the system names, and prints what came. */
 public final class DemoCalls {
-    private static final int DRAFT_PARTS = 12;
-    private static final int PROMPT_WORDS = 200;
-    private static final int SHOWN_CHARACTERS = 160;
+    private static final int DRAFT_MAX_TOKENS = 12;
+    private static final int PROMPT_REPETITIONS = 200;
+    private static final int MAX_PRINTED_CHARACTERS = 160;
 
     private final Caller caller;
     private final String host;
@@ -33,35 +33,35 @@
         DemoOptions options = new DemoOptions();
         JCommander.newBuilder().addObject(options).build().parse(args);
         Caller caller = Caller.of(options.token);
-        String host = caller.entryHosts(options.ask).get(0);
+        String host = caller.entryHosts(options.entryHost).get(0);
         System.out.println("the system names " + host);
         DemoCalls calls = new DemoCalls(caller, host);
-        calls.show("draft", CallRequest.draft("draft-1", options.model, prompt(), DRAFT_PARTS));
-        CallRequest booking = CallRequest.booking("booking-1", options.plain, caller.newKey(host));
-        CallResult first = calls.show("booking", booking);
-        CallResult repeated = calls.show("repeated booking", booking);
+        calls.sendAndPrint("draft", CallRequest.draft("draft-1", options.modelService, prompt(), DRAFT_MAX_TOKENS));
+        CallRequest booking = CallRequest.booking("booking-1", options.plainService, caller.newIdempotencyKey(host));
+        CallResult first = calls.sendAndPrint("booking", booking);
+        CallResult repeated = calls.sendAndPrint("repeated booking", booking);
         boolean same = first.body().equals(repeated.body());
         System.out.println(same ? "the repeated booking got the first one's answer" : "the two bookings differ");
         System.exit(same && calls.answered == 3 ? 0 : 1);
     }
 
-    private CallResult show(String what, CallRequest call) {
+    private CallResult sendAndPrint(String what, CallRequest call) {
         CallResult result = caller.send(host, call);
         if (result.outcome() == CallOutcome.ANSWERED && result.own()) {
             answered++;
         }
         System.out.println(what + ": " + result.outcome() + " status=" + result.status() + " path=" + result.path()
                 + (result.reason().isEmpty() ? "" : " reason=" + result.reason()));
-        System.out.println("  " + shorten(result.body()));
+        System.out.println("  " + truncate(result.body()));
         return result;
     }
 
     private static String prompt() {
-        return "line manual step ".repeat(PROMPT_WORDS);
+        return "line manual step ".repeat(PROMPT_REPETITIONS);
     }
 
-    private static String shorten(String body) {
+    private static String truncate(String body) {
         String line = body.replace("\n", " ");
-        return line.length() <= SHOWN_CHARACTERS ? line : line.substring(0, SHOWN_CHARACTERS) + "...";
+        return line.length() <= MAX_PRINTED_CHARACTERS ? line : line.substring(0, MAX_PRINTED_CHARACTERS) + "...";
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoOptions.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoOptions.java
@@ -12,19 +12,19 @@
 
     @Parameter(
             names = "--host",
-            splitter = WholeText.class,
+            splitter = NoSplitter.class,
             description = "NAME,REGION,DATA-CENTRE,CALLERS,PEERS of an entry host")
     List<String> hosts = new ArrayList<>();
 
     @Parameter(names = "--ask", description = "IP:PORT of the entry host that is asked which hosts to use")
-    String ask = "";
+    String entryHost = "";
 
     @Parameter(names = "--token", description = "the account's bearer token")
     String token = "";
 
     @Parameter(names = "--model", description = "the service of model engines")
-    String model = "";
+    String modelService = "";
 
     @Parameter(names = "--plain", description = "the plain service")
-    String plain = "";
+    String plainService = "";
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/EventLoop.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/EventLoop.java
@@ -72,7 +72,7 @@
      * @param delayMillis how much later
      * @param task the task
      */
-    public void after(long delayMillis, Runnable task) {
+    public void schedule(long delayMillis, Runnable task) {
         group.schedule(task, delayMillis, TimeUnit.MILLISECONDS);
     }
 
@@ -82,7 +82,7 @@
      * @param periodMillis the time between two runs
      * @param task the task
      */
-    public void every(long periodMillis, Runnable task) {
+    public void scheduleAtFixedRate(long periodMillis, Runnable task) {
         group.scheduleAtFixedRate(task, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Exchange.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Exchange.java
@@ -84,7 +84,7 @@
      *
      * @return the body, or an empty object if it is no JSON
      */
-    public JsonNode json() {
+    public JsonNode jsonBody() {
         return Json.readOrEmpty(body);
     }
 
@@ -145,7 +145,7 @@
      * @param extra further headers
      * @param value the body of which half is sent
      */
-    public void respondHalf(int status, Map<String, String> extra, JsonNode value) {
+    public void respondTruncated(int status, Map<String, String> extra, JsonNode value) {
         byte[] bytes = Json.write(value).getBytes(StandardCharsets.UTF_8);
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         addHeaders(response, JSON, extra);
@@ -173,7 +173,7 @@
      *
      * @param text the part
      */
-    public void part(String text) {
+    public void sendChunk(String text) {
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
@@ -202,7 +202,7 @@
      *
      * @param callback what to call
      */
-    public void whenClosed(Runnable callback) {
+    public void onClose(Runnable callback) {
         channel.closeFuture().addListener(closed -> callback.run());
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
@@ -78,18 +78,18 @@
      */
     public void state(LinkState newer) {
         state = newer;
-        if (newer.cut()) {
+        if (newer.resetsConnections()) {
             channels.forEach(Link::reset);
         }
     }
 
     /** Makes the connections that are open now silent for good, while new ones work. */
     public void silenceOpenConnections() {
-        channels.forEach(channel -> channel.attr(Silence.KEY).set(Boolean.TRUE));
+        channels.forEach(channel -> channel.attr(ConnectionAttributes.DROPS_BYTES).set(Boolean.TRUE));
     }
 
     private void accept(SocketChannel near) {
-        if (state.cut()) {
+        if (state.resetsConnections()) {
             reset(near);
             return;
         }
@@ -97,13 +97,13 @@
                 .group(loop.group())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.AUTO_READ, false)
-                .handler(new Relay(near, false));
+                .handler(new Forwarder(near, false));
         Channel far = bootstrap.connect(target).channel();
         channels.add(near);
         channels.add(far);
         near.closeFuture().addListener(closed -> channels.remove(near));
         far.closeFuture().addListener(closed -> channels.remove(far));
-        near.pipeline().addLast(new Relay(far, true));
+        near.pipeline().addLast(new Forwarder(far, true));
         far.closeFuture().addListener(closed -> near.close());
         near.closeFuture().addListener(closed -> far.close());
     }
@@ -121,11 +121,11 @@
     }
 
     /** Passes one direction on. */
-    private final class Relay extends ChannelInboundHandlerAdapter {
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel other;
         private final boolean fromNear;
 
-        private Relay(Channel other, boolean fromNear) {
+        private Forwarder(Channel other, boolean fromNear) {
             this.other = other;
             this.fromNear = fromNear;
         }
@@ -141,11 +141,11 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
             boolean muted =
-                    Boolean.TRUE.equals(context.channel().attr(Silence.KEY).get());
-            if (muted || (fromNear ? state.silentForward() : state.silentBackward())) {
+                    Boolean.TRUE.equals(context.channel().attr(ConnectionAttributes.DROPS_BYTES).get());
+            if (muted || (fromNear ? state.dropsForward() : state.dropsBackward())) {
                 ReferenceCountUtil.release(bytes);
             } else if (state.delayMillis() > 0) {
-                loop.after(state.delayMillis(), () -> other.writeAndFlush(bytes));
+                loop.schedule(state.delayMillis(), () -> other.writeAndFlush(bytes));
             } else {
                 other.writeAndFlush(bytes);
             }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
@@ -3,12 +3,12 @@
 /**
  * How a relay treats its connections. Immutable and thread safe.
  *
- * @param cut whether connections are reset and new ones refused
- * @param silentForward whether bytes towards the relay's target vanish
- * @param silentBackward whether bytes from the relay's target vanish
+ * @param resetsConnections whether connections are reset and new ones refused
+ * @param dropsForward whether bytes towards the relay's target vanish
+ * @param dropsBackward whether bytes from the relay's target vanish
  * @param delayMillis how much later bytes arrive
  */
-public record LinkState(boolean cut, boolean silentForward, boolean silentBackward, long delayMillis) {
+public record LinkState(boolean resetsConnections, boolean dropsForward, boolean dropsBackward, long delayMillis) {
     private static final LinkState UP = new LinkState(false, false, false, 0);
 
     /**
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Counts.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CallCounts.java
@@ -7,10 +7,10 @@
 import org.rattanplank.standins.http.Json;
 
 /** Counts calls by kind, a waiting watch as one. Not thread safe: confined to the platform's thread. */
-final class Counts {
+final class CallCounts {
     private final Map<String, Long> calls = new TreeMap<>();
 
-    void add(String kind) {
+    void increment(String kind) {
         calls.merge(kind, 1L, Long::sum);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CompareTarget.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CompareTarget.java
@@ -6,31 +6,31 @@
 enum CompareTarget {
     VERSION("version") {
         @Override
-        long actual(StoredValue value) {
+        long actualNumber(StoredValue value) {
             return value.version();
         }
     },
     CREATE("create_revision") {
         @Override
-        long actual(StoredValue value) {
+        long actualNumber(StoredValue value) {
             return value.createRevision();
         }
     },
     MOD("mod_revision") {
         @Override
-        long actual(StoredValue value) {
+        long actualNumber(StoredValue value) {
             return value.modRevision();
         }
     },
     VALUE("value") {
         @Override
-        long actual(StoredValue value) {
+        long actualNumber(StoredValue value) {
             return 0;
         }
 
         @Override
         int compare(StoredValue value, JsonNode condition) {
-            return value.value().compareTo(StoreJson.text(condition, "value"));
+            return value.value().compareTo(StoreJson.decodeText(condition, "value"));
         }
     };
 
@@ -40,12 +40,12 @@
         this.field = field;
     }
 
-    abstract long actual(StoredValue value);
+    abstract long actualNumber(StoredValue value);
 
     int compare(StoredValue value, JsonNode condition) {
         String camelCase = field.replace("_revision", "Revision");
         return Long.compare(
-                actual(value), StoreJson.either(condition, field, camelCase).asLong());
+                actualNumber(value), StoreJson.eitherField(condition, field, camelCase).asLong());
     }
 
     static boolean holds(JsonNode condition, StoredValue value) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Faults.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Faults.java
@@ -8,7 +8,7 @@
  * @param down whether the store, the list of hosts and the weight store reset each connection
  * @param storeDown whether the store alone does
  * @param slowMillis how much later each call to the store is answered
- * @param loseAnswers how many of the next writes take effect while their answers are lost
+ * @param responsesToLose how many of the next writes take effect while their answers are lost
  * @param silentWatches whether watches stay open and tell nothing
  * @param staleReads whether reads show the store as it was when this was set
  * @param listLagMillis how old the list of hosts is
@@ -17,7 +17,7 @@
         boolean down,
         boolean storeDown,
         long slowMillis,
-        int loseAnswers,
+        int responsesToLose,
         boolean silentWatches,
         boolean staleReads,
         long listLagMillis) {
@@ -30,18 +30,18 @@
         return down || storeDown;
     }
 
-    Faults changed(JsonNode change) {
+    Faults updated(JsonNode change) {
         return new Faults(
                 change.path("down").asBoolean(down),
                 change.path("storeDown").asBoolean(storeDown),
                 change.path("slowMillis").asLong(slowMillis),
-                change.path("loseAnswers").asInt(loseAnswers),
+                change.path("loseAnswers").asInt(responsesToLose),
                 change.path("silentWatches").asBoolean(silentWatches),
                 change.path("staleReads").asBoolean(staleReads),
                 change.path("listLagMillis").asLong(listLagMillis));
     }
 
-    Faults withoutOneLostAnswer() {
-        return new Faults(down, storeDown, slowMillis, loseAnswers - 1, silentWatches, staleReads, listLagMillis);
+    Faults withOneLostResponseFewer() {
+        return new Faults(down, storeDown, slowMillis, responsesToLose - 1, silentWatches, staleReads, listLagMillis);
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsApi.java
@@ -16,55 +16,55 @@
  * <p>Invariant: the shown revision never falls while the lag stays the same.
  */
 final class HostsApi {
-    private static final String PREFIX = "/hosts";
+    private static final String PATH = "/hosts";
 
     private final EventLoop loop;
     private final Map<String, JsonNode> hosts = new TreeMap<>();
     private long revision;
-    private ObjectNode shown = Json.object().put("revision", 0).set("hosts", Json.array());
+    private ObjectNode visibleList = Json.object().put("revision", 0).set("hosts", Json.array());
 
     HostsApi(EventLoop loop) {
         this.loop = loop;
     }
 
-    static boolean owns(String path) {
-        return path.equals(PREFIX) || path.startsWith(PREFIX + "/");
+    static boolean handlesPath(String path) {
+        return path.equals(PATH) || path.startsWith(PATH + "/");
     }
 
     void handle(Exchange exchange, String path, long lagMillis) {
-        String name = path.substring(PREFIX.length()).replaceFirst("^/", "");
+        String name = path.substring(PATH.length()).replaceFirst("^/", "");
         switch (exchange.method()) {
-            case "GET" -> exchange.respond(200, shown);
+            case "GET" -> exchange.respond(200, visibleList);
             case "PUT" -> {
                 ObjectNode host = Json.object().put("name", name);
-                exchange.json().fields().forEachRemaining(field -> host.set(field.getKey(), field.getValue()));
+                exchange.jsonBody().fields().forEachRemaining(field -> host.set(field.getKey(), field.getValue()));
                 hosts.put(name, host);
-                changed(exchange, lagMillis);
+                respondAndPublish(exchange, lagMillis);
             }
             case "DELETE" -> {
                 hosts.remove(name);
-                changed(exchange, lagMillis);
+                respondAndPublish(exchange, lagMillis);
             }
             default -> exchange.respond(405, Json.object().put("error", "no such method"));
         }
     }
 
-    private void changed(Exchange exchange, long lagMillis) {
+    private void respondAndPublish(Exchange exchange, long lagMillis) {
         revision++;
         ArrayNode all = Json.array();
         hosts.values().forEach(all::add);
         ObjectNode newer = Json.object().put("revision", revision).set("hosts", all);
         if (lagMillis > 0) {
-            loop.after(lagMillis, () -> show(newer));
+            loop.schedule(lagMillis, () -> publish(newer));
         } else {
-            show(newer);
+            publish(newer);
         }
         exchange.respond(200, Json.object().put("revision", revision));
     }
 
-    private void show(ObjectNode newer) {
-        if (newer.path("revision").asLong() > shown.path("revision").asLong()) {
-            shown = newer;
+    private void publish(ObjectNode newer) {
+        if (newer.path("revision").asLong() > visibleList.path("revision").asLong()) {
+            visibleList = newer;
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyRange.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyRange.java
@@ -9,7 +9,7 @@
  * @param end the first key after the range; empty for one key only, {@code "\0"} for all keys from the first
  */
 record KeyRange(String key, String end) {
-    private static final String UNBOUNDED = "\0";
+    private static final String UNBOUNDED_END = "\0";
 
     KeyRange {
         Objects.requireNonNull(key, "key");
@@ -24,6 +24,6 @@
         if (end.isEmpty()) {
             return candidate.equals(key);
         }
-        return candidate.compareTo(key) >= 0 && (end.equals(UNBOUNDED) || candidate.compareTo(end) < 0);
+        return candidate.compareTo(key) >= 0 && (end.equals(UNBOUNDED_END) || candidate.compareTo(end) < 0);
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
@@ -18,7 +18,7 @@
  * thread safe: confined to the platform's thread.
  */
 final class KeyValueStore {
-    private static final int HISTORY = 20_000;
+    private static final int MAX_HISTORY_CHANGES = 20_000;
 
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -67,9 +67,9 @@
             return false;
         }
         revision++;
-        StoredValue written = get(key).written(value, revision, leaseId);
+        StoredValue written = get(key).withValue(value, revision, leaseId);
         values.put(key, written);
-        record(written);
+        recordChange(written);
         return true;
     }
 
@@ -79,21 +79,21 @@
         return doomed.size();
     }
 
-    Lease grant(long wantedId, long ttlMillis, long nowMillis) {
+    Lease grantLease(long wantedId, long ttlMillis, long nowMillis) {
         long id = wantedId == 0 ? nextLeaseId++ : wantedId;
         Lease lease = new Lease(id, ttlMillis, nowMillis + ttlMillis);
         leases.put(id, lease);
         return lease;
     }
 
-    Option<Lease> keep(long id, long nowMillis) {
-        expire(nowMillis);
-        Option<Lease> kept = Option.of(leases.get(id)).map(lease -> lease.kept(nowMillis));
+    Option<Lease> renewLease(long id, long nowMillis) {
+        expireLeases(nowMillis);
+        Option<Lease> kept = Option.of(leases.get(id)).map(lease -> lease.renewed(nowMillis));
         kept.forEach(lease -> leases.put(id, lease));
         return kept;
     }
 
-    boolean revoke(long id) {
+    boolean revokeLease(long id) {
         if (leases.remove(id) == null) {
             return false;
         }
@@ -105,23 +105,23 @@
         return true;
     }
 
-    void expire(long nowMillis) {
+    void expireLeases(long nowMillis) {
         leases.values().stream()
-                .filter(lease -> lease.hasLapsed(nowMillis))
+                .filter(lease -> lease.hasExpired(nowMillis))
                 .map(Lease::id)
                 .toList()
-                .forEach(this::revoke);
+                .forEach(this::revokeLease);
     }
 
     private void delete(String key) {
         revision++;
         values.remove(key);
-        record(StoredValue.deleted(key, revision));
+        recordChange(StoredValue.deleted(key, revision));
     }
 
-    private void record(StoredValue change) {
+    private void recordChange(StoredValue change) {
         history.add(change);
-        if (history.size() > HISTORY) {
+        if (history.size() > MAX_HISTORY_CHANGES) {
             compactedRevision = history.poll().modRevision();
         }
         listener.accept(change);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
@@ -5,14 +5,14 @@
  *
  * @param id its identifier
  * @param ttlMillis its term
- * @param endsAtMillis when it lapses unless it is kept
+ * @param expiresAtMillis when it lapses unless it is kept
  */
-record Lease(long id, long ttlMillis, long endsAtMillis) {
-    Lease kept(long nowMillis) {
+record Lease(long id, long ttlMillis, long expiresAtMillis) {
+    Lease renewed(long nowMillis) {
         return new Lease(id, ttlMillis, nowMillis + ttlMillis);
     }
 
-    boolean hasLapsed(long nowMillis) {
-        return nowMillis >= endsAtMillis;
+    boolean hasExpired(long nowMillis) {
+        return nowMillis >= expiresAtMillis;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
@@ -19,10 +19,10 @@
  * two data centres by telling each its own addresses of the other's hosts. Not thread safe: confined to its loop's thread once it serves.
  */
 public final class Platform {
-    private static final String VIEWS = "/views/";
-    private static final long EXPIRE_EVERY_MILLIS = 50;
+    private static final String VIEWS_PREFIX = "/views/";
+    private static final long LEASE_EXPIRY_PERIOD_MILLIS = 50;
 
-    private final Counts counts = new Counts();
+    private final CallCounts counts = new CallCounts();
     private final StoreApi store;
     private final HostsApi hosts;
     private final Map<String, HostsApi> views = new HashMap<>();
@@ -45,7 +45,7 @@
      */
     public static InetSocketAddress serve(EventLoop loop, PlatformOptions options) {
         Platform platform = new Platform(loop, options);
-        loop.every(EXPIRE_EVERY_MILLIS, () -> platform.store.expire(System.currentTimeMillis()));
+        loop.scheduleAtFixedRate(LEASE_EXPIRY_PERIOD_MILLIS, () -> platform.store.expire(System.currentTimeMillis()));
         return loop.serve(options.port, platform::handle);
     }
 
@@ -66,24 +66,24 @@
         if (path.equals("/counts")) {
             exchange.respond(200, counts.toJson());
         } else if (path.equals("/faults")) {
-            store.faults(store.faults().changed(exchange.json()));
+            store.faults(store.faults().updated(exchange.jsonBody()));
             exchange.respond(200, Json.object());
-        } else if (StoreApi.owns(path)) {
+        } else if (StoreApi.handlesPath(path)) {
             store.handle(exchange);
-        } else if (HostsApi.owns(path)) {
+        } else if (HostsApi.handlesPath(path)) {
             hosts(exchange, hosts, path);
-        } else if (path.startsWith(VIEWS)) {
-            view(exchange, path.substring(VIEWS.length()));
-        } else if (WeightsApi.owns(path)) {
+        } else if (path.startsWith(VIEWS_PREFIX)) {
+            handleView(exchange, path.substring(VIEWS_PREFIX.length()));
+        } else if (WeightsApi.handlesPath(path)) {
             weights(exchange);
         } else {
             exchange.respond(404, notFound(path));
         }
     }
 
-    private void view(Exchange exchange, String nameAndPath) {
+    private void handleView(Exchange exchange, String nameAndPath) {
         int slash = nameAndPath.indexOf('/');
-        if (slash < 0 || !HostsApi.owns(nameAndPath.substring(slash))) {
+        if (slash < 0 || !HostsApi.handlesPath(nameAndPath.substring(slash))) {
             exchange.respond(404, notFound(exchange.path()));
             return;
         }
@@ -94,7 +94,7 @@
     private void hosts(Exchange exchange, HostsApi list, String path) {
         boolean read = exchange.method().equals("GET");
         if (read) {
-            counts.add("hosts");
+            counts.increment("hosts");
         }
         if (read && store.faults().down()) {
             exchange.reset();
@@ -104,7 +104,7 @@
     }
 
     private void weights(Exchange exchange) {
-        counts.add("weights");
+        counts.increment("weights");
         if (store.faults().down()) {
             exchange.reset();
         } else {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
@@ -23,18 +23,18 @@
  * confined to its event loop.
  */
 public final class SiteStore {
-    private static final long EXPIRE_EVERY_MILLIS = 100;
-    private static final int OK = 200;
-    private static final int NOT_FOUND = 404;
-    private static final int GONE = 410;
-    private static final int CONDITION_FAILED = 412;
-    private static final int UNAVAILABLE = 503;
+    private static final long LEASE_EXPIRY_PERIOD_MILLIS = 100;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_NOT_FOUND = 404;
+    private static final int STATUS_GONE = 410;
+    private static final int STATUS_PRECONDITION_FAILED = 412;
+    private static final int STATUS_UNAVAILABLE = 503;
 
     private final EventLoop loop;
-    private final List<Runnable> watches = new ArrayList<>();
-    private final KeyValueStore store = KeyValueStore.of(change -> watchesSoon());
+    private final List<Runnable> pendingWatches = new ArrayList<>();
+    private final KeyValueStore store = KeyValueStore.of(change -> scheduleWatches());
     private volatile boolean down;
-    private boolean forgetful;
+    private boolean historyDropped;
 
     private SiteStore(EventLoop loop) {
         this.loop = loop;
@@ -48,7 +48,7 @@
      */
     public static SiteStore of(EventLoop loop) {
         SiteStore store = new SiteStore(loop);
-        loop.every(EXPIRE_EVERY_MILLIS, () -> store.store.expire(System.currentTimeMillis()));
+        loop.scheduleAtFixedRate(LEASE_EXPIRY_PERIOD_MILLIS, () -> store.store.expireLeases(System.currentTimeMillis()));
         return store;
     }
 
@@ -74,9 +74,9 @@
 
     /** Forgets the history once: the next watch is told so. */
     public void forgetHistory() {
-        loop.after(0, () -> {
-            forgetful = true;
-            runWatches();
+        loop.schedule(0, () -> {
+            historyDropped = true;
+            checkWatches();
         });
     }
 
@@ -95,25 +95,25 @@
     private void handle(Exchange exchange) {
         String path = exchange.path();
         if (down) {
-            exchange.respond(UNAVAILABLE, Json.object());
+            exchange.respond(STATUS_UNAVAILABLE, Json.object());
         } else if (path.equals(PlatformPaths.LIST)) {
             list(exchange);
         } else if (path.equals(PlatformPaths.WATCH)) {
             watch(exchange);
         } else if (path.equals(PlatformPaths.GRANT_LEASE)) {
-            long millis = exchange.json().path("ttl_ms").asLong();
-            Lease lease = store.grant(0, millis, System.currentTimeMillis());
-            exchange.respond(OK, Json.object().put("lease", lease.id()).put("ttl_ms", millis));
+            long millis = exchange.jsonBody().path("ttl_ms").asLong();
+            Lease lease = store.grantLease(0, millis, System.currentTimeMillis());
+            exchange.respond(STATUS_OK, Json.object().put("lease", lease.id()).put("ttl_ms", millis));
         } else if (path.startsWith(PlatformPaths.KEEP_LEASE)) {
-            Option<Lease> kept = store.keep(number(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
-            exchange.respond(kept.isDefined() ? OK : NOT_FOUND, Json.object());
+            Option<Lease> kept = store.renewLease(parseId(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
+            exchange.respond(kept.isDefined() ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
         } else if (path.startsWith(PlatformPaths.END_LEASE)) {
-            boolean ended = store.revoke(number(path, PlatformPaths.END_LEASE));
-            exchange.respond(ended ? OK : NOT_FOUND, Json.object());
+            boolean ended = store.revokeLease(parseId(path, PlatformPaths.END_LEASE));
+            exchange.respond(ended ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
         } else if (path.equals(PlatformPaths.CHANGE)) {
             change(exchange);
         } else {
-            exchange.respond(NOT_FOUND, Json.object());
+            exchange.respond(STATUS_NOT_FOUND, Json.object());
         }
     }
 
@@ -127,7 +127,7 @@
                 items.add(item(value));
             }
         }
-        exchange.respond(OK, answer);
+        exchange.respond(STATUS_OK, answer);
     }
 
     private void watch(Exchange exchange) {
@@ -142,53 +142,53 @@
                     events.add(item(change));
                 }
             }
-            if (answered[0] || atOnce && events.isEmpty() && !forgetful) {
+            if (answered[0] || atOnce && events.isEmpty() && !historyDropped) {
                 return answered[0];
             }
             answered[0] = true;
             ObjectNode body = Json.object().put("current_rev", store.revision());
             body.set("events", events);
-            boolean gone = forgetful;
-            forgetful = false;
-            exchange.respond(gone ? GONE : OK, body);
+            boolean gone = historyDropped;
+            historyDropped = false;
+            exchange.respond(gone ? STATUS_GONE : STATUS_OK, body);
             return true;
         };
         if (!answer.apply(true)) {
-            watches.add(() -> answer.apply(true));
-            loop.after(waitMillis, () -> answer.apply(false));
+            pendingWatches.add(() -> answer.apply(true));
+            loop.schedule(waitMillis, () -> answer.apply(false));
         }
     }
 
     private void change(Exchange exchange) {
-        JsonNode body = exchange.json();
+        JsonNode body = exchange.jsonBody();
         for (JsonNode condition : body.path("expected_revision")) {
             StoredValue value = store.get(condition.path("key").asText());
             long revision = value.isDeleted() ? 0 : value.modRevision();
             if (revision != condition.path("revision").asLong()) {
-                exchange.respond(CONDITION_FAILED, Json.object().putArray("items"));
+                exchange.respond(STATUS_PRECONDITION_FAILED, Json.object().putArray("items"));
                 return;
             }
         }
         for (JsonNode put : body.path("puts")) {
             String value = put.path("value").asText();
             if (!store.put(put.path("key").asText(), value, put.path("lease").asLong())) {
-                exchange.respond(NOT_FOUND, Json.object());
+                exchange.respond(STATUS_NOT_FOUND, Json.object());
                 return;
             }
         }
         body.path("remove").forEach(key -> store.delete(KeyRange.of(key.asText())));
-        exchange.respond(OK, Json.object().put("revision", store.revision()));
+        exchange.respond(STATUS_OK, Json.object().put("revision", store.revision()));
     }
 
-    private void watchesSoon() {
-        loop.after(0, this::runWatches);
+    private void scheduleWatches() {
+        loop.schedule(0, this::checkWatches);
     }
 
-    private void runWatches() {
-        List<Runnable> waiting = List.copyOf(watches);
-        watches.clear();
+    private void checkWatches() {
+        List<Runnable> waiting = List.copyOf(pendingWatches);
+        pendingWatches.clear();
         waiting.forEach(watch -> {
-            watches.add(watch);
+            pendingWatches.add(watch);
             watch.run();
         });
     }
@@ -203,7 +203,7 @@
                 .put("lease", value.leaseId());
     }
 
-    private static long number(String path, String prefix) {
+    private static long parseId(String path, String prefix) {
         return Long.parseLong(path.substring(prefix.length()));
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreApi.java
@@ -22,19 +22,19 @@
     private static final long MILLIS_PER_SECOND = 1_000;
 
     private final EventLoop loop;
-    private final KeyValueStore store = KeyValueStore.of(this::changed);
+    private final KeyValueStore store = KeyValueStore.of(this::notifyWatchers);
     private final List<Watcher> watchers = new ArrayList<>();
-    private final Counts counts;
+    private final CallCounts counts;
     private Faults faults;
-    private List<StoredValue> staleValues = List.of();
+    private List<StoredValue> staleSnapshot = List.of();
 
-    StoreApi(EventLoop loop, Counts counts, Faults faults) {
+    StoreApi(EventLoop loop, CallCounts counts, Faults faults) {
         this.loop = loop;
         this.counts = counts;
         this.faults = faults;
     }
 
-    static boolean owns(String path) {
+    static boolean handlesPath(String path) {
         return path.startsWith(PREFIX);
     }
 
@@ -44,7 +44,7 @@
 
     void faults(Faults newer) {
         if (newer.staleReads() && !faults.staleReads()) {
-            staleValues = store.range(new KeyRange("", "\0"));
+            staleSnapshot = store.range(new KeyRange("", "\0"));
         }
         faults = newer;
         if (newer.isStoreDown()) {
@@ -55,44 +55,44 @@
 
     void expire(long nowMillis) {
         if (!faults.isStoreDown()) {
-            store.expire(nowMillis);
+            store.expireLeases(nowMillis);
         }
     }
 
     void handle(Exchange exchange) {
-        counts.add(exchange.path().substring(PREFIX.length()));
+        counts.increment(exchange.path().substring(PREFIX.length()));
         if (faults.isStoreDown()) {
             exchange.reset();
         } else if (faults.slowMillis() > 0) {
-            loop.after(faults.slowMillis(), () -> answer(exchange));
+            loop.schedule(faults.slowMillis(), () -> dispatch(exchange));
         } else {
-            answer(exchange);
+            dispatch(exchange);
         }
     }
 
-    private void answer(Exchange exchange) {
-        JsonNode call = exchange.json();
+    private void dispatch(Exchange exchange) {
+        JsonNode call = exchange.jsonBody();
         long nowMillis = System.currentTimeMillis();
-        store.expire(nowMillis);
+        store.expireLeases(nowMillis);
         switch (exchange.path()) {
             case "/v3/kv/range" -> exchange.respond(200, range(call));
-            case "/v3/kv/put" -> written(exchange, put(call));
-            case "/v3/kv/deleterange" -> written(exchange, delete(call));
+            case "/v3/kv/put" -> respondToWrite(exchange, put(call));
+            case "/v3/kv/deleterange" -> respondToWrite(exchange, delete(call));
             case "/v3/kv/txn" -> transaction(exchange, call);
-            case "/v3/lease/grant" -> written(exchange, grant(call, nowMillis));
-            case "/v3/lease/keepalive" -> written(exchange, keep(call, nowMillis));
-            case "/v3/lease/revoke", "/v3/kv/lease/revoke" -> revoke(exchange, call);
+            case "/v3/lease/grant" -> respondToWrite(exchange, grantLease(call, nowMillis));
+            case "/v3/lease/keepalive" -> respondToWrite(exchange, renewLease(call, nowMillis));
+            case "/v3/lease/revoke", "/v3/kv/lease/revoke" -> revokeLease(exchange, call);
             case "/v3/watch" -> watch(exchange, call);
             default -> exchange.respond(404, error("no such call"));
         }
     }
 
     /** Answers a write that took effect, unless its answer is to be lost. */
-    private void written(Exchange exchange, ObjectNode answer) {
+    private void respondToWrite(Exchange exchange, ObjectNode answer) {
         if (answer.has("error")) {
             exchange.respond(400, answer);
-        } else if (faults.loseAnswers() > 0) {
-            faults = faults.withoutOneLostAnswer();
+        } else if (faults.responsesToLose() > 0) {
+            faults = faults.withOneLostResponseFewer();
             exchange.reset();
         } else {
             exchange.respond(200, answer);
@@ -102,7 +102,7 @@
     private ObjectNode range(JsonNode call) {
         KeyRange range = StoreJson.range(call);
         List<StoredValue> found = faults.staleReads()
-                ? staleValues.stream()
+                ? staleSnapshot.stream()
                         .filter(value -> range.contains(value.key()))
                         .toList()
                 : store.range(range);
@@ -116,8 +116,8 @@
 
     private ObjectNode put(JsonNode call) {
         boolean put = store.put(
-                StoreJson.text(call, "key"),
-                StoreJson.text(call, "value"),
+                StoreJson.decodeText(call, "key"),
+                StoreJson.decodeText(call, "value"),
                 call.path("lease").asLong());
         return put ? StoreJson.header(store.revision()) : error("requested lease not found");
     }
@@ -132,86 +132,86 @@
     private void transaction(Exchange exchange, JsonNode call) {
         boolean holds = true;
         for (JsonNode condition : call.path("compare")) {
-            holds &= CompareTarget.holds(condition, store.get(StoreJson.text(condition, "key")));
+            holds &= CompareTarget.holds(condition, store.get(StoreJson.decodeText(condition, "key")));
         }
         ArrayNode responses = Json.array();
         for (JsonNode operation : call.path(holds ? "success" : "failure")) {
-            responses.add(operate(operation));
+            responses.add(applyOperation(operation));
         }
         ObjectNode answer = StoreJson.header(store.revision());
         if (holds) {
             answer.put("succeeded", true);
         }
         answer.set("responses", responses);
-        written(exchange, answer);
+        respondToWrite(exchange, answer);
     }
 
-    private ObjectNode operate(JsonNode operation) {
+    private ObjectNode applyOperation(JsonNode operation) {
         if (operation.has("request_put") || operation.has("requestPut")) {
-            return Json.object().set("response_put", put(StoreJson.either(operation, "request_put", "requestPut")));
+            return Json.object().set("response_put", put(StoreJson.eitherField(operation, "request_put", "requestPut")));
         }
         if (operation.has("request_delete_range") || operation.has("requestDeleteRange")) {
-            JsonNode delete = StoreJson.either(operation, "request_delete_range", "requestDeleteRange");
+            JsonNode delete = StoreJson.eitherField(operation, "request_delete_range", "requestDeleteRange");
             return Json.object().set("response_delete_range", delete(delete));
         }
-        JsonNode range = StoreJson.either(operation, "request_range", "requestRange");
+        JsonNode range = StoreJson.eitherField(operation, "request_range", "requestRange");
         return Json.object().set("response_range", range(range));
     }
 
-    private ObjectNode grant(JsonNode call, long nowMillis) {
+    private ObjectNode grantLease(JsonNode call, long nowMillis) {
         long ttlMillis = call.path("TTL").asLong() * MILLIS_PER_SECOND;
-        return lease(store.grant(call.path("ID").asLong(), ttlMillis, nowMillis));
+        return leaseFields(store.grantLease(call.path("ID").asLong(), ttlMillis, nowMillis));
     }
 
-    private ObjectNode keep(JsonNode call, long nowMillis) {
+    private ObjectNode renewLease(JsonNode call, long nowMillis) {
         long id = call.path("ID").asLong();
         ObjectNode lapsed = StoreJson.header(store.revision()).put("ID", Long.toString(id));
         return Json.object()
-                .set("result", store.keep(id, nowMillis).map(this::lease).getOrElse(lapsed));
+                .set("result", store.renewLease(id, nowMillis).map(this::leaseFields).getOrElse(lapsed));
     }
 
-    private ObjectNode lease(Lease lease) {
+    private ObjectNode leaseFields(Lease lease) {
         ObjectNode answer = StoreJson.header(store.revision());
         answer.put("ID", Long.toString(lease.id()));
         return answer.put("TTL", Long.toString(lease.ttlMillis() / MILLIS_PER_SECOND));
     }
 
-    private void revoke(Exchange exchange, JsonNode call) {
-        boolean revoked = store.revoke(call.path("ID").asLong());
-        written(exchange, revoked ? StoreJson.header(store.revision()) : error("requested lease not found"));
+    private void revokeLease(Exchange exchange, JsonNode call) {
+        boolean revoked = store.revokeLease(call.path("ID").asLong());
+        respondToWrite(exchange, revoked ? StoreJson.header(store.revision()) : error("requested lease not found"));
     }
 
     private void watch(Exchange exchange, JsonNode call) {
-        JsonNode create = StoreJson.either(call, "create_request", "createRequest");
-        long from = StoreJson.either(create, "start_revision", "startRevision").asLong();
+        JsonNode create = StoreJson.eitherField(call, "create_request", "createRequest");
+        long from = StoreJson.eitherField(create, "start_revision", "startRevision").asLong();
         exchange.startStream("application/json", Map.of());
         ObjectNode created = StoreJson.header(store.revision()).put("created", true);
         if (from > 0 && from <= store.compactedRevision()) {
             created.put("canceled", true).put("compact_revision", Long.toString(store.compactedRevision() + 1));
-            exchange.part(line(created));
+            exchange.sendChunk(line(created));
             exchange.endStream();
             return;
         }
-        exchange.part(line(created));
+        exchange.sendChunk(line(created));
         Watcher watcher = new Watcher(exchange, StoreJson.range(create));
         watchers.add(watcher);
-        exchange.whenClosed(() -> watchers.remove(watcher));
+        exchange.onClose(() -> watchers.remove(watcher));
         if (from > 0) {
-            store.changesSince(from).forEach(change -> tell(watcher, change));
+            store.changesSince(from).forEach(change -> sendEvent(watcher, change));
         }
     }
 
-    private void changed(StoredValue change) {
-        watchers.forEach(watcher -> tell(watcher, change));
+    private void notifyWatchers(StoredValue change) {
+        watchers.forEach(watcher -> sendEvent(watcher, change));
     }
 
-    private void tell(Watcher watcher, StoredValue change) {
+    private void sendEvent(Watcher watcher, StoredValue change) {
         if (faults.silentWatches() || !watcher.range().contains(change.key())) {
             return;
         }
         ObjectNode told = StoreJson.header(change.modRevision());
         told.set("events", Json.array().add(StoreJson.event(change)));
-        watcher.exchange().part(line(told));
+        watcher.exchange().sendChunk(line(told));
     }
 
     private static String line(ObjectNode result) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreJson.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreJson.java
@@ -16,16 +16,16 @@
 final class StoreJson {
     private StoreJson() {}
 
-    static String text(JsonNode node, String field) {
+    static String decodeText(JsonNode node, String field) {
         return new String(Base64.getDecoder().decode(node.path(field).asText()), StandardCharsets.ISO_8859_1);
     }
 
     static KeyRange range(JsonNode node) {
-        return new KeyRange(text(node, "key"), text(node, "range_end"));
+        return new KeyRange(decodeText(node, "key"), decodeText(node, "range_end"));
     }
 
     /** A request may name its fields in either of the two spellings that the published calls take. */
-    static JsonNode either(JsonNode node, String snakeCase, String camelCase) {
+    static JsonNode eitherField(JsonNode node, String snakeCase, String camelCase) {
         return node.has(snakeCase) ? node.path(snakeCase) : node.path(camelCase);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoredValue.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoredValue.java
@@ -30,7 +30,7 @@
         return version == 0;
     }
 
-    StoredValue written(String newValue, long revision, long newLeaseId) {
+    StoredValue withValue(String newValue, long revision, long newLeaseId) {
         long created = isDeleted() ? revision : createRevision;
         return new StoredValue(key, newValue, created, revision, version + 1, newLeaseId);
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/WeightsApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/WeightsApi.java
@@ -20,7 +20,7 @@
         this.transferMillis = transferMillis;
     }
 
-    static boolean owns(String path) {
+    static boolean handlesPath(String path) {
         return path.startsWith(PREFIX);
     }
 
@@ -28,6 +28,6 @@
         String model = exchange.path().substring(PREFIX.length());
         freeAtMillis = Math.max(freeAtMillis, nowMillis) + transferMillis;
         ObjectNode answer = Json.object().put("model", model).put("transferMillis", transferMillis);
-        loop.after(freeAtMillis - nowMillis, () -> exchange.respond(200, answer));
+        loop.schedule(freeAtMillis - nowMillis, () -> exchange.respond(200, answer));
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SettingsTemplate.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SettingsTemplate.java
@@ -25,14 +25,14 @@
         Matcher matcher = PLACEHOLDER.matcher(template);
         StringBuilder filled = new StringBuilder();
         while (matcher.find()) {
-            JsonNode value = find(values, matcher.group(1));
+            JsonNode value = lookup(values, matcher.group(1));
             boolean json = matcher.group(2) != null || value.isContainerNode();
             matcher.appendReplacement(filled, Matcher.quoteReplacement(json ? Json.write(value) : value.asText()));
         }
         return matcher.appendTail(filled).toString();
     }
 
-    private static JsonNode find(JsonNode values, String path) {
+    private static JsonNode lookup(JsonNode values, String path) {
         JsonNode value = values;
         for (String name : path.split("\\.")) {
             value = value.isArray() ? value.path(Integer.parseInt(name)) : value.path(name);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
@@ -22,15 +22,15 @@
  * Puts a configuration in force and calls the gateway as the users' callers do, for the demo. Stateless.
  */
 public final class SiteCalls {
-    private static final int OK = 200;
-    private static final Duration LIMIT = Duration.ofSeconds(5);
-    private static final int TRIES = 100;
-    private static final long PAUSE_MILLIS = 100;
-    private static final int TIMEOUT_MILLIS = 4_000;
+    private static final int STATUS_OK = 200;
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
+    private static final int MAX_ATTEMPTS = 100;
+    private static final long RETRY_DELAY_MILLIS = 100;
+    private static final int REQUEST_TIMEOUT_MILLIS = 4_000;
 
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(LIMIT).build();
-    private final HeaderNames names = PlatformHeaders.names();
+            HttpClient.newBuilder().connectTimeout(CALL_TIMEOUT).build();
+    private final HeaderNames headerNames = PlatformHeaders.names();
 
     private SiteCalls() {}
 
@@ -50,17 +50,17 @@
         SiteStoreClient.of(options.store).configure(SiteConfigurations.of(1));
         SiteCalls calls = new SiteCalls();
         for (String host : calls.entryHosts(options)) {
-            calls.callBoth(host);
+            calls.callBothRoutes(host);
         }
     }
 
-    private void callBoth(String host) throws IOException, InterruptedException {
+    private void callBothRoutes(String host) throws IOException, InterruptedException {
         System.out.println("entry host: " + host);
         for (String path : List.of(SiteConfigurations.DRAFTS, SiteConfigurations.BOOKINGS)) {
             HttpResponse<String> answer = call(host, path);
             System.out.println("POST " + path + " -> " + answer.statusCode());
             System.out.println(answer.body().strip());
-            if (answer.statusCode() != OK) {
+            if (answer.statusCode() != STATUS_OK) {
                 throw new IOException("no answer to " + path);
             }
         }
@@ -69,9 +69,9 @@
     private List<String> entryHosts(Options options) throws IOException, InterruptedException {
         String uri = "http://" + options.directory + PlatformPaths.RESOLVE + "?name=" + SiteConfigurations.HOST_NAME
                 + "&region=" + options.region + "&zone=" + options.region + "-hall";
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             HttpRequest request =
-                    HttpRequest.newBuilder(URI.create(uri)).timeout(LIMIT).build();
+                    HttpRequest.newBuilder(URI.create(uri)).timeout(CALL_TIMEOUT).build();
             JsonNode answer = Json.readOrEmpty(
                     client.send(request, HttpResponse.BodyHandlers.ofString()).body());
             if (answer.path("addresses").size() >= options.hosts) {
@@ -79,7 +79,7 @@
                 answer.path("addresses").forEach(address -> addresses.add(address.asText()));
                 return addresses;
             }
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
         }
         throw new IOException("fewer than " + options.hosts + " entry hosts took callers in time");
     }
@@ -87,9 +87,9 @@
     private HttpResponse<String> call(String host, String path) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + host + path + "1"))
                 .setHeader("Host", SiteConfigurations.HOST_NAME)
-                .setHeader(names.requestId(), Long.toHexString(System.nanoTime()))
-                .setHeader(names.timeoutMillis(), Integer.toString(TIMEOUT_MILLIS))
-                .timeout(LIMIT)
+                .setHeader(headerNames.requestId(), Long.toHexString(System.nanoTime()))
+                .setHeader(headerNames.timeoutMillis(), Integer.toString(REQUEST_TIMEOUT_MILLIS))
+                .timeout(CALL_TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.ofString("{}"))
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.ofString());
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
@@ -20,7 +20,7 @@
     /** The service of bookings. */
     public static final String DESK = "desk";
 
-    private static final int TIMEOUT_MILLIS = 5_000;
+    private static final int ROUTE_TIMEOUT_MILLIS = 5_000;
 
     private SiteConfigurations() {}
 
@@ -50,8 +50,8 @@
                 .put("hostname", HOST_NAME)
                 .put("prefix", prefix)
                 .put("route_type", kind)
-                .put("timeout_ms", TIMEOUT_MILLIS)
-                .put("target_latency_ms", TIMEOUT_MILLIS / 2)
+                .put("timeout_ms", ROUTE_TIMEOUT_MILLIS)
+                .put("target_latency_ms", ROUTE_TIMEOUT_MILLIS / 2)
                 .put("priority", 1)
                 .put("backend", service)
                 .put("max_attempts", attempts);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
@@ -18,24 +18,24 @@
  * answers plainly or by a stream that may be resumed. Not thread safe: confined to its event loop.
  */
 public final class SiteReplica {
-    private static final int OK = 200;
-    private static final int MISDIRECTED = 421;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_MISDIRECTED_REQUEST = 421;
     /** How many events a whole stream has. */
     public static final int EVENTS = 5;
 
-    private static final long EVENT_MILLIS = 20;
+    private static final long EVENT_INTERVAL_MILLIS = 20;
 
     private final EventLoop loop;
     private final String id;
     private final boolean streams;
-    private final Consumer<String> ran;
-    private final HeaderNames names = PlatformHeaders.names();
+    private final Consumer<String> executionListener;
+    private final HeaderNames headerNames = PlatformHeaders.names();
 
     private SiteReplica(EventLoop loop, String id, boolean streams, Consumer<String> ran) {
         this.loop = loop;
         this.id = id;
         this.streams = streams;
-        this.ran = ran;
+        this.executionListener = ran;
     }
 
     /**
@@ -66,26 +66,26 @@
     }
 
     private void handle(Exchange exchange) {
-        String expected = exchange.header(names.expectedTarget()).getOrElse(id);
-        String requestId = exchange.header(names.requestId()).getOrElse("");
-        Map<String, String> echo = Map.of(names.requestId(), requestId);
+        String expected = exchange.header(headerNames.expectedTarget()).getOrElse(id);
+        String requestId = exchange.header(headerNames.requestId()).getOrElse("");
+        Map<String, String> echo = Map.of(headerNames.requestId(), requestId);
         if (!expected.equals(id)) {
-            exchange.respond(MISDIRECTED, echo, Json.object());
+            exchange.respond(STATUS_MISDIRECTED_REQUEST, echo, Json.object());
             return;
         }
-        ran.accept(requestId);
+        executionListener.accept(requestId);
         if (streams) {
             exchange.startStream("text/event-stream", echo);
-            event(
+            sendEvent(
                     exchange,
                     requestId,
-                    exchange.header(names.lastEventId()).map(Integer::parseInt).getOrElse(0) + 1);
+                    exchange.header(headerNames.lastEventId()).map(Integer::parseInt).getOrElse(0) + 1);
         } else {
-            exchange.respond(OK, echo, Json.object().put("by", id).put("for", requestId));
+            exchange.respond(STATUS_OK, echo, Json.object().put("by", id).put("for", requestId));
         }
     }
 
-    private void event(Exchange exchange, String requestId, int number) {
+    private void sendEvent(Exchange exchange, String requestId, int number) {
         if (!exchange.isOpen()) {
             return;
         }
@@ -93,8 +93,8 @@
             exchange.endStream();
             return;
         }
-        exchange.part("id: " + number + "\ndata: line " + number + " for " + requestId + " by " + id + "\n\n");
-        loop.after(EVENT_MILLIS, () -> event(exchange, requestId, number + 1));
+        exchange.sendChunk("id: " + number + "\ndata: line " + number + " for " + requestId + " by " + id + "\n\n");
+        loop.schedule(EVENT_INTERVAL_MILLIS, () -> sendEvent(exchange, requestId, number + 1));
     }
 
     /** The settings. Written by JCommander before any thread reads them, then left alone. */
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
@@ -12,11 +12,11 @@
 
 /** Writes the settings file of one gateway process, as the users' platform would. Stateless. */
 public final class SiteSettings {
-    private static final int GRACE_SECONDS = 8;
-    private static final double REPEAT_RATIO = 0.2;
-    private static final int REPEAT_SLACK = 52;
-    private static final int REPEAT_WINDOW_SECONDS = 10;
-    private static final int LEAST_LEASE_MILLIS = 1_000;
+    private static final int STOP_GRACE_SECONDS = 8;
+    private static final double RETRY_BUDGET_RATIO = 0.2;
+    private static final int RETRY_BUDGET_SLACK = 52;
+    private static final int RETRY_BUDGET_WINDOW_SECONDS = 10;
+    private static final int MIN_LEASE_TTL_MILLIS = 1_000;
 
     private SiteSettings() {}
 
@@ -65,11 +65,11 @@
                 .put("directory", host.ip() + ":" + (host.port() + 2));
         values.putArray("port_range").add(host.port() + 3).add(host.port() + 4);
         values.putObject("bounds")
-                .put("grace_s", GRACE_SECONDS)
-                .put("retry_budget_ratio", REPEAT_RATIO)
-                .put("retry_budget_slack", REPEAT_SLACK)
-                .put("budget_window_s", REPEAT_WINDOW_SECONDS);
-        values.putObject("provider").put("address", host.store()).put("ttl_min_ms", LEAST_LEASE_MILLIS);
+                .put("grace_s", STOP_GRACE_SECONDS)
+                .put("retry_budget_ratio", RETRY_BUDGET_RATIO)
+                .put("retry_budget_slack", RETRY_BUDGET_SLACK)
+                .put("budget_window_s", RETRY_BUDGET_WINDOW_SECONDS);
+        values.putObject("provider").put("address", host.store()).put("ttl_min_ms", MIN_LEASE_TTL_MILLIS);
         return values;
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
@@ -17,8 +17,8 @@
 
 /** Writes into the stand-in store as the operator and the replicas do. Thread safe. */
 public final class SiteStoreClient {
-    private static final int OK = 200;
-    private static final int SLOTS = 8;
+    private static final int STATUS_OK = 200;
+    private static final int TARGET_SLOTS = 8;
 
     private final HttpClient client = HttpClient.newHttpClient();
     private final String store;
@@ -61,7 +61,7 @@
                         .put("backend", service)
                         .put("address", address)
                         .put("zone", dataCentre)
-                        .put("slots", SLOTS)
+                        .put("slots", TARGET_SLOTS)
                         .put("state", "ready")
                         .put("cold_remaining_ms", 0));
     }
@@ -94,7 +94,7 @@
                 .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            if (response.statusCode() != OK) {
+            if (response.statusCode() != STATUS_OK) {
                 throw new IOException("the store answered " + response.statusCode());
             }
         } catch (IOException e) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
@@ -26,7 +26,7 @@
         PlannedFault fault) {
 
     static Call of(Exchange exchange, PlannedFault fault) {
-        JsonNode body = exchange.json();
+        JsonNode body = exchange.jsonBody();
         String reference = body.path("reference").asText(body.path("user").asText());
         return new Call(
                 exchange,
@@ -41,11 +41,11 @@
         return Map.of("X-Request-Id", requestId);
     }
 
-    void answer(ObjectNode answer) {
-        fault.kind().answer(this, answer);
+    void respond(ObjectNode answer) {
+        fault.kind().respond(this, answer);
     }
 
-    void refuse(int status, String reason) {
+    void reject(int status, String reason) {
         Map<String, String> headers = Map.of("X-Request-Id", requestId, "X-Not-Run", "true", "Retry-After", "1");
         exchange.respond(status, headers, Json.object().put("error", reason));
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Generation.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/EngineRequest.java
@@ -9,22 +9,22 @@
  * <p>Invariant: part {@code n} of a request is the same whenever it is made, so that a resumed stream fits. Confined to
  * the targets' thread.
  */
-final class Generation {
-    private final long arrival;
+final class EngineRequest {
+    private final long arrivalNumber;
     private final int priority;
     private final PromptPrefixes prompt;
     private final long maxTokens;
     private Call call;
-    private Run run;
+    private Execution execution;
     private long prefillTokens;
-    private long produced;
-    private long sent;
+    private long generatedTokens;
+    private long sentEvents;
     private boolean detached;
 
-    Generation(Call call, PromptPrefixes prompt, long arrival) {
+    EngineRequest(Call call, PromptPrefixes prompt, long arrival) {
         this.call = call;
         this.prompt = prompt;
-        this.arrival = arrival;
+        this.arrivalNumber = arrival;
         priority = call.body().path("priority").asInt(0);
         maxTokens = Math.max(1, call.body().path("max_tokens").asLong(32));
     }
@@ -37,8 +37,8 @@
         return priority;
     }
 
-    long arrival() {
-        return arrival;
+    long arrivalNumber() {
+        return arrivalNumber;
     }
 
     PromptPrefixes prompt() {
@@ -54,7 +54,7 @@
     }
 
     boolean isDone() {
-        return produced >= maxTokens;
+        return generatedTokens >= maxTokens;
     }
 
     boolean isDetached() {
@@ -65,8 +65,8 @@
         detached = true;
     }
 
-    void begin(Run begun, int warmTokens) {
-        run = begun;
+    void start(Execution begun, int warmTokens) {
+        execution = begun;
         prefillTokens = prompt.tokens() - warmTokens;
         if (isStream()) {
             startStream();
@@ -79,14 +79,14 @@
             prefillTokens -= prefillTokensPerStep;
             return;
         }
-        produced++;
+        generatedTokens++;
         if (isDone()) {
-            run.end(RunState.WHOLE);
+            execution.end(ExecutionState.WHOLE);
         }
         if (isStream()) {
-            sendParts();
+            sendEvents();
         } else if (isDone()) {
-            call.answer(answer());
+            call.respond(completion());
         }
     }
 
@@ -99,15 +99,15 @@
                 call.idempotencyKey(),
                 call.reference(),
                 resumed.fault());
-        sent = fromPart;
+        sentEvents = fromPart;
         detached = false;
         startStream();
-        sendParts();
+        sendEvents();
     }
 
     void cancel() {
-        if (run != null) {
-            run.end(RunState.CANCELLED);
+        if (execution != null) {
+            execution.end(ExecutionState.CANCELLED);
         }
         call.exchange().reset();
     }
@@ -116,16 +116,16 @@
         call.exchange().startStream("text/event-stream", call.fault().kind().headers(call));
     }
 
-    private void sendParts() {
+    private void sendEvents() {
         if (detached) {
             return;
         }
-        while (sent < produced) {
-            call.fault().kind().beforePart(call, sent);
-            if (call.fault().kind().sendsPart(call, sent)) {
-                call.exchange().part("id: " + sent + "\ndata: " + Json.write(chunk(sent)) + "\n\n");
+        while (sentEvents < generatedTokens) {
+            call.fault().kind().beforeEvent(call, sentEvents);
+            if (call.fault().kind().sendsEvent(call, sentEvents)) {
+                call.exchange().sendChunk("id: " + sentEvents + "\ndata: " + Json.write(chunk(sentEvents)) + "\n\n");
             }
-            sent++;
+            sentEvents++;
         }
         if (isDone()) {
             call.fault().kind().endStream(call);
@@ -135,10 +135,10 @@
     private ObjectNode chunk(long part) {
         ObjectNode choice = Json.object().put("index", 0);
         choice.set("delta", Json.object().put("content", content(part)));
-        return head("chat.completion.chunk").set("choices", Json.array().add(choice));
+        return responseFields("chat.completion.chunk").set("choices", Json.array().add(choice));
     }
 
-    private ObjectNode answer() {
+    private ObjectNode completion() {
         StringBuilder whole = new StringBuilder();
         for (long part = 0; part < maxTokens; part++) {
             whole.append(content(part));
@@ -146,13 +146,13 @@
         ObjectNode message = Json.object().put("role", "assistant").put("content", whole.toString());
         ObjectNode choice = Json.object().put("index", 0).put("finish_reason", "stop");
         choice.set("message", message);
-        ObjectNode answer = head("chat.completion");
+        ObjectNode answer = responseFields("chat.completion");
         answer.set("choices", Json.array().add(choice));
         answer.set("usage", Json.object().put("prompt_tokens", prompt.tokens()).put("completion_tokens", maxTokens));
         return answer;
     }
 
-    private ObjectNode head(String object) {
+    private ObjectNode responseFields(String object) {
         return Json.object()
                 .put("id", call.requestId())
                 .put("object", object)
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Run.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Execution.java
@@ -8,23 +8,23 @@
  *
  * <p>Invariant: a run that has ended stays as it is. Not thread safe: confined to the targets' thread.
  */
-final class Run {
+final class Execution {
     private final String target;
     private final String region;
     private final Call call;
     private final long startedAtMillis;
     private long endedAtMillis;
-    private RunState state = RunState.RUNNING;
+    private ExecutionState state = ExecutionState.RUNNING;
 
-    Run(String target, String region, Call call, long startedAtMillis) {
+    Execution(String target, String region, Call call, long startedAtMillis) {
         this.target = target;
         this.region = region;
         this.call = call;
         this.startedAtMillis = startedAtMillis;
     }
 
-    void end(RunState ended) {
-        if (state == RunState.RUNNING) {
+    void end(ExecutionState ended) {
+        if (state == ExecutionState.RUNNING) {
             state = ended;
             endedAtMillis = System.currentTimeMillis();
         }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/RunState.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ExecutionState.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** How far a run has come. */
-enum RunState {
+enum ExecutionState {
     /** It runs. */
     RUNNING,
     /** It ran wholly, whether or not anybody got the answer. */
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/FaultKind.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/FaultKind.java
@@ -14,7 +14,7 @@
     /** The call runs, then the connection is reset instead of the answer. */
     LOSE_ANSWER {
         @Override
-        void answer(Call call, ObjectNode answer) {
+        void respond(Call call, ObjectNode answer) {
             call.exchange().reset();
         }
 
@@ -26,15 +26,15 @@
     /** The answer is sent twice on the same connection. */
     ANSWER_TWICE {
         @Override
-        void answer(Call call, ObjectNode answer) {
-            super.answer(call, answer);
-            super.answer(call, answer);
+        void respond(Call call, ObjectNode answer) {
+            super.respond(call, answer);
+            super.respond(call, answer);
         }
 
         @Override
         void endStream(Call call) {
             super.endStream(call);
-            super.answer(call, Json.object().put("again", call.reference()));
+            super.respond(call, Json.object().put("again", call.reference()));
         }
     },
     /** The answer names another request. */
@@ -47,8 +47,8 @@
     /** Half of the answer is sent, then the connection is reset. */
     CUT_BODY {
         @Override
-        void answer(Call call, ObjectNode answer) {
-            call.exchange().respondHalf(200, headers(call), answer);
+        void respond(Call call, ObjectNode answer) {
+            call.exchange().respondTruncated(200, headers(call), answer);
         }
 
         @Override
@@ -59,13 +59,13 @@
     /** After some parts of a stream the connection is reset; other answers are cut. */
     CUT_STREAM {
         @Override
-        void answer(Call call, ObjectNode answer) {
-            CUT_BODY.answer(call, answer);
+        void respond(Call call, ObjectNode answer) {
+            CUT_BODY.respond(call, answer);
         }
 
         @Override
-        void beforePart(Call call, long part) {
-            if (part == call.fault().afterParts()) {
+        void beforeEvent(Call call, long part) {
+            if (part == call.fault().afterEvents()) {
                 call.exchange().reset();
             }
         }
@@ -73,11 +73,11 @@
     /** The call runs; after some parts, or instead of the answer, nothing is sent on the open connection. */
     SILENT {
         @Override
-        void answer(Call call, ObjectNode answer) {}
+        void respond(Call call, ObjectNode answer) {}
 
         @Override
-        boolean sendsPart(Call call, long part) {
-            return part < call.fault().afterParts();
+        boolean sendsEvent(Call call, long part) {
+            return part < call.fault().afterEvents();
         }
 
         @Override
@@ -88,7 +88,7 @@
     /** The call is refused before it runs. */
     REFUSE {
         @Override
-        boolean refuses() {
+        boolean rejects() {
             return true;
         }
     };
@@ -106,7 +106,7 @@
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    boolean refuses() {
+    boolean rejects() {
         return false;
     }
 
@@ -114,18 +114,18 @@
         return call.headers();
     }
 
-    void answer(Call call, ObjectNode answer) {
+    void respond(Call call, ObjectNode answer) {
         call.exchange().respond(200, headers(call), answer);
     }
 
-    void beforePart(Call call, long part) {}
+    void beforeEvent(Call call, long part) {}
 
-    boolean sendsPart(Call call, long part) {
+    boolean sendsEvent(Call call, long part) {
         return true;
     }
 
     void endStream(Call call) {
-        call.exchange().part("data: [DONE]\n\n");
+        call.exchange().sendChunk("data: [DONE]\n\n");
         call.exchange().endStream();
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Ledger.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Ledger.java
@@ -14,17 +14,17 @@
  * targets' thread.
  */
 final class Ledger {
-    private final List<Run> runs = new ArrayList<>();
+    private final List<Execution> executions = new ArrayList<>();
 
-    Run start(String target, String region, Call call) {
-        Run run = new Run(target, region, call, System.currentTimeMillis());
-        runs.add(run);
+    Execution start(String target, String region, Call call) {
+        Execution run = new Execution(target, region, call, System.currentTimeMillis());
+        executions.add(run);
         return run;
     }
 
     ObjectNode toJson() {
         ArrayNode all = Json.array();
-        runs.forEach(run -> all.add(run.toJson()));
+        executions.forEach(run -> all.add(run.toJson()));
         return Json.object().set("runs", all);
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ModelEngine.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ModelEngine.java
@@ -19,59 +19,59 @@
  *
  * <p>Invariant: at most as many requests run as there are slots. Confined to the targets' thread.
  */
-final class ModelEngine implements Work {
-    private static final int MAX_QUEUED = 200;
-    private static final int MAX_FINISHED = 2_000;
-    private static final long DETACHED_MILLIS = 5_000;
-    private static final String STREAMS = "/v1/streams/";
-    private static final String CACHE_EVENTS = "/cache-events";
+final class ModelEngine implements RequestExecutor {
+    private static final int MAX_QUEUED_REQUESTS = 200;
+    private static final int MAX_FINISHED_REQUESTS = 2_000;
+    private static final long DETACHED_STREAM_TIMEOUT_MILLIS = 5_000;
+    private static final String STREAMS_PREFIX = "/v1/streams/";
+    private static final String CACHE_EVENTS_PATH = "/cache-events";
 
     private final EventLoop loop;
     private final TargetOptions options;
-    private final Function<Call, Run> ledger;
+    private final Function<Call, Execution> startExecution;
     private final PrefixCache cache;
-    private final PriorityQueue<Generation> queue =
-            new PriorityQueue<>(Comparator.comparingInt(Generation::priority).thenComparingLong(Generation::arrival));
-    private final Map<String, Generation> running = new LinkedHashMap<>();
-    private final Map<String, Generation> finished = new LinkedHashMap<>() {
+    private final PriorityQueue<EngineRequest> queue =
+            new PriorityQueue<>(Comparator.comparingInt(EngineRequest::priority).thenComparingLong(EngineRequest::arrivalNumber));
+    private final Map<String, EngineRequest> running = new LinkedHashMap<>();
+    private final Map<String, EngineRequest> finished = new LinkedHashMap<>() {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Generation> eldest) {
-            return size() > MAX_FINISHED;
+        protected boolean removeEldestEntry(Map.Entry<String, EngineRequest> eldest) {
+            return size() > MAX_FINISHED_REQUESTS;
         }
     };
-    private long arrivals;
-    private boolean stepping;
+    private long nextArrivalNumber;
+    private boolean stepScheduled;
 
-    ModelEngine(EventLoop loop, TargetOptions options, Function<Call, Run> ledger) {
+    ModelEngine(EventLoop loop, TargetOptions options, Function<Call, Execution> ledger) {
         this.loop = loop;
         this.options = options;
-        this.ledger = ledger;
+        this.startExecution = ledger;
         cache = new PrefixCache(loop, options);
     }
 
     @Override
     public void start(Call call) {
-        if (queue.size() >= MAX_QUEUED) {
-            call.refuse(429, "the queue is full");
+        if (queue.size() >= MAX_QUEUED_REQUESTS) {
+            call.reject(429, "the queue is full");
             return;
         }
-        Generation generation = new Generation(call, PromptPrefixes.of(call.body()), arrivals++);
+        EngineRequest generation = new EngineRequest(call, PromptPrefixes.of(call.body()), nextArrivalNumber++);
         queue.add(generation);
         watchConnection(generation, call);
-        fill();
+        startQueued();
     }
 
     @Override
-    public boolean control(Exchange exchange) {
-        if (exchange.path().equals(CACHE_EVENTS)) {
+    public boolean handleControl(Exchange exchange) {
+        if (exchange.path().equals(CACHE_EVENTS_PATH)) {
             long after = Long.parseLong(exchange.query("after").getOrElse("0"));
             exchange.respond(200, cache.eventsAfter(after));
             return true;
         }
-        if (!exchange.path().startsWith(STREAMS)) {
+        if (!exchange.path().startsWith(STREAMS_PREFIX)) {
             return false;
         }
-        String requestId = exchange.path().substring(STREAMS.length());
+        String requestId = exchange.path().substring(STREAMS_PREFIX.length());
         if (exchange.method().equals("DELETE")) {
             cancel(requestId);
             exchange.respond(200, Map.of("X-Request-Id", requestId), Json.object());
@@ -82,48 +82,48 @@
     }
 
     @Override
-    public int running() {
+    public int runningCount() {
         return running.size();
     }
 
     @Override
-    public int queued() {
+    public int queuedCount() {
         return queue.size();
     }
 
     @Override
-    public void describe(ObjectNode load) {
+    public void addLoadFields(ObjectNode load) {
         load.put("tokensPerSecond", 1_000.0 / options.tokenMillis).put("cacheTokens", options.cacheTokens);
     }
 
-    private void fill() {
+    private void startQueued() {
         while (running.size() < options.slots && !queue.isEmpty()) {
-            Generation generation = queue.poll();
+            EngineRequest generation = queue.poll();
             running.put(generation.requestId(), generation);
-            int warmTokens = cache.use(generation.prompt());
-            generation.begin(ledger.apply(generation.call()), warmTokens);
+            int warmTokens = cache.lookupAndInsert(generation.prompt());
+            generation.start(startExecution.apply(generation.call()), warmTokens);
         }
-        if (!stepping && !running.isEmpty()) {
-            stepping = true;
-            loop.after(options.tokenMillis, this::step);
+        if (!stepScheduled && !running.isEmpty()) {
+            stepScheduled = true;
+            loop.schedule(options.tokenMillis, this::step);
         }
     }
 
     private void step() {
-        stepping = false;
-        List<Generation> batch = new ArrayList<>(running.values());
-        for (Generation generation : batch) {
+        stepScheduled = false;
+        List<EngineRequest> batch = new ArrayList<>(running.values());
+        for (EngineRequest generation : batch) {
             generation.step(options.prefillTokensPerStep);
             if (generation.isDone()) {
                 running.remove(generation.requestId());
                 finished.put(generation.requestId(), generation);
             }
         }
-        fill();
+        startQueued();
     }
 
     private void resume(Exchange exchange, String requestId) {
-        Generation generation = running.getOrDefault(requestId, finished.get(requestId));
+        EngineRequest generation = running.getOrDefault(requestId, finished.get(requestId));
         if (generation == null) {
             exchange.respond(
                     404, Map.of("X-Request-Id", requestId), Json.object().put("error", "no such stream"));
@@ -136,24 +136,24 @@
 
     private void cancel(String requestId) {
         queue.removeIf(generation -> generation.requestId().equals(requestId));
-        Generation generation = running.remove(requestId);
+        EngineRequest generation = running.remove(requestId);
         if (generation != null) {
             generation.cancel();
-            fill();
+            startQueued();
         }
     }
 
     /** Lets a broken stream go on for a while, so that it can be resumed, and then ends it. */
-    private void watchConnection(Generation generation, Call call) {
+    private void watchConnection(EngineRequest generation, Call call) {
         if (!generation.isStream()) {
             return;
         }
-        call.exchange().whenClosed(() -> {
+        call.exchange().onClose(() -> {
             if (generation.isDone() || generation.call().exchange() != call.exchange()) {
                 return;
             }
             generation.detach();
-            loop.after(DETACHED_MILLIS, () -> {
+            loop.schedule(DETACHED_STREAM_TIMEOUT_MILLIS, () -> {
                 if (generation.isDetached() && !generation.isDone()) {
                     cancel(generation.requestId());
                 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlainService.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlainService.java
@@ -14,36 +14,36 @@
  *
  * <p>Invariant: it does not look at idempotency keys; a call that comes twice runs twice.
  */
-final class PlainService implements Work {
-    private static final String CACHE_EVENTS = "/cache-events";
-    private static final int MAX_QUEUED = 200;
+final class PlainService implements RequestExecutor {
+    private static final String CACHE_EVENTS_PATH = "/cache-events";
+    private static final int MAX_QUEUED_CALLS = 200;
 
     private final EventLoop loop;
     private final TargetOptions options;
-    private final Function<Call, Run> ledger;
+    private final Function<Call, Execution> startExecution;
     private final Deque<Call> queue = new ArrayDeque<>();
     private int running;
     private long confirmations;
 
-    PlainService(EventLoop loop, TargetOptions options, Function<Call, Run> ledger) {
+    PlainService(EventLoop loop, TargetOptions options, Function<Call, Execution> ledger) {
         this.loop = loop;
         this.options = options;
-        this.ledger = ledger;
+        this.startExecution = ledger;
     }
 
     @Override
     public void start(Call call) {
-        if (queue.size() >= MAX_QUEUED) {
-            call.refuse(429, "the queue is full");
+        if (queue.size() >= MAX_QUEUED_CALLS) {
+            call.reject(429, "the queue is full");
             return;
         }
         queue.add(call);
-        next();
+        startQueued();
     }
 
     @Override
-    public boolean control(Exchange exchange) {
-        if (!exchange.path().equals(CACHE_EVENTS)) {
+    public boolean handleControl(Exchange exchange) {
+        if (!exchange.path().equals(CACHE_EVENTS_PATH)) {
             return false;
         }
         exchange.respond(200, Json.object().set("events", Json.array()));
@@ -51,38 +51,38 @@
     }
 
     @Override
-    public int running() {
+    public int runningCount() {
         return running;
     }
 
     @Override
-    public int queued() {
+    public int queuedCount() {
         return queue.size();
     }
 
     @Override
-    public void describe(ObjectNode load) {
+    public void addLoadFields(ObjectNode load) {
         load.put("tokensPerSecond", 0).put("cacheTokens", 0);
     }
 
-    private void next() {
+    private void startQueued() {
         while (running < options.slots && !queue.isEmpty()) {
             Call call = queue.poll();
             running++;
-            Run run = ledger.apply(call);
-            loop.after(options.delayMillis + call.fault().delayMillis(), () -> finish(call, run));
+            Execution run = startExecution.apply(call);
+            loop.schedule(options.delayMillis + call.fault().delayMillis(), () -> finish(call, run));
         }
     }
 
-    private void finish(Call call, Run run) {
+    private void finish(Call call, Execution run) {
         running--;
         confirmations++;
-        run.end(RunState.WHOLE);
+        run.end(ExecutionState.WHOLE);
         ObjectNode answer = Json.object()
                 .put("confirmation", run.toJson().path("target").asText() + "-" + confirmations)
                 .put("reference", call.reference());
         answer.set("asked", call.body());
-        call.answer(answer);
-        next();
+        call.respond(answer);
+        startQueued();
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
@@ -9,11 +9,11 @@
  * A fault that the next calls meet. Immutable and thread safe.
  *
  * @param kind what goes wrong
- * @param next how many calls meet it
- * @param afterParts after how many parts a stream meets it
+ * @param remainingCalls how many calls meet it
+ * @param afterEvents after how many parts a stream meets it
  * @param delayMillis how much longer a call takes
  */
-record PlannedFault(FaultKind kind, int next, long afterParts, long delayMillis) {
+record PlannedFault(FaultKind kind, int remainingCalls, long afterEvents, long delayMillis) {
     private static final PlannedFault NONE = new PlannedFault(FaultKind.NONE, 0, 0, 0);
 
     PlannedFault {
@@ -33,7 +33,7 @@
                         node.path("delayMillis").asLong(0)));
     }
 
-    PlannedFault withOneLess() {
-        return new PlannedFault(kind, next - 1, afterParts, delayMillis);
+    PlannedFault withOneCallFewer() {
+        return new PlannedFault(kind, remainingCalls - 1, afterEvents, delayMillis);
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PrefixCache.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PrefixCache.java
@@ -18,14 +18,14 @@
  * targets' thread.
  */
 final class PrefixCache {
-    private static final int MAX_EVENTS = 2_000;
+    private static final int MAX_PUBLISHED_EVENTS = 2_000;
 
     private final EventLoop loop;
     private final TargetOptions options;
     private final Map<Long, Integer> blocks = new LinkedHashMap<>(16, 0.75f, true);
-    private final List<ObjectNode> published = new ArrayList<>();
+    private final List<ObjectNode> publishedEvents = new ArrayList<>();
     private long cachedTokens;
-    private long sequence;
+    private long lastSequence;
 
     PrefixCache(EventLoop loop, TargetOptions options) {
         this.loop = loop;
@@ -37,7 +37,7 @@
     }
 
     /** Takes a prompt in and tells how many of its tokens were there already. */
-    int use(PromptPrefixes prompt) {
+    int lookupAndInsert(PromptPrefixes prompt) {
         int warm = 0;
         for (long hash : prompt.hashes()) {
             if (blocks.get(hash) == null) {
@@ -45,19 +45,19 @@
             }
             warm += prompt.tokensPerBlock();
         }
-        store(prompt);
+        insert(prompt);
         return Math.min(warm, prompt.tokens());
     }
 
     ObjectNode eventsAfter(long after) {
         ArrayNode events = Json.array();
-        published.stream()
+        publishedEvents.stream()
                 .filter(event -> event.path("sequence").asLong() > after)
                 .forEach(events::add);
         return Json.object().set("events", events);
     }
 
-    private void store(PromptPrefixes prompt) {
+    private void insert(PromptPrefixes prompt) {
         ArrayNode stored = Json.array();
         ArrayNode removed = Json.array();
         for (long hash : prompt.hashes()) {
@@ -79,20 +79,20 @@
     }
 
     private void publish(ArrayNode stored, ArrayNode removed) {
-        sequence++;
-        if (options.cacheGapEvery > 0 && sequence % options.cacheGapEvery == 0) {
+        lastSequence++;
+        if (options.cacheGapEvery > 0 && lastSequence % options.cacheGapEvery == 0) {
             return;
         }
-        ObjectNode event = Json.object().put("sequence", sequence);
+        ObjectNode event = Json.object().put("sequence", lastSequence);
         event.set("stored", stored);
         event.set("removed", removed);
-        loop.after(options.cacheLagMillis, () -> add(event));
+        loop.schedule(options.cacheLagMillis, () -> appendEvent(event));
     }
 
-    private void add(ObjectNode event) {
-        published.add(event);
-        if (published.size() > MAX_EVENTS) {
-            published.remove(0);
+    private void appendEvent(ObjectNode event) {
+        publishedEvents.add(event);
+        if (publishedEvents.size() > MAX_PUBLISHED_EVENTS) {
+            publishedEvents.remove(0);
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PromptPrefixes.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PromptPrefixes.java
@@ -15,8 +15,8 @@
 record PromptPrefixes(int tokens, int tokensPerBlock, List<Long> hashes) {
     private static final int CHARACTERS_PER_TOKEN = 4;
     private static final int CHARACTERS_PER_BLOCK = 256;
-    private static final long HASH_START = 0xcbf29ce484222325L;
-    private static final long HASH_PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     PromptPrefixes {
         hashes = List.copyOf(hashes);
@@ -27,9 +27,9 @@
         chat.path("messages")
                 .forEach(message -> prompt.append(message.path("content").asText()));
         List<Long> hashes = new ArrayList<>();
-        long hash = HASH_START;
+        long hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < prompt.length(); i++) {
-            hash = (hash ^ prompt.charAt(i)) * HASH_PRIME;
+            hash = (hash ^ prompt.charAt(i)) * FNV_PRIME;
             if ((i + 1) % CHARACTERS_PER_BLOCK == 0) {
                 hashes.add(hash);
             }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Target.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Target.java
@@ -19,33 +19,33 @@
  * <p>Invariant: the highest fencing number that it has seen never falls. Confined to the targets' thread.
  */
 final class Target {
-    private static final String LOAD = "/load";
-    private static final String ORDERS = "/orders";
+    private static final String LOAD_PATH = "/load";
+    private static final String ORDERS_PATH = "/orders";
 
     private final String name;
     private final String service;
     private final TargetOptions options;
     private final EventLoop loop;
-    private final Work work;
+    private final RequestExecutor executor;
     private final Deque<PlannedFault> faults = new ArrayDeque<>();
     private final Set<String> models = new TreeSet<>();
     private String role = "";
     private long highestFencingNumber;
     private boolean leaving;
-    private ObjectNode report;
-    private long reportedAtMillis;
+    private ObjectNode loadReport;
+    private long loadReportedAtMillis;
 
     private Target(String name, String service, boolean model, TargetOptions options, EventLoop loop, Ledger ledger) {
         this.name = name;
         this.service = service;
         this.options = options;
         this.loop = loop;
-        work = model
+        executor = model
                 ? new ModelEngine(loop, options, call -> ledger.start(name, options.region, call))
                 : new PlainService(loop, options, call -> ledger.start(name, options.region, call));
-        models.addAll(options.loaded);
-        measure();
-        loop.every(options.loadLagMillis, this::measure);
+        models.addAll(options.loadedModels);
+        updateLoadReport();
+        loop.scheduleAtFixedRate(options.loadLagMillis, this::updateLoadReport);
     }
 
     static Target model(String name, String service, TargetOptions options, EventLoop loop, Ledger ledger) {
@@ -64,11 +64,11 @@
         return service;
     }
 
-    void plan(PlannedFault fault) {
+    void addFault(PlannedFault fault) {
         faults.add(fault);
     }
 
-    void forgetFaults() {
+    void clearFaults() {
         faults.clear();
     }
 
@@ -77,11 +77,11 @@
     }
 
     void handle(Exchange exchange) {
-        if (exchange.path().equals(LOAD)) {
+        if (exchange.path().equals(LOAD_PATH)) {
             exchange.respond(200, load());
-        } else if (exchange.path().equals(ORDERS) && exchange.method().equals("POST")) {
-            order(exchange, exchange.json());
-        } else if (!work.control(exchange)) {
+        } else if (exchange.path().equals(ORDERS_PATH) && exchange.method().equals("POST")) {
+            handleOrder(exchange, exchange.jsonBody());
+        } else if (!executor.handleControl(exchange)) {
             start(exchange);
         }
     }
@@ -89,11 +89,11 @@
     private void start(Exchange exchange) {
         Call call = Call.of(exchange, nextFault());
         if (leaving) {
-            call.refuse(503, "leaving");
-        } else if (call.fault().kind().refuses()) {
-            call.refuse(503, "refused by a planned fault");
+            call.reject(503, "leaving");
+        } else if (call.fault().kind().rejects()) {
+            call.reject(503, "refused by a planned fault");
         } else {
-            work.start(call);
+            executor.start(call);
         }
     }
 
@@ -102,36 +102,36 @@
             return PlannedFault.none();
         }
         PlannedFault fault = faults.poll();
-        if (fault.next() > 1) {
-            faults.addFirst(fault.withOneLess());
+        if (fault.remainingCalls() > 1) {
+            faults.addFirst(fault.withOneCallFewer());
         }
         return fault;
     }
 
-    private void measure() {
+    private void updateLoadReport() {
         ArrayNode loaded = Json.array();
         models.forEach(loaded::add);
         ObjectNode measured = Json.object().put("service", service);
         measured.set("models", loaded);
-        measured.put("running", work.running())
-                .put("queued", work.queued())
+        measured.put("running", executor.runningCount())
+                .put("queued", executor.queuedCount())
                 .put("slots", options.slots)
                 .put("leaving", leaving)
                 .put("role", role);
-        work.describe(measured);
-        report = measured;
-        reportedAtMillis = System.currentTimeMillis();
+        executor.addLoadFields(measured);
+        loadReport = measured;
+        loadReportedAtMillis = System.currentTimeMillis();
     }
 
     private ObjectNode load() {
-        return report.deepCopy().put("ageMillis", System.currentTimeMillis() - reportedAtMillis);
+        return loadReport.deepCopy().put("ageMillis", System.currentTimeMillis() - loadReportedAtMillis);
     }
 
-    private void takeRole(String newer) {
+    private void setRole(String newer) {
         role = newer;
     }
 
-    private void order(Exchange exchange, JsonNode order) {
+    private void handleOrder(Exchange exchange, JsonNode order) {
         long fencingNumber = order.path("fencingNumber").asLong();
         if (options.checksFencing && fencingNumber < highestFencingNumber) {
             exchange.respond(409, Json.object().put("error", "an order with a higher fencing number came before"));
@@ -140,9 +140,9 @@
         highestFencingNumber = Math.max(highestFencingNumber, fencingNumber);
         String subject = order.path("subject").asText();
         switch (order.path("verb").asText()) {
-            case "load" -> loop.after(options.loadModelMillis, () -> models.add(subject));
+            case "load" -> loop.schedule(options.loadModelMillis, () -> models.add(subject));
             case "unload" -> models.remove(subject);
-            case "role" -> takeRole(subject);
+            case "role" -> setRole(subject);
             default -> {
                 exchange.respond(422, Json.object().put("error", "no such verb"));
                 return;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/TargetOptions.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/TargetOptions.java
@@ -14,13 +14,13 @@
     String dataCentre;
 
     @Parameter(names = "--model", description = "SERVICE:COUNT, a service of model engines")
-    List<String> models = new ArrayList<>();
+    List<String> modelServices = new ArrayList<>();
 
     @Parameter(names = "--plain", description = "SERVICE:COUNT, a plain service")
-    List<String> plains = new ArrayList<>();
+    List<String> plainServices = new ArrayList<>();
 
     @Parameter(names = "--loaded", description = "the models that the engines have loaded, NAME@VERSION")
-    List<String> loaded = new ArrayList<>();
+    List<String> loadedModels = new ArrayList<>();
 
     @Parameter(names = "--platform", description = "IP:PORT of the platform in whose list the targets are entered")
     String platform = "";
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
@@ -42,8 +42,8 @@
      */
     public static Targets serve(EventLoop loop, TargetOptions options) {
         Targets targets = new Targets(loop, options);
-        options.models.forEach(service -> targets.add(service, true));
-        options.plains.forEach(service -> targets.add(service, false));
+        options.modelServices.forEach(service -> targets.addService(service, true));
+        options.plainServices.forEach(service -> targets.addService(service, false));
         targets.control = Addresses.write(loop.serve(0, targets::control));
         return targets;
     }
@@ -84,7 +84,7 @@
                 .findFirst());
     }
 
-    private void add(String serviceAndCount, boolean model) {
+    private void addService(String serviceAndCount, boolean model) {
         String service = serviceAndCount.substring(0, serviceAndCount.indexOf(':'));
         int count = Integer.parseInt(serviceAndCount.substring(service.length() + 1));
         for (int i = 1; i <= count; i++) {
@@ -94,11 +94,11 @@
                     : Target.plain(name, service, options, loop, ledger);
             InetSocketAddress address = loop.serve(0, target::handle);
             addresses.put(target, Addresses.write(address));
-            enlist(target, address);
+            register(target, address);
         }
     }
 
-    private void enlist(Target target, InetSocketAddress address) {
+    private void register(Target target, InetSocketAddress address) {
         if (options.platform.isEmpty()) {
             return;
         }
@@ -115,30 +115,30 @@
     }
 
     private void control(Exchange exchange) {
-        JsonNode body = exchange.json();
+        JsonNode body = exchange.jsonBody();
         switch (exchange.path()) {
             case "/ledger" -> exchange.respond(200, ledger.toJson());
             case "/faults" -> {
-                named(body).forEach(target -> plan(target, body));
+                selectTargets(body).forEach(target -> planFault(target, body));
                 exchange.respond(200, Json.object());
             }
             case "/leaving" -> {
                 boolean leaving = body.path("leaving").asBoolean(true);
-                named(body).forEach(target -> target.leaving(leaving));
+                selectTargets(body).forEach(target -> target.leaving(leaving));
                 exchange.respond(200, Json.object());
             }
             default -> exchange.respond(404, Json.object().put("error", "nothing at " + exchange.path()));
         }
     }
 
-    private static void plan(Target target, JsonNode body) {
+    private static void planFault(Target target, JsonNode body) {
         if (body.path("forget").asBoolean(false)) {
-            target.forgetFaults();
+            target.clearFaults();
         }
-        PlannedFault.of(body).forEach(target::plan);
+        PlannedFault.of(body).forEach(target::addFault);
     }
 
-    private List<Target> named(JsonNode body) {
+    private List<Target> selectTargets(JsonNode body) {
         String wanted = body.path("target").asText();
         String service = body.path("service").asText();
         return addresses.keySet().stream()
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
@@ -98,15 +98,15 @@
     @Test
     void shouldDeleteKeyAndRefuseWritesWhenLeaseLapses() {
         KeyValueStore store = KeyValueStore.of(change -> {});
-        Lease lease = store.grant(0, 1_000, 0);
+        Lease lease = store.grantLease(0, 1_000, 0);
         assertTrue(store.put("k", "v", lease.id()));
-        assertTrue(store.keep(lease.id(), 900).isDefined());
-        store.expire(1_899);
+        assertTrue(store.renewLease(lease.id(), 900).isDefined());
+        store.expireLeases(1_899);
         assertFalse(store.get("k").isDeleted());
-        store.expire(1_900);
+        store.expireLeases(1_900);
         assertTrue(store.get("k").isDeleted());
         assertFalse(store.put("k", "late", lease.id()));
-        assertTrue(store.keep(lease.id(), 1_901).isEmpty());
+        assertTrue(store.renewLease(lease.id(), 1_901).isEmpty());
     }
 
     @Test
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -68,7 +68,7 @@
                 SteadyClock.ofProcess(),
                 new Random(1),
                 LINK_BYTES_PER_MILLI);
-        loop.after(0, feed::start);
+        loop.schedule(0, feed::start);
     }
 
     @AfterEach
@@ -157,12 +157,12 @@
         site.down(true);
         awaitStore("lost REFUSED");
         CountDownLatch busy = new CountDownLatch(1);
-        storeLoop.after(0, () -> {
+        storeLoop.schedule(0, () -> {
             busy.countDown();
             LockSupport.parkNanos(BUSY_NANOS);
         });
         for (int i = 0; i < TASKS_BETWEEN_READS * 2; i++) {
-            storeLoop.after(0, () -> {});
+            storeLoop.schedule(0, () -> {});
         }
         busy.await();
 
@@ -179,14 +179,14 @@
     @Test
     void shouldEnterItselfAgainWhenItsLeaseHasEnded() throws Exception {
         BlockingQueue<Long> granted = new LinkedBlockingQueue<>();
-        loop.after(0, () -> HostLease.of(
+        loop.schedule(0, () -> HostLease.of(
                         client, new PlatformItems(), HOST, loop.group().next(), 0, told -> {})
                 .start());
         assertInstanceOf(ClusterFact.HostEntered.class, next());
-        loop.after(0, () -> client.grantLease(1_000, lease -> granted.add(lease.get())));
+        loop.schedule(0, () -> client.grantLease(1_000, lease -> granted.add(lease.get())));
         long other = granted.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
 
-        loop.after(0, () -> client.endLease(other - 1));
+        loop.schedule(0, () -> client.endLease(other - 1));
 
         assertEquals(new ClusterFact.HostRemoved("h1"), next());
         assertInstanceOf(ClusterFact.HostEntered.class, next());
@@ -195,7 +195,7 @@
     @Test
     void shouldSayThatALeaseIsGoneWhenItIsRenewedTooLate() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
-        loop.after(0, () -> client.keepLease(99, replies::add));
+        loop.schedule(0, () -> client.keepLease(99, replies::add));
 
         assertEquals(
                 StoreFailure.NOT_FOUND,
@@ -206,7 +206,7 @@
     void shouldEndACallWhenNothingListens() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
         PlatformStore nowhere = PlatformStore.of(loop.group(), new InetSocketAddress("127.0.0.1", 1));
-        loop.after(0, () -> nowhere.grantLease(1_000, replies::add));
+        loop.schedule(0, () -> nowhere.grantLease(1_000, replies::add));
 
         assertTrue(replies.poll(LIMIT_SECONDS, TimeUnit.SECONDS).isLeft());
     }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
@@ -31,8 +31,8 @@
         TargetOptions options = new TargetOptions();
         options.region = "suva";
         options.dataCentre = "suva-hall";
-        options.models = List.of("plank-serve:1");
-        options.plains = List.of("crew-desk:1");
+        options.modelServices = List.of("plank-serve:1");
+        options.plainServices = List.of("crew-desk:1");
         options.checksFencing = true;
         targets = Targets.serve(loop, options);
         engine = new TestHttp(targets.address("plank-serve-suva-hall-1").get());
