--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallKind.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallKind.java
@@ -6,9 +6,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.rattanplank.standins.http.Json;
 
-/** What a caller asks for, and how it tells the whole answer to its own call from anything else. */
+/** The kind of a call, and how a caller recognizes the complete response to its own call. */
 public enum CallKind {
-    /** A part booking or a price quote. */
+    /** A booking or a price quote at a plain service. */
     BOOKING("interactive") {
         @Override
         String path(String service) {
@@ -22,11 +22,11 @@
 
         @Override
         boolean isCompleteResponse(CallRequest request, String body) {
-            JsonNode answer = Json.readOrEmpty(body);
-            return answer.path("reference").asText().equals(request.reference()) && answer.has("confirmation");
+            JsonNode response = Json.readOrEmpty(body);
+            return response.path("reference").asText().equals(request.reference()) && response.has("confirmation");
         }
     },
-    /** A short answer of a model engine. */
+    /** A short response of a model engine, in one piece. */
     QUERY("interactive") {
         @Override
         boolean isCompleteResponse(CallRequest request, String body) {
@@ -35,7 +35,7 @@
             return List.of(content.trim().split(" ")).equals(expectedTokens(request));
         }
     },
-    /** A streamed answer of a model engine. */
+    /** A streamed response of a model engine. */
     DRAFT("draft") {
         @Override
         boolean isCompleteResponse(CallRequest request, String body) {
@@ -76,10 +76,10 @@
     abstract boolean isCompleteResponse(CallRequest request, String body);
 
     private static List<String> expectedTokens(CallRequest request) {
-        List<String> parts = new ArrayList<>();
-        for (int part = 0; part < request.maxTokens(); part++) {
-            parts.add(request.reference() + ":" + part);
+        List<String> tokens = new ArrayList<>();
+        for (int token = 0; token < request.maxTokens(); token++) {
+            tokens.add(request.reference() + ":" + token);
         }
-        return parts;
+        return tokens;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallOutcome.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallOutcome.java
@@ -1,18 +1,18 @@
 package org.rattanplank.standins.caller;
 
-/** What a caller can tell of its call once it has ended. */
+/** The outcome of a call as the caller observes it. */
 public enum CallOutcome {
-    /** A whole answer came. */
+    /** A response with the call's result arrived. */
     ANSWERED(true),
-    /** The system says that the call did not run. */
+    /** The system reports that the call was not executed. */
     NOT_RUN(true),
-    /** The system says that the call may have run. */
+    /** The system reports that the call may have been executed. */
     UNKNOWN(true),
-    /** The connection broke; a caller treats this as unknown. */
+    /** The connection failed; a caller treats this as unknown. */
     BROKEN(true),
     /** The connection was refused, so the call was never sent. */
     UNREACHED(true),
-    /** Nothing came in time. */
+    /** No response arrived in time. */
     LOST(false);
 
     private final boolean ended;
@@ -22,19 +22,19 @@
     }
 
     /**
-     * Tells whether the caller knows that the call has ended.
+     * Returns whether the caller knows that the call has ended.
      *
-     * @return false if the caller still waits for an answer that is overdue
+     * @return false if the caller is still waiting for a response that is overdue
      */
     public boolean isEnded() {
         return ended;
     }
 
     /**
-     * Finds the outcome that a response states.
+     * Returns the outcome that a response states.
      *
-     * @param status the status
-     * @param label the value of the outcome's header, or empty
+     * @param status the HTTP status
+     * @param label the value of the outcome header, or empty
      * @return the outcome
      */
     public static CallOutcome of(int status, String label) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
@@ -8,16 +8,16 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A call that a caller makes. Immutable and thread safe.
+ * A call to be sent by a caller. Immutable and thread safe.
  *
- * @param reference the caller's own name for the call, which whole answers repeat
+ * @param reference the caller's own name for the call, which complete responses echo
  * @param service the service
- * @param kind what is asked of it
- * @param idempotencyKey the key, or none
+ * @param kind the kind of call
+ * @param idempotencyKey the idempotency key, or none
  * @param residency the residency label, or none
  * @param prompt the prompt of a model call
- * @param maxTokens how many tokens a model call asks for
- * @param timeout how long the caller lets the system take
+ * @param maxTokens the number of tokens that a model call requests
+ * @param timeout the time within which the system has to respond
  */
 public record CallRequest(
         String reference,
@@ -37,54 +37,61 @@
     }
 
     /**
-     * Makes a booking or a quote, which may not be repeated.
+     * Returns a call for a booking or a quote, which must not be executed more than once.
      *
      * @param reference the caller's own name for the call
      * @param service the service
-     * @param idempotencyKey the key
+     * @param idempotencyKey the idempotency key
      * @return the call
      */
     public static CallRequest booking(String reference, String service, String idempotencyKey) {
         return new CallRequest(
-                reference, service, CallKind.BOOKING, Option.some(idempotencyKey), Option.none(), "", 0, DEFAULT_TIMEOUT);
+                reference,
+                service,
+                CallKind.BOOKING,
+                Option.some(idempotencyKey),
+                Option.none(),
+                "",
+                0,
+                DEFAULT_TIMEOUT);
     }
 
     /**
-     * Makes a draft whose answer is a stream.
+     * Returns a call for a draft, whose response is a stream.
      *
      * @param reference the caller's own name for the call
      * @param service the service
      * @param prompt the prompt
-     * @param parts how many tokens are asked for
+     * @param maxTokens the number of requested tokens
      * @return the call
      */
-    public static CallRequest draft(String reference, String service, String prompt, int parts) {
+    public static CallRequest draft(String reference, String service, String prompt, int maxTokens) {
         return new CallRequest(
-                reference, service, CallKind.DRAFT, Option.none(), Option.none(), prompt, parts, DEFAULT_TIMEOUT);
+                reference, service, CallKind.DRAFT, Option.none(), Option.none(), prompt, maxTokens, DEFAULT_TIMEOUT);
     }
 
     /**
-     * Makes a short query whose answer comes at once.
+     * Returns a call for a short query, whose response comes in one piece.
      *
      * @param reference the caller's own name for the call
      * @param service the service
      * @param prompt the prompt
-     * @param parts how many tokens are asked for
+     * @param maxTokens the number of requested tokens
      * @return the call
      */
-    public static CallRequest query(String reference, String service, String prompt, int parts) {
+    public static CallRequest query(String reference, String service, String prompt, int maxTokens) {
         return new CallRequest(
-                reference, service, CallKind.QUERY, Option.none(), Option.none(), prompt, parts, DEFAULT_TIMEOUT);
+                reference, service, CallKind.QUERY, Option.none(), Option.none(), prompt, maxTokens, DEFAULT_TIMEOUT);
     }
 
     /**
-     * Copies this call with another timeout.
+     * Returns a copy of this call with another timeout.
      *
-     * @param newer how long the caller lets the system take
+     * @param newTimeout the time within which the system has to respond
      * @return the copy
      */
-    public CallRequest within(Duration newer) {
-        return new CallRequest(reference, service, kind, idempotencyKey, residency, prompt, maxTokens, newer);
+    public CallRequest within(Duration newTimeout) {
+        return new CallRequest(reference, service, kind, idempotencyKey, residency, prompt, maxTokens, newTimeout);
     }
 
     String path() {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * How a call ended for its caller. Immutable and thread safe.
+ * The result of a call as the caller observes it. Immutable and thread safe.
  *
  * @param reference the caller's own name for the call
  * @param requestId the request's identifier as the system states it, or empty
  * @param outcome the outcome
- * @param status the HTTP status, or zero if none came
- * @param path the hosts and the target that the answer took, or empty
- * @param body the answer as far as it came
- * @param own whether an answered call brought the whole answer to this very call
- * @param reason what went wrong, or empty
- * @param retryAfterSeconds when to come back, or zero
+ * @param status the HTTP status, or zero if no response arrived
+ * @param path the hosts and the target that the response passed, or empty
+ * @param body the response body as far as it was received
+ * @param own whether an answered call got the complete response to this call
+ * @param reason the reason of a failure, or empty
+ * @param retryAfterSeconds the delay after which the caller may retry, or zero
  */
 public record CallResult(
         String reference,
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Makes the result of a call without a response.
+     * Returns the result of a call without a response.
      *
      * @param reference the caller's own name for the call
      * @param outcome the outcome
-     * @param reason what went wrong
+     * @param reason the reason
      * @return the result
      */
     public static CallResult withoutResponse(String reference, CallOutcome outcome, String reason) {
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Tells whether the caller took something for a whole answer that is not.
+     * Returns whether the caller got a wrong response for a successful one.
      *
-     * @return whether the call was answered with a part, or with the answer to another call
+     * @return whether the call was answered with an incomplete response or with the response to another call
      */
     public boolean isWrongAnswer() {
         return outcome == CallOutcome.ANSWERED && !own;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
@@ -20,9 +20,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A caller of the system.
+ * A client that calls the system.
  *
- * <p>Invariant: each call has one result; a call whose answer is overdue is lost, however late its answer then comes.
+ * <p>Invariant: each call has one result; a call whose response is overdue is lost, even if the response arrives later.
  * Thread safe.
  */
 public final class Caller {
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Makes a caller.
+     * Returns a caller of an account.
      *
      * @param token the account's bearer token
      * @return the caller
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Asks an entry host which hosts to use.
+     * Requests the list of entry hosts to use.
      *
      * @param host the address of any entry host
-     * @return the addresses of the hosts, best first
-     * @throws IOException if the host gives no answer
+     * @return the addresses of the hosts, in order of preference
+     * @throws IOException if the host does not respond with success
      */
     public List<String> entryHosts(String host) throws IOException {
         List<String> addresses = new ArrayList<>();
@@ -67,22 +67,22 @@
     }
 
     /**
-     * Asks an entry host for a new idempotency key.
+     * Requests a new idempotency key.
      *
      * @param host the address of any entry host
      * @return the key
-     * @throws IOException if the host gives no answer
+     * @throws IOException if the host does not respond with success
      */
     public String newIdempotencyKey(String host) throws IOException {
         HttpRequest request = request(host, "/v1/idempotency-keys")
                 .POST(HttpRequest.BodyPublishers.noBody())
                 .build();
-        JsonNode answer = Json.readOrEmpty(fetchBody(request));
-        return answer.path("key").asText(answer.path("idempotencyKey").asText());
+        JsonNode response = Json.readOrEmpty(fetchBody(request));
+        return response.path("key").asText(response.path("idempotencyKey").asText());
     }
 
     /**
-     * Makes a call and waits for its result.
+     * Sends a call and waits for its result.
      *
      * @param host the address of an entry host
      * @param call the call
@@ -93,11 +93,11 @@
     }
 
     /**
-     * Makes a call without waiting.
+     * Sends a call without waiting for its result.
      *
      * @param host the address of an entry host
      * @param call the call
-     * @return the result to come, which never fails
+     * @return the future result, which never completes exceptionally
      */
     public CompletableFuture<CallResult> start(String host, CallRequest call) {
         HttpRequest.Builder request = request(host, call.path())
@@ -109,9 +109,9 @@
         call.idempotencyKey().forEach(key -> request.header("Idempotency-Key", key));
         call.residency().forEach(label -> request.header("Rattanplank-Residency", label));
         request.POST(HttpRequest.BodyPublishers.ofString(call.body()));
-        Duration overdue = call.timeout().plus(OVERDUE_GRACE);
+        Duration overdueAfter = call.timeout().plus(OVERDUE_GRACE);
         return client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString(StandardCharsets.UTF_8))
-                .orTimeout(overdue.toMillis(), TimeUnit.MILLISECONDS)
+                .orTimeout(overdueAfter.toMillis(), TimeUnit.MILLISECONDS)
                 .handle((response, failure) -> failure == null ? result(call, response) : result(call, failure));
     }
 
@@ -154,11 +154,12 @@
             HttpResponse<String> response = client.sendAsync(request, HttpResponse.BodyHandlers.ofString())
                     .get(CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
             if (response.statusCode() != 200) {
-                throw new IOException(request.uri() + " answered " + response.statusCode() + " " + response.body());
+                throw new IOException(request.uri() + " responded with HTTP status " + response.statusCode() + ": "
+                        + response.body());
             }
             return response.body();
         } catch (ExecutionException | TimeoutException e) {
-            throw new IOException("no answer from " + request.uri(), e);
+            throw new IOException("no response from " + request.uri(), e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while waiting for " + request.uri(), e);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Keys.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Keys.java
@@ -3,7 +3,7 @@
 import java.util.Random;
 import java.util.UUID;
 
-/** Makes idempotency keys as callers do that cannot ask the system for one. Stateless and thread safe. */
+/** Generates idempotency keys as callers do that can't request one from the system. Stateless and thread safe. */
 public final class Keys {
     private static final int TIMESTAMP_SHIFT_BITS = 16;
     private static final long VERSION_7_BITS = 0x7000;
@@ -14,10 +14,10 @@
     private Keys() {}
 
     /**
-     * Makes a version 7 UUID.
+     * Returns a new UUID of version 7.
      *
-     * @param nowMillis the time that it carries
-     * @param random the source of its other bits
+     * @param nowMillis the timestamp of the UUID, in milliseconds since the epoch
+     * @param random the source of the other bits
      * @return the key
      */
     public static String version7(long nowMillis, Random random) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
@@ -8,7 +8,7 @@
 import org.rattanplank.standins.caller.CallResult;
 import org.rattanplank.standins.caller.Caller;
 
-/** Makes the demo's three calls through the host that the system names, and prints what came. */
+/** Sends the demo's three calls through the entry host that the system names first, and prints the results. */
 public final class DemoCalls {
     private static final int DRAFT_MAX_TOKENS = 12;
     private static final int PROMPT_REPETITIONS = 200;
@@ -24,10 +24,10 @@
     }
 
     /**
-     * Makes the calls; exits with 1 unless all are answered and the repeated booking gets the first one's answer.
+     * Sends the calls; exits with 1 unless all are answered and the retried booking gets the response to the first one.
      *
-     * @param args the settings
-     * @throws IOException if no entry host can be asked
+     * @param args the command-line options
+     * @throws IOException if the entry host doesn't respond
      */
     public static void main(String[] args) throws IOException {
         DemoOptions options = new DemoOptions();
@@ -39,18 +39,18 @@
         calls.sendAndPrint("draft", CallRequest.draft("draft-1", options.modelService, prompt(), DRAFT_MAX_TOKENS));
         CallRequest booking = CallRequest.booking("booking-1", options.plainService, caller.newIdempotencyKey(host));
         CallResult first = calls.sendAndPrint("booking", booking);
-        CallResult repeated = calls.sendAndPrint("repeated booking", booking);
-        boolean same = first.body().equals(repeated.body());
-        System.out.println(same ? "the repeated booking got the first one's answer" : "the two bookings differ");
-        System.exit(same && calls.answered == 3 ? 0 : 1);
+        CallResult retried = calls.sendAndPrint("repeated booking", booking);
+        boolean isReplay = first.body().equals(retried.body());
+        System.out.println(isReplay ? "the repeated booking got the first one's answer" : "the two bookings differ");
+        System.exit(isReplay && calls.answered == 3 ? 0 : 1);
     }
 
-    private CallResult sendAndPrint(String what, CallRequest call) {
+    private CallResult sendAndPrint(String label, CallRequest call) {
         CallResult result = caller.send(host, call);
         if (result.outcome() == CallOutcome.ANSWERED && result.own()) {
             answered++;
         }
-        System.out.println(what + ": " + result.outcome() + " status=" + result.status() + " path=" + result.path()
+        System.out.println(label + ": " + result.outcome() + " status=" + result.status() + " path=" + result.path()
                 + (result.reason().isEmpty() ? "" : " reason=" + result.reason()));
         System.out.println("  " + truncate(result.body()));
         return result;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/EnlistHosts.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/EnlistHosts.java
@@ -5,14 +5,14 @@
 import org.rattanplank.standins.http.Json;
 import org.rattanplank.standins.platform.HostsClient;
 
-/** Enters entry hosts into the platform's list, as a platform does when it starts them. */
+/** Adds entry hosts to the platform's host list, as a platform does when it starts them. */
 public final class EnlistHosts {
     private EnlistHosts() {}
 
     /**
-     * Enters all hosts of the settings.
+     * Adds all hosts of the options.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         DemoOptions options = new DemoOptions();
@@ -25,22 +25,22 @@
     }
 
     /**
-     * Makes what the list says of an entry host.
+     * Returns the host list's entry of an entry host.
      *
-     * @param region its region
-     * @param dataCentre its data centre
-     * @param callers its address for callers
-     * @param peers its address for other entry hosts
+     * @param region the host's region
+     * @param dataCentre the host's data centre
+     * @param callersAddress the host's address for callers
+     * @param peersAddress the host's address for other entry hosts
      * @return the entry
      */
-    public static ObjectNode entry(String region, String dataCentre, String callers, String peers) {
+    public static ObjectNode entry(String region, String dataCentre, String callersAddress, String peersAddress) {
         return Json.object()
                 .put("role", "entry")
                 .put("region", region)
                 .put("dataCentre", dataCentre)
-                .put("address", callers.substring(0, callers.lastIndexOf(':')))
-                .put("port", port(callers))
-                .put("peerPort", port(peers))
+                .put("address", callersAddress.substring(0, callersAddress.lastIndexOf(':')))
+                .put("port", port(callersAddress))
+                .put("peerPort", port(peersAddress))
                 .put("service", "")
                 .put("leaving", false);
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/NoSplitter.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/NoSplitter.java
@@ -4,7 +4,7 @@
 
 import com.beust.jcommander.converters.IParameterSplitter;
 
-/** Leaves the commas of a flag's value alone. Stateless and thread safe. */
+/** Takes the value of an option as one element, commas included. Stateless and thread safe. */
 public final class NoSplitter implements IParameterSplitter {
     @Override
     public List<String> split(String value) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/EventLoop.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/EventLoop.java
@@ -18,9 +18,9 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 
 /**
- * One thread that serves any number of HTTP ports and timers.
+ * A single-threaded event loop that serves any number of HTTP ports and timers.
  *
- * <p>Invariant: handlers and timers run one after the other on the one thread, so that what they share needs no lock.
+ * <p>Invariant: handlers and timers run one at a time on the loop's thread, so that state that they share needs no lock.
  * Thread safe.
  */
 public final class EventLoop implements AutoCloseable {
@@ -31,19 +31,19 @@
     private EventLoop() {}
 
     /**
-     * Starts a loop.
+     * Starts an event loop.
      *
-     * @return the loop
+     * @return the event loop
      */
     public static EventLoop of() {
         return new EventLoop();
     }
 
     /**
-     * Serves a port of the loopback address.
+     * Starts serving a port of the loopback address.
      *
-     * @param port the port, zero for one that the system chooses
-     * @param handler what answers the calls
+     * @param port the port, zero for an ephemeral port
+     * @param handler the handler of the calls
      * @return the address that is served
      */
     public InetSocketAddress serve(int port, Handler handler) {
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Runs a task later.
+     * Schedules a task.
      *
-     * @param delayMillis how much later
+     * @param delayMillis the delay
      * @param task the task
      */
     public void schedule(long delayMillis, Runnable task) {
@@ -77,9 +77,9 @@
     }
 
     /**
-     * Runs a task again and again.
+     * Schedules a task periodically at a fixed rate.
      *
-     * @param periodMillis the time between two runs
+     * @param periodMillis the period
      * @param task the task
      */
     public void scheduleAtFixedRate(long periodMillis, Runnable task) {
@@ -87,7 +87,7 @@
     }
 
     /**
-     * The group of threads, for what serves no HTTP.
+     * Returns the group of threads, for uses other than HTTP.
      *
      * @return the group, which has one thread
      */
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Exchange.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Exchange.java
@@ -24,10 +24,10 @@
 import io.vavr.control.Option;
 
 /**
- * One call and the ways to answer it, wrong ones included.
+ * An HTTP call and the ways to respond to it, faulty ones included.
  *
- * <p>Invariant: nothing here checks that a call is answered once; a fault may answer it twice or not at all. Not thread
- * safe: confined to the thread of its server.
+ * <p>It doesn't check that a call gets exactly one response: an injected fault may send two or none. Not thread safe:
+ * confined to the thread of its server.
  */
 public final class Exchange {
     private static final String JSON = "application/json";
@@ -53,7 +53,7 @@
     }
 
     /**
-     * The method.
+     * Returns the method.
      *
      * @return the method in upper case
      */
@@ -62,7 +62,7 @@
     }
 
     /**
-     * The path without the query.
+     * Returns the path without the query.
      *
      * @return the path
      */
@@ -71,7 +71,7 @@
     }
 
     /**
-     * The body.
+     * Returns the body.
      *
      * @return the body as text
      */
@@ -80,18 +80,18 @@
     }
 
     /**
-     * The body as JSON.
+     * Returns the body as JSON.
      *
-     * @return the body, or an empty object if it is no JSON
+     * @return the body, or an empty object if it isn't valid JSON
      */
     public JsonNode jsonBody() {
         return Json.readOrEmpty(body);
     }
 
     /**
-     * Finds a parameter of the query.
+     * Returns a parameter of the query.
      *
-     * @param name its name
+     * @param name the name
      * @return its first value, or none
      */
     public Option<String> query(String name) {
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Finds a header.
+     * Returns a header.
      *
-     * @param name its name
+     * @param name the name
      * @return its first value, or none
      */
     public Option<String> header(String name) {
@@ -109,9 +109,9 @@
     }
 
     /**
-     * Answers with JSON.
+     * Responds with JSON.
      *
-     * @param status the status
+     * @param status the HTTP status
      * @param value the body
      */
     public void respond(int status, JsonNode value) {
@@ -119,17 +119,17 @@
     }
 
     /**
-     * Answers with JSON and further headers.
+     * Responds with JSON and additional headers.
      *
-     * @param status the status
-     * @param extra the further headers
+     * @param status the HTTP status
+     * @param additionalHeaders additional headers
      * @param value the body
      */
-    public void respond(int status, Map<String, String> extra, JsonNode value) {
+    public void respond(int status, Map<String, String> additionalHeaders, JsonNode value) {
         byte[] bytes = Json.write(value).getBytes(StandardCharsets.UTF_8);
         HttpResponse response = new DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(bytes));
-        addHeaders(response, JSON, extra);
+        addHeaders(response, JSON, additionalHeaders);
         HttpUtil.setContentLength(response, bytes.length);
         HttpUtil.setKeepAlive(response, keepAlive);
         io.netty.channel.ChannelFuture written = channel.writeAndFlush(response);
@@ -139,16 +139,16 @@
     }
 
     /**
-     * Sends the first half of an answer and then resets the connection.
+     * Sends the headers and the first half of a response body and then resets the connection.
      *
-     * @param status the status
-     * @param extra further headers
+     * @param status the HTTP status
+     * @param additionalHeaders additional headers
      * @param value the body of which half is sent
      */
-    public void respondTruncated(int status, Map<String, String> extra, JsonNode value) {
+    public void respondTruncated(int status, Map<String, String> additionalHeaders, JsonNode value) {
         byte[] bytes = Json.write(value).getBytes(StandardCharsets.UTF_8);
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
-        addHeaders(response, JSON, extra);
+        addHeaders(response, JSON, additionalHeaders);
         HttpUtil.setContentLength(response, bytes.length);
         channel.write(response);
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.wrappedBuffer(bytes, 0, bytes.length / 2)))
@@ -156,40 +156,40 @@
     }
 
     /**
-     * Starts an answer whose parts follow.
+     * Starts a chunked response.
      *
-     * @param contentType the type of the content
-     * @param extra further headers
+     * @param contentType the content type
+     * @param additionalHeaders additional headers
      */
-    public void startStream(String contentType, Map<String, String> extra) {
+    public void startStream(String contentType, Map<String, String> additionalHeaders) {
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        addHeaders(response, contentType, extra);
+        addHeaders(response, contentType, additionalHeaders);
         HttpUtil.setTransferEncodingChunked(response, true);
         channel.writeAndFlush(response);
     }
 
     /**
-     * Sends a part of a started answer.
+     * Sends a chunk of a started response.
      *
-     * @param text the part
+     * @param text the chunk
      */
     public void sendChunk(String text) {
         channel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8)));
     }
 
-    /** Ends a started answer as whole. */
+    /** Completes a started response. */
     public void endStream() {
         channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
-    /** Resets the connection, so that the other end sees neither an answer nor an orderly end. */
+    /** Resets the connection, so that the client sees neither a response nor an orderly close. */
     public void reset() {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
     /**
-     * Tells whether the other end still waits.
+     * Returns whether the client is still connected.
      *
      * @return whether the connection is open
      */
@@ -198,17 +198,17 @@
     }
 
     /**
-     * Calls back on the server's thread once the connection is closed.
+     * Registers a callback that runs on the server's thread once the connection is closed.
      *
-     * @param callback what to call
+     * @param callback the callback
      */
     public void onClose(Runnable callback) {
         channel.closeFuture().addListener(closed -> callback.run());
     }
 
-    private static void addHeaders(HttpResponse response, String contentType, Map<String, String> extra) {
+    private static void addHeaders(HttpResponse response, String contentType, Map<String, String> additionalHeaders) {
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
         response.headers().set(HttpHeaderNames.CACHE_CONTROL, HttpHeaderValues.NO_CACHE);
-        extra.forEach((name, value) -> response.headers().set(name, value));
+        additionalHeaders.forEach((name, value) -> response.headers().set(name, value));
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Handler.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Handler.java
@@ -1,11 +1,11 @@
 package org.rattanplank.standins.http;
 
-/** Answers calls. Called on the server's one thread only, so an implementation needs no lock. */
+/** Handles calls. Invoked on the server's single thread only, so an implementation needs no lock. */
 @FunctionalInterface
 public interface Handler {
 
     /**
-     * Takes a call, to answer it now or later on the same thread.
+     * Handles a call; the response may be sent now or later on the same thread.
      *
      * @param exchange the call
      */
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Json.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Json.java
@@ -7,14 +7,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vavr.control.Try;
 
-/** Reads and writes JSON. Stateless and thread safe. */
+/** Parses and serializes JSON. Stateless and thread safe. */
 public final class Json {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private Json() {}
 
     /**
-     * Makes an empty object.
+     * Returns a new empty object.
      *
      * @return the object
      */
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Makes an empty array.
+     * Returns a new empty array.
      *
      * @return the array
      */
@@ -32,27 +32,27 @@
     }
 
     /**
-     * Reads a text.
+     * Parses a text.
      *
      * @param text the text
-     * @return the value, or why the text is no JSON
+     * @return the value, or the failure if the text isn't valid JSON
      */
     public static Try<JsonNode> read(String text) {
         return Try.of(() -> MAPPER.readTree(text));
     }
 
     /**
-     * Reads a text that may be no JSON.
+     * Parses a text that may be invalid JSON.
      *
      * @param text the text
-     * @return the value, or an empty object if the text is no JSON
+     * @return the value, or an empty object if the text isn't valid JSON
      */
     public static JsonNode readOrEmpty(String text) {
         return read(text).filter(node -> !node.isMissingNode()).getOrElse(Json::object);
     }
 
     /**
-     * Writes a value on one line.
+     * Serializes a value on one line.
      *
      * @param value the value
      * @return the text
@@ -61,7 +61,7 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("a tree of JSON nodes can always be written", e);
+            throw new IllegalArgumentException("serialization of a JSON tree failed", e);
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
@@ -19,10 +19,10 @@
 import org.rattanplank.standins.http.EventLoop;
 
 /**
- * A relay of TCP connections that can be cut, delayed or made silent.
+ * A TCP proxy that can reset, delay or black-hole its connections, to simulate network faults.
  *
- * <p>Invariant: the bytes of one direction of one connection keep their order; what a silent direction swallows never
- * arrives. Thread safe.
+ * <p>Invariant: the bytes of one direction of one connection keep their order; bytes that are dropped are never
+ * delivered later. Thread safe.
  */
 public final class Link {
     private final EventLoop loop;
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Opens a relay on a port that the system chooses.
+     * Opens a link on an ephemeral port.
      *
-     * @param loop the loop that serves it
-     * @param target where it leads to
-     * @return the relay
+     * @param loop the event loop that serves it
+     * @param target the address to which it forwards
+     * @return the link
      */
     public static Link open(EventLoop loop, InetSocketAddress target) {
         Link link = new Link(loop, target);
@@ -63,7 +63,7 @@
     }
 
     /**
-     * The relay's own address.
+     * Returns the address at which the link accepts connections.
      *
      * @return the address as IP:PORT
      */
@@ -72,47 +72,48 @@
     }
 
     /**
-     * Changes how the relay treats connections from now on.
+     * Changes how the link treats connections from now on.
      *
-     * @param newer the new state; one that is cut resets all connections
+     * @param newState the new state; a partitioned one also resets all open connections
      */
-    public void state(LinkState newer) {
-        state = newer;
-        if (newer.resetsConnections()) {
+    public void state(LinkState newState) {
+        state = newState;
+        if (newState.resetsConnections()) {
             channels.forEach(Link::reset);
         }
     }
 
-    /** Makes the connections that are open now silent for good, while new ones work. */
+    /** Drops all further bytes of the connections that are open now, while new connections work. */
     public void silenceOpenConnections() {
-        channels.forEach(channel -> channel.attr(ConnectionAttributes.DROPS_BYTES).set(Boolean.TRUE));
+        channels.forEach(
+                channel -> channel.attr(ConnectionAttributes.DROPS_BYTES).set(Boolean.TRUE));
     }
 
-    private void accept(SocketChannel near) {
+    private void accept(SocketChannel clientSide) {
         if (state.resetsConnections()) {
-            reset(near);
+            reset(clientSide);
             return;
         }
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop.group())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.AUTO_READ, false)
-                .handler(new Forwarder(near, false));
-        Channel far = bootstrap.connect(target).channel();
-        channels.add(near);
-        channels.add(far);
-        near.closeFuture().addListener(closed -> channels.remove(near));
-        far.closeFuture().addListener(closed -> channels.remove(far));
-        near.pipeline().addLast(new Forwarder(far, true));
-        far.closeFuture().addListener(closed -> near.close());
-        near.closeFuture().addListener(closed -> far.close());
+                .handler(new Forwarder(clientSide, false));
+        Channel targetSide = bootstrap.connect(target).channel();
+        channels.add(clientSide);
+        channels.add(targetSide);
+        clientSide.closeFuture().addListener(closed -> channels.remove(clientSide));
+        targetSide.closeFuture().addListener(closed -> channels.remove(targetSide));
+        clientSide.pipeline().addLast(new Forwarder(targetSide, true));
+        targetSide.closeFuture().addListener(closed -> clientSide.close());
+        clientSide.closeFuture().addListener(closed -> targetSide.close());
     }
 
     /** Resets a connection, which may have closed already. */
     static void reset(Channel channel) {
         channel.eventLoop().execute(() -> {
-            // The socket of a channel that has closed takes no option and throws: a cut that meets a connection which
-            // ends just then would fail the cut itself. Only the channel's own loop can tell, as channels close there.
+            // Setting an option on a closed socket throws, so that a connection which closes concurrently would make
+            // state() fail. Only the channel's own event loop can check this reliably, as channels are closed there.
             if (channel.isOpen()) {
                 channel.config().setOption(ChannelOption.SO_LINGER, 0);
                 channel.close();
@@ -120,19 +121,19 @@
         });
     }
 
-    /** Passes one direction on. */
+    /** Forwards the bytes of one direction. */
     private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel other;
-        private final boolean fromNear;
+        private final boolean fromClient;
 
-        private Forwarder(Channel other, boolean fromNear) {
+        private Forwarder(Channel other, boolean fromClient) {
             this.other = other;
-            this.fromNear = fromNear;
+            this.fromClient = fromClient;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            if (!fromNear) {
+            if (!fromClient) {
                 context.channel().config().setAutoRead(true);
                 other.config().setAutoRead(true);
             }
@@ -140,9 +141,9 @@
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
-            boolean muted =
-                    Boolean.TRUE.equals(context.channel().attr(ConnectionAttributes.DROPS_BYTES).get());
-            if (muted || (fromNear ? state.dropsForward() : state.dropsBackward())) {
+            boolean dropsBytes = Boolean.TRUE.equals(
+                    context.channel().attr(ConnectionAttributes.DROPS_BYTES).get());
+            if (dropsBytes || (fromClient ? state.dropsForward() : state.dropsBackward())) {
                 ReferenceCountUtil.release(bytes);
             } else if (state.delayMillis() > 0) {
                 loop.schedule(state.delayMillis(), () -> other.writeAndFlush(bytes));
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
@@ -1,18 +1,18 @@
 package org.rattanplank.standins.link;
 
 /**
- * How a relay treats its connections. Immutable and thread safe.
+ * How a link treats its connections. Immutable and thread safe.
  *
- * @param resetsConnections whether connections are reset and new ones refused
- * @param dropsForward whether bytes towards the relay's target vanish
- * @param dropsBackward whether bytes from the relay's target vanish
- * @param delayMillis how much later bytes arrive
+ * @param resetsConnections whether open and new connections are reset
+ * @param dropsForward whether bytes to the link's target are dropped
+ * @param dropsBackward whether bytes from the link's target are dropped
+ * @param delayMillis the additional one-way delay of bytes
  */
 public record LinkState(boolean resetsConnections, boolean dropsForward, boolean dropsBackward, long delayMillis) {
     private static final LinkState UP = new LinkState(false, false, false, 0);
 
     /**
-     * A relay that passes everything on at once.
+     * Returns the state of a link that forwards all bytes without delay.
      *
      * @return the state
      */
@@ -21,7 +21,7 @@
     }
 
     /**
-     * A relay that resets all connections.
+     * Returns the state of a link that resets all connections.
      *
      * @return the state
      */
@@ -30,7 +30,7 @@
     }
 
     /**
-     * A relay that passes nothing on, in either direction.
+     * Returns the state of a link that drops all bytes of both directions.
      *
      * @return the state
      */
@@ -39,9 +39,9 @@
     }
 
     /**
-     * A slow relay.
+     * Returns the state of a link that delays all bytes.
      *
-     * @param delayMillis how much later bytes arrive
+     * @param delayMillis the additional one-way delay of bytes
      * @return the state
      */
     public static LinkState delayed(long delayMillis) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CompareTarget.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CompareTarget.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** What a transaction's condition compares. */
+/** The property of a stored value that a transaction's condition compares. */
 enum CompareTarget {
     VERSION("version") {
         @Override
@@ -45,7 +45,8 @@
     int compare(StoredValue value, JsonNode condition) {
         String camelCase = field.replace("_revision", "Revision");
         return Long.compare(
-                actualNumber(value), StoreJson.eitherField(condition, field, camelCase).asLong());
+                actualNumber(value),
+                StoreJson.eitherField(condition, field, camelCase).asLong());
     }
 
     static boolean holds(JsonNode condition, StoredValue value) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Faults.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Faults.java
@@ -3,15 +3,15 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * How the platform misbehaves. Immutable and thread safe.
+ * The faults that the platform injects. Immutable and thread safe.
  *
- * @param down whether the store, the list of hosts and the weight store reset each connection
- * @param storeDown whether the store alone does
- * @param slowMillis how much later each call to the store is answered
- * @param responsesToLose how many of the next writes take effect while their answers are lost
- * @param silentWatches whether watches stay open and tell nothing
- * @param staleReads whether reads show the store as it was when this was set
- * @param listLagMillis how old the list of hosts is
+ * @param down whether the store, the host list and the weight store reset each connection
+ * @param storeDown whether the store alone resets each connection
+ * @param slowMillis the additional latency of each call to the store
+ * @param responsesToLose how many of the next writes take effect without their responses being sent
+ * @param silentWatches whether watches stay open without delivering any event
+ * @param staleReads whether reads return the contents of the store at the time at which this was set
+ * @param listLagMillis the lag of the host list
  */
 record Faults(
         boolean down,
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsApi.java
@@ -11,9 +11,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * The list of hosts, which shows a change only after its lag. Not thread safe: confined to the platform's thread.
+ * The host list, which shows a change only after a lag. Not thread safe: confined to the platform's thread.
  *
- * <p>Invariant: the shown revision never falls while the lag stays the same.
+ * <p>Invariant: the visible revision never decreases while the lag is constant.
  */
 final class HostsApi {
     private static final String PATH = "/hosts";
@@ -53,18 +53,18 @@
         revision++;
         ArrayNode all = Json.array();
         hosts.values().forEach(all::add);
-        ObjectNode newer = Json.object().put("revision", revision).set("hosts", all);
+        ObjectNode newList = Json.object().put("revision", revision).set("hosts", all);
         if (lagMillis > 0) {
-            loop.schedule(lagMillis, () -> publish(newer));
+            loop.schedule(lagMillis, () -> publish(newList));
         } else {
-            publish(newer);
+            publish(newList);
         }
         exchange.respond(200, Json.object().put("revision", revision));
     }
 
-    private void publish(ObjectNode newer) {
-        if (newer.path("revision").asLong() > visibleList.path("revision").asLong()) {
-            visibleList = newer;
+    private void publish(ObjectNode newList) {
+        if (newList.path("revision").asLong() > visibleList.path("revision").asLong()) {
+            visibleList = newList;
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsClient.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/HostsClient.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.rattanplank.standins.http.Json;
 
-/** Enters hosts into the platform's list and takes them out. Thread safe. */
+/** Adds hosts to the platform's host list and removes them. Thread safe. */
 public final class HostsClient {
     private final HttpClient client = HttpClient.newHttpClient();
     private final String platform;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Makes a client.
+     * Returns a client of a platform.
      *
-     * @param platform the platform's address, with the path of a view if it is not the one list of the platform
+     * @param platform the platform's address, followed by the path of a view for a list other than the main host list
      * @return the client
      */
     public static HostsClient of(String platform) {
@@ -30,19 +30,19 @@
     }
 
     /**
-     * Enters a host.
+     * Adds a host or replaces its entry.
      *
-     * @param name its name
-     * @param host what the list says of it
+     * @param name the host's name
+     * @param host its entry in the host list
      */
     public void put(String name, JsonNode host) {
         send(request(name).PUT(HttpRequest.BodyPublishers.ofString(Json.write(host))));
     }
 
     /**
-     * Takes a host out.
+     * Removes a host.
      *
-     * @param name its name
+     * @param name the host's name
      */
     public void delete(String name) {
         send(request(name).DELETE());
@@ -56,13 +56,14 @@
         try {
             HttpResponse<Void> response = client.send(request.build(), HttpResponse.BodyHandlers.discarding());
             if (response.statusCode() != 200) {
-                throw new IOException("the platform's list answered " + response.statusCode());
+                throw new IOException(
+                        "update of the platform's host list failed with HTTP status " + response.statusCode());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted while the platform's list was written", e);
+            throw new IllegalStateException("interrupted during an update of the platform's host list", e);
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyRange.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyRange.java
@@ -3,7 +3,7 @@
 import java.util.Objects;
 
 /**
- * Some keys, as the store's calls name them. Immutable and thread safe.
+ * A range of keys in the form that the store's calls use. Immutable and thread safe.
  *
  * @param key the first key
  * @param end the first key after the range; empty for one key only, {@code "\0"} for all keys from the first
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
@@ -12,9 +12,9 @@
 import io.vavr.control.Option;
 
 /**
- * Keys with revisions, leases and a bounded history of changes.
+ * A key-value store with revisions, leases and a bounded history of changes.
  *
- * <p>Invariant: each write has its own revision, and listeners see the writes in the order of their revisions. Not
+ * <p>Invariant: each write has its own revision, and the listener receives the writes in the order of their revisions. Not
  * thread safe: confined to the platform's thread.
  */
 final class KeyValueStore {
@@ -40,7 +40,7 @@
         return revision;
     }
 
-    /** The newest revision whose change is no longer known. */
+    /** Returns the newest revision whose change has been dropped from the history. */
     long compactedRevision() {
         return compactedRevision;
     }
@@ -61,7 +61,7 @@
                 .toList();
     }
 
-    /** Writes a key; a lease that is not there is refused, as a lapsed holder must not write with it. */
+    /** Writes a key; rejects an unknown lease, as a holder must not write with a lease that has expired. */
     boolean put(String key, String value, long leaseId) {
         if (leaseId != 0 && !leases.containsKey(leaseId)) {
             return false;
@@ -74,13 +74,13 @@
     }
 
     int delete(KeyRange range) {
-        Collection<StoredValue> doomed = range(range);
-        doomed.forEach(value -> delete(value.key()));
-        return doomed.size();
+        Collection<StoredValue> deleted = range(range);
+        deleted.forEach(value -> delete(value.key()));
+        return deleted.size();
     }
 
-    Lease grantLease(long wantedId, long ttlMillis, long nowMillis) {
-        long id = wantedId == 0 ? nextLeaseId++ : wantedId;
+    Lease grantLease(long requestedId, long ttlMillis, long nowMillis) {
+        long id = requestedId == 0 ? nextLeaseId++ : requestedId;
         Lease lease = new Lease(id, ttlMillis, nowMillis + ttlMillis);
         leases.put(id, lease);
         return lease;
@@ -88,9 +88,9 @@
 
     Option<Lease> renewLease(long id, long nowMillis) {
         expireLeases(nowMillis);
-        Option<Lease> kept = Option.of(leases.get(id)).map(lease -> lease.renewed(nowMillis));
-        kept.forEach(lease -> leases.put(id, lease));
-        return kept;
+        Option<Lease> renewed = Option.of(leases.get(id)).map(lease -> lease.renewed(nowMillis));
+        renewed.forEach(lease -> leases.put(id, lease));
+        return renewed;
     }
 
     boolean revokeLease(long id) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
@@ -4,8 +4,8 @@
  * A lease. Immutable and thread safe.
  *
  * @param id its identifier
- * @param ttlMillis its term
- * @param expiresAtMillis when it lapses unless it is kept
+ * @param ttlMillis its time to live
+ * @param expiresAtMillis when it expires unless it is renewed
  */
 record Lease(long id, long ttlMillis, long expiresAtMillis) {
     Lease renewed(long nowMillis) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
@@ -12,11 +12,12 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * Stands in for the platform: the store, the list of hosts and the weight store on one port.
+ * Stand-in of the platform: the store, the host list and the weight store on one port.
  *
- * <p>{@code GET /counts}, {@code POST /faults} and the changes of the list always work, as they belong to the test and
- * not to the platform. Under {@code /views/NAME/hosts} it keeps further lists, so that a test can put a link between any
- * two data centres by telling each its own addresses of the other's hosts. Not thread safe: confined to its loop's thread once it serves.
+ * <p>{@code GET /counts}, {@code POST /faults} and updates of the host list work during any fault, as tests use them to
+ * control the platform. Under {@code /views/NAME/hosts} it holds further host lists, so that a test can put a link
+ * between any two data centres by giving each data centre its own addresses of the other's hosts. Not thread safe:
+ * confined to its event loop's thread once it serves.
  */
 public final class Platform {
     private static final String VIEWS_PREFIX = "/views/";
@@ -37,10 +38,10 @@
     }
 
     /**
-     * Serves a platform.
+     * Starts serving a platform.
      *
-     * @param loop the loop that serves it
-     * @param options its settings
+     * @param loop the event loop that serves it
+     * @param options its options
      * @return the address that is served
      */
     public static InetSocketAddress serve(EventLoop loop, PlatformOptions options) {
@@ -50,9 +51,9 @@
     }
 
     /**
-     * Runs the platform until the process is ended.
+     * Runs the platform until the process is terminated.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         PlatformOptions options = new PlatformOptions();
@@ -71,11 +72,11 @@
         } else if (StoreApi.handlesPath(path)) {
             store.handle(exchange);
         } else if (HostsApi.handlesPath(path)) {
-            hosts(exchange, hosts, path);
+            handleHosts(exchange, hosts, path);
         } else if (path.startsWith(VIEWS_PREFIX)) {
             handleView(exchange, path.substring(VIEWS_PREFIX.length()));
         } else if (WeightsApi.handlesPath(path)) {
-            weights(exchange);
+            handleWeights(exchange);
         } else {
             exchange.respond(404, notFound(path));
         }
@@ -88,22 +89,22 @@
             return;
         }
         HostsApi view = views.computeIfAbsent(nameAndPath.substring(0, slash), name -> new HostsApi(loop));
-        hosts(exchange, view, nameAndPath.substring(slash));
+        handleHosts(exchange, view, nameAndPath.substring(slash));
     }
 
-    private void hosts(Exchange exchange, HostsApi list, String path) {
-        boolean read = exchange.method().equals("GET");
-        if (read) {
+    private void handleHosts(Exchange exchange, HostsApi hostList, String path) {
+        boolean isRead = exchange.method().equals("GET");
+        if (isRead) {
             counts.increment("hosts");
         }
-        if (read && store.faults().down()) {
+        if (isRead && store.faults().down()) {
             exchange.reset();
         } else {
-            list.handle(exchange, path, store.faults().listLagMillis());
+            hostList.handle(exchange, path, store.faults().listLagMillis());
         }
     }
 
-    private void weights(Exchange exchange) {
+    private void handleWeights(Exchange exchange) {
         counts.increment("weights");
         if (store.faults().down()) {
             exchange.reset();
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
@@ -17,10 +17,10 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * The users' store over HTTP, as a stand-in: items, watches, leases and changes under conditions.
+ * Stand-in of the deployment platform's store over HTTP: items, watches, leases and conditional changes.
  *
- * <p>Invariant: a change is made whole or not at all. Values are kept as they are written, in base64. Not thread safe:
- * confined to its event loop.
+ * <p>Invariant: a change whose condition fails has no effect. Values are stored as they are written, in Base64. Not
+ * thread safe: confined to its event loop, except where a method states otherwise.
  */
 public final class SiteStore {
     private static final long LEASE_EXPIRY_PERIOD_MILLIS = 100;
@@ -41,21 +41,22 @@
     }
 
     /**
-     * Makes a store.
+     * Returns a store.
      *
-     * @param loop the loop that serves it
+     * @param loop the event loop that serves it
      * @return the store, which is empty
      */
     public static SiteStore of(EventLoop loop) {
         SiteStore store = new SiteStore(loop);
-        loop.scheduleAtFixedRate(LEASE_EXPIRY_PERIOD_MILLIS, () -> store.store.expireLeases(System.currentTimeMillis()));
+        loop.scheduleAtFixedRate(
+                LEASE_EXPIRY_PERIOD_MILLIS, () -> store.store.expireLeases(System.currentTimeMillis()));
         return store;
     }
 
     /**
-     * Serves the store.
+     * Starts serving the store.
      *
-     * @param port the port, zero for one that the system chooses
+     * @param port the port, zero for an ephemeral port
      * @return the address that is served
      */
     public InetSocketAddress serve(int port) {
@@ -63,16 +64,17 @@
     }
 
     /**
-     * Refuses all calls from now on, or takes them again. It holds when this returns: left to the event loop, a call that
-     * its caller makes next could be read first, and would be refused by a store that is back.
+     * Makes the store reject all calls from now on, or accept them again. May be called from any thread and takes effect
+     * before it returns: if it were a task of the event loop, the loop could read the next call of the same caller first
+     * and reject it although the store is up again.
      *
-     * @param newDown whether to refuse
+     * @param newDown whether to reject calls
      */
     public void down(boolean newDown) {
         down = newDown;
     }
 
-    /** Forgets the history once: the next watch is told so. */
+    /** Drops the history once: the next watch gets a response that says so. May be called from any thread. */
     public void forgetHistory() {
         loop.schedule(0, () -> {
             historyDropped = true;
@@ -81,9 +83,9 @@
     }
 
     /**
-     * Runs the store until the process is ended.
+     * Runs the store until the process is terminated.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         PlatformOptions options = new PlatformOptions();
@@ -101,15 +103,16 @@
         } else if (path.equals(PlatformPaths.WATCH)) {
             watch(exchange);
         } else if (path.equals(PlatformPaths.GRANT_LEASE)) {
-            long millis = exchange.jsonBody().path("ttl_ms").asLong();
-            Lease lease = store.grantLease(0, millis, System.currentTimeMillis());
-            exchange.respond(STATUS_OK, Json.object().put("lease", lease.id()).put("ttl_ms", millis));
+            long ttlMillis = exchange.jsonBody().path("ttl_ms").asLong();
+            Lease lease = store.grantLease(0, ttlMillis, System.currentTimeMillis());
+            exchange.respond(STATUS_OK, Json.object().put("lease", lease.id()).put("ttl_ms", ttlMillis));
         } else if (path.startsWith(PlatformPaths.KEEP_LEASE)) {
-            Option<Lease> kept = store.renewLease(parseId(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
-            exchange.respond(kept.isDefined() ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
+            Option<Lease> renewed =
+                    store.renewLease(parseId(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
+            exchange.respond(renewed.isDefined() ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
         } else if (path.startsWith(PlatformPaths.END_LEASE)) {
-            boolean ended = store.revokeLease(parseId(path, PlatformPaths.END_LEASE));
-            exchange.respond(ended ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
+            boolean revoked = store.revokeLease(parseId(path, PlatformPaths.END_LEASE));
+            exchange.respond(revoked ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
         } else if (path.equals(PlatformPaths.CHANGE)) {
             change(exchange);
         } else {
@@ -120,42 +123,42 @@
     private void list(Exchange exchange) {
         String prefix = exchange.query("prefix").getOrElse("");
         String after = exchange.query("after").getOrElse("");
-        ObjectNode answer = Json.object().put("has_more", false).put("current_rev", store.revision());
-        ArrayNode items = answer.putArray("items");
+        ObjectNode response = Json.object().put("has_more", false).put("current_rev", store.revision());
+        ArrayNode items = response.putArray("items");
         for (StoredValue value : store.range(new KeyRange(prefix, "\0"))) {
             if (value.key().startsWith(prefix) && value.key().compareTo(after) > 0) {
                 items.add(item(value));
             }
         }
-        exchange.respond(STATUS_OK, answer);
+        exchange.respond(STATUS_OK, response);
     }
 
     private void watch(Exchange exchange) {
         String prefix = exchange.query("prefix").getOrElse("");
         long after = exchange.query("after").map(Long::parseLong).getOrElse(0L);
         long waitMillis = exchange.query("wait_ms").map(Long::parseLong).getOrElse(0L);
-        boolean[] answered = new boolean[1];
-        Function<Boolean, Boolean> answer = atOnce -> {
+        boolean[] responded = new boolean[1];
+        Function<Boolean, Boolean> respond = onlyIfChanged -> {
             ArrayNode events = Json.array();
             for (StoredValue change : store.changesSince(after + 1)) {
                 if (change.key().startsWith(prefix)) {
                     events.add(item(change));
                 }
             }
-            if (answered[0] || atOnce && events.isEmpty() && !historyDropped) {
-                return answered[0];
+            if (responded[0] || onlyIfChanged && events.isEmpty() && !historyDropped) {
+                return responded[0];
             }
-            answered[0] = true;
+            responded[0] = true;
             ObjectNode body = Json.object().put("current_rev", store.revision());
             body.set("events", events);
-            boolean gone = historyDropped;
+            boolean dropped = historyDropped;
             historyDropped = false;
-            exchange.respond(gone ? STATUS_GONE : STATUS_OK, body);
+            exchange.respond(dropped ? STATUS_GONE : STATUS_OK, body);
             return true;
         };
-        if (!answer.apply(true)) {
-            pendingWatches.add(() -> answer.apply(true));
-            loop.schedule(waitMillis, () -> answer.apply(false));
+        if (!respond.apply(true)) {
+            pendingWatches.add(() -> respond.apply(true));
+            loop.schedule(waitMillis, () -> respond.apply(false));
         }
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreApi.java
@@ -12,9 +12,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * The store's published JSON calls over a {@link KeyValueStore}.
+ * The store's published JSON API over a {@link KeyValueStore}.
  *
- * <p>Invariant: a call that meets a fault takes effect wholly or not at all. Not thread safe: confined to the
+ * <p>Invariant: a call that gets an injected fault takes effect completely or not at all. Not thread safe: confined to the
  * platform's thread.
  */
 final class StoreApi {
@@ -42,12 +42,12 @@
         return faults;
     }
 
-    void faults(Faults newer) {
-        if (newer.staleReads() && !faults.staleReads()) {
+    void faults(Faults newFaults) {
+        if (newFaults.staleReads() && !faults.staleReads()) {
             staleSnapshot = store.range(new KeyRange("", "\0"));
         }
-        faults = newer;
-        if (newer.isStoreDown()) {
+        faults = newFaults;
+        if (newFaults.isStoreDown()) {
             List.copyOf(watchers).forEach(watcher -> watcher.exchange().reset());
             watchers.clear();
         }
@@ -87,15 +87,15 @@
         }
     }
 
-    /** Answers a write that took effect, unless its answer is to be lost. */
-    private void respondToWrite(Exchange exchange, ObjectNode answer) {
-        if (answer.has("error")) {
-            exchange.respond(400, answer);
+    /** Responds to a write that took effect, unless the response is to be lost. */
+    private void respondToWrite(Exchange exchange, ObjectNode response) {
+        if (response.has("error")) {
+            exchange.respond(400, response);
         } else if (faults.responsesToLose() > 0) {
             faults = faults.withOneLostResponseFewer();
             exchange.reset();
         } else {
-            exchange.respond(200, answer);
+            exchange.respond(200, response);
         }
     }
 
@@ -106,27 +106,27 @@
                         .filter(value -> range.contains(value.key()))
                         .toList()
                 : store.range(range);
-        ObjectNode answer = StoreJson.header(store.revision());
+        ObjectNode response = StoreJson.header(store.revision());
         if (!found.isEmpty()) {
-            answer.set("kvs", StoreJson.values(found));
+            response.set("kvs", StoreJson.values(found));
         }
-        StoreJson.putNumber(answer, "count", found.size());
-        return answer;
+        StoreJson.putNumber(response, "count", found.size());
+        return response;
     }
 
     private ObjectNode put(JsonNode call) {
-        boolean put = store.put(
+        boolean written = store.put(
                 StoreJson.decodeText(call, "key"),
                 StoreJson.decodeText(call, "value"),
                 call.path("lease").asLong());
-        return put ? StoreJson.header(store.revision()) : error("requested lease not found");
+        return written ? StoreJson.header(store.revision()) : error("requested lease not found");
     }
 
     private ObjectNode delete(JsonNode call) {
         int deleted = store.delete(StoreJson.range(call));
-        ObjectNode answer = StoreJson.header(store.revision());
-        StoreJson.putNumber(answer, "deleted", deleted);
-        return answer;
+        ObjectNode response = StoreJson.header(store.revision());
+        StoreJson.putNumber(response, "deleted", deleted);
+        return response;
     }
 
     private void transaction(Exchange exchange, JsonNode call) {
@@ -138,17 +138,18 @@
         for (JsonNode operation : call.path(holds ? "success" : "failure")) {
             responses.add(applyOperation(operation));
         }
-        ObjectNode answer = StoreJson.header(store.revision());
+        ObjectNode response = StoreJson.header(store.revision());
         if (holds) {
-            answer.put("succeeded", true);
+            response.put("succeeded", true);
         }
-        answer.set("responses", responses);
-        respondToWrite(exchange, answer);
+        response.set("responses", responses);
+        respondToWrite(exchange, response);
     }
 
     private ObjectNode applyOperation(JsonNode operation) {
         if (operation.has("request_put") || operation.has("requestPut")) {
-            return Json.object().set("response_put", put(StoreJson.eitherField(operation, "request_put", "requestPut")));
+            return Json.object()
+                    .set("response_put", put(StoreJson.eitherField(operation, "request_put", "requestPut")));
         }
         if (operation.has("request_delete_range") || operation.has("requestDeleteRange")) {
             JsonNode delete = StoreJson.eitherField(operation, "request_delete_range", "requestDeleteRange");
@@ -165,15 +166,17 @@
 
     private ObjectNode renewLease(JsonNode call, long nowMillis) {
         long id = call.path("ID").asLong();
-        ObjectNode lapsed = StoreJson.header(store.revision()).put("ID", Long.toString(id));
+        ObjectNode expired = StoreJson.header(store.revision()).put("ID", Long.toString(id));
         return Json.object()
-                .set("result", store.renewLease(id, nowMillis).map(this::leaseFields).getOrElse(lapsed));
+                .set(
+                        "result",
+                        store.renewLease(id, nowMillis).map(this::leaseFields).getOrElse(expired));
     }
 
     private ObjectNode leaseFields(Lease lease) {
-        ObjectNode answer = StoreJson.header(store.revision());
-        answer.put("ID", Long.toString(lease.id()));
-        return answer.put("TTL", Long.toString(lease.ttlMillis() / MILLIS_PER_SECOND));
+        ObjectNode response = StoreJson.header(store.revision());
+        response.put("ID", Long.toString(lease.id()));
+        return response.put("TTL", Long.toString(lease.ttlMillis() / MILLIS_PER_SECOND));
     }
 
     private void revokeLease(Exchange exchange, JsonNode call) {
@@ -183,7 +186,8 @@
 
     private void watch(Exchange exchange, JsonNode call) {
         JsonNode create = StoreJson.eitherField(call, "create_request", "createRequest");
-        long from = StoreJson.eitherField(create, "start_revision", "startRevision").asLong();
+        long from =
+                StoreJson.eitherField(create, "start_revision", "startRevision").asLong();
         exchange.startStream("application/json", Map.of());
         ObjectNode created = StoreJson.header(store.revision()).put("created", true);
         if (from > 0 && from <= store.compactedRevision()) {
@@ -209,9 +213,9 @@
         if (faults.silentWatches() || !watcher.range().contains(change.key())) {
             return;
         }
-        ObjectNode told = StoreJson.header(change.modRevision());
-        told.set("events", Json.array().add(StoreJson.event(change)));
-        watcher.exchange().sendChunk(line(told));
+        ObjectNode notification = StoreJson.header(change.modRevision());
+        notification.set("events", Json.array().add(StoreJson.event(change)));
+        watcher.exchange().sendChunk(line(notification));
     }
 
     private static String line(ObjectNode result) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreJson.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoreJson.java
@@ -10,7 +10,8 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * The store's values as its JSON shows them: keys and values in Base64, numbers of 64 bits as text, zero left out.
+ * Converts values of the store to and from its JSON form: keys and values in Base64, 64-bit numbers as text, zeros
+ * omitted.
  * Stateless and thread safe.
  */
 final class StoreJson {
@@ -24,7 +25,7 @@
         return new KeyRange(decodeText(node, "key"), decodeText(node, "range_end"));
     }
 
-    /** A request may name its fields in either of the two spellings that the published calls take. */
+    /** Returns a field of a request, which may be spelt in either of the two ways that the published API accepts. */
     static JsonNode eitherField(JsonNode node, String snakeCase, String camelCase) {
         return node.has(snakeCase) ? node.path(snakeCase) : node.path(camelCase);
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoredValue.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/StoredValue.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * A key of the store with its value. Immutable and thread safe.
+ * A key of the store with its value and revisions. Immutable and thread safe.
  *
  * @param key the key
  * @param value the value, empty for a deleted key
- * @param createRevision the revision at which the key came to be
+ * @param createRevision the revision at which the key was created
  * @param modRevision the revision at which the value was written or deleted
- * @param version how often the key was written since it came to be, zero for a deleted key
- * @param leaseId the lease with which the key ends, zero for none
+ * @param version the number of writes since the key was created, zero for a deleted key
+ * @param leaseId the lease whose end deletes the key, zero for none
  */
 record StoredValue(String key, String value, long createRevision, long modRevision, long version, long leaseId) {
     StoredValue {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/WeightsApi.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/WeightsApi.java
@@ -6,7 +6,7 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * The weight store: one transfer after the other at a bounded rate. Not thread safe: confined to the platform's thread.
+ * The weight store, which runs one transfer at a time at a bounded rate. Not thread safe: confined to the platform's thread.
  */
 final class WeightsApi {
     private static final String PREFIX = "/weights/";
@@ -27,7 +27,7 @@
     void handle(Exchange exchange, long nowMillis) {
         String model = exchange.path().substring(PREFIX.length());
         freeAtMillis = Math.max(freeAtMillis, nowMillis) + transferMillis;
-        ObjectNode answer = Json.object().put("model", model).put("transferMillis", transferMillis);
-        loop.schedule(freeAtMillis - nowMillis, () -> exchange.respond(200, answer));
+        ObjectNode response = Json.object().put("model", model).put("transferMillis", transferMillis);
+        loop.schedule(freeAtMillis - nowMillis, () -> exchange.respond(200, response));
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SettingsTemplate.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SettingsTemplate.java
@@ -7,7 +7,8 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * Fills in a template of settings as the users' platform does, for values and values as JSON. Stateless and thread safe.
+ * Fills in a settings template as the deployment platform does. A placeholder takes a value as text, or as JSON with the
+ * suffix {@code |json}; objects and arrays are always JSON. Stateless and thread safe.
  */
 public final class SettingsTemplate {
     private static final Pattern PLACEHOLDER = Pattern.compile("\\{\\{([A-Za-z0-9_.]+)(\\|json)?}}");
@@ -15,11 +16,11 @@
     private SettingsTemplate() {}
 
     /**
-     * Fills in a template.
+     * Replaces the placeholders of a template by values.
      *
      * @param template the template
-     * @param values the values
-     * @return the settings
+     * @param values the values, an object that placeholders address by dotted paths
+     * @return the settings file's contents
      */
     public static String fill(String template, JsonNode values) {
         Matcher matcher = PLACEHOLDER.matcher(template);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
@@ -19,7 +19,7 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * Puts a configuration in force and calls the gateway as the users' callers do, for the demo. Stateless.
+ * Installs a configuration and calls the gateway as callers of the deployment platform do, for the demo. Not thread safe.
  */
 public final class SiteCalls {
     private static final int STATUS_OK = 200;
@@ -35,15 +35,15 @@
     private SiteCalls() {}
 
     /**
-     * Makes a draft and a booking and prints the answers; fails unless both are whole.
+     * Requests a draft and a booking at each entry host and prints the responses; fails unless all of them succeed.
      *
-     * @param args the settings
-     * @throws IOException if no answer came
+     * @param args the command-line options
+     * @throws IOException if a call fails or too few entry hosts accept callers in time
      * @throws InterruptedException if the thread is interrupted
      */
     public static void main(String[] args) throws IOException, InterruptedException {
-        // Callers address a host name that no name service knows here, so the header is set by hand; the client
-        // reads this once, when it is first used.
+        // Callers address a host name that no name service resolves here, so the Host header is set explicitly. The
+        // HTTP client reads this property only once, when it is first used.
         System.setProperty("jdk.httpclient.allowRestrictedHeaders", "host");
         Options options = new Options();
         JCommander.newBuilder().addObject(options).build().parse(args);
@@ -57,11 +57,11 @@
     private void callBothRoutes(String host) throws IOException, InterruptedException {
         System.out.println("entry host: " + host);
         for (String path : List.of(SiteConfigurations.DRAFTS, SiteConfigurations.BOOKINGS)) {
-            HttpResponse<String> answer = call(host, path);
-            System.out.println("POST " + path + " -> " + answer.statusCode());
-            System.out.println(answer.body().strip());
-            if (answer.statusCode() != STATUS_OK) {
-                throw new IOException("no answer to " + path);
+            HttpResponse<String> response = call(host, path);
+            System.out.println("POST " + path + " -> " + response.statusCode());
+            System.out.println(response.body().strip());
+            if (response.statusCode() != STATUS_OK) {
+                throw new IOException("unsuccessful response to " + path);
             }
         }
     }
@@ -70,18 +70,19 @@
         String uri = "http://" + options.directory + PlatformPaths.RESOLVE + "?name=" + SiteConfigurations.HOST_NAME
                 + "&region=" + options.region + "&zone=" + options.region + "-hall";
         for (int i = 0; i < MAX_ATTEMPTS; i++) {
-            HttpRequest request =
-                    HttpRequest.newBuilder(URI.create(uri)).timeout(CALL_TIMEOUT).build();
-            JsonNode answer = Json.readOrEmpty(
+            HttpRequest request = HttpRequest.newBuilder(URI.create(uri))
+                    .timeout(CALL_TIMEOUT)
+                    .build();
+            JsonNode response = Json.readOrEmpty(
                     client.send(request, HttpResponse.BodyHandlers.ofString()).body());
-            if (answer.path("addresses").size() >= options.hosts) {
+            if (response.path("addresses").size() >= options.hosts) {
                 List<String> addresses = new ArrayList<>();
-                answer.path("addresses").forEach(address -> addresses.add(address.asText()));
+                response.path("addresses").forEach(address -> addresses.add(address.asText()));
                 return addresses;
             }
             TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
         }
-        throw new IOException("fewer than " + options.hosts + " entry hosts took callers in time");
+        throw new IOException("fewer than " + options.hosts + " entry hosts accepted callers in time");
     }
 
     private HttpResponse<String> call(String host, String path) throws IOException, InterruptedException {
@@ -95,18 +96,20 @@
         return client.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    /** The settings. Written by JCommander before any thread reads them, then left alone. */
+    /** The options. Written by JCommander before any thread reads them, constant afterwards. */
     private static final class Options {
         @Parameter(names = "--store", description = "the store's address", required = true)
         private String store;
 
-        @Parameter(names = "--directory", description = "where callers ask for entry hosts", required = true)
+        @Parameter(names = "--directory", description = "the address of the entry host directory", required = true)
         private String directory;
 
         @Parameter(names = "--region", description = "the caller's region", required = true)
         private String region;
 
-        @Parameter(names = "--hosts", description = "the entry hosts to wait for; each named one is called")
+        @Parameter(
+                names = "--hosts",
+                description = "the number of entry hosts to wait for; each host of the directory's response is called")
         private int hosts = 1;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
@@ -3,21 +3,21 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.rattanplank.standins.http.Json;
 
-/** Configurations of the users' format for the demo and tests. Stateless and thread safe. */
+/** Configurations in the deployment platform's format for the demo and tests. Stateless and thread safe. */
 public final class SiteConfigurations {
     /** The host name that callers address. */
     public static final String HOST_NAME = "desk.example";
 
-    /** The path of drafts, which are streams that may be resumed. */
+    /** The path prefix of drafts, which are resumable streams. */
     public static final String DRAFTS = "/drafts/";
 
-    /** The path of bookings, which may run once. */
+    /** The path prefix of bookings, which must not be executed more than once. */
     public static final String BOOKINGS = "/bookings/";
 
-    /** The service of drafts. */
+    /** The service that serves drafts. */
     public static final String WRITER = "writer";
 
-    /** The service of bookings. */
+    /** The service that serves bookings. */
     public static final String DESK = "desk";
 
     private static final int ROUTE_TIMEOUT_MILLIS = 5_000;
@@ -25,9 +25,9 @@
     private SiteConfigurations() {}
 
     /**
-     * Makes a configuration with one route for drafts and one for bookings.
+     * Returns a configuration with one route for drafts and one for bookings.
      *
-     * @param version its version
+     * @param version the configuration's version
      * @return the configuration
      */
     public static ObjectNode of(long version) {
@@ -44,16 +44,16 @@
         return configuration;
     }
 
-    private static ObjectNode route(String name, String prefix, String kind, String service, int attempts) {
+    private static ObjectNode route(String name, String prefix, String routeType, String service, int maxAttempts) {
         return Json.object()
                 .put("name", name)
                 .put("hostname", HOST_NAME)
                 .put("prefix", prefix)
-                .put("route_type", kind)
+                .put("route_type", routeType)
                 .put("timeout_ms", ROUTE_TIMEOUT_MILLIS)
                 .put("target_latency_ms", ROUTE_TIMEOUT_MILLIS / 2)
                 .put("priority", 1)
                 .put("backend", service)
-                .put("max_attempts", attempts);
+                .put("max_attempts", maxAttempts);
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteHost.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteHost.java
@@ -4,13 +4,13 @@
 import java.util.Objects;
 
 /**
- * A gateway host of an installation on stand-ins. Immutable and thread safe.
+ * A gateway host of a deployment on stand-ins. Immutable and thread safe.
  *
  * @param name its name
  * @param region its region
  * @param regions all regions, each of which has one data centre
  * @param ip its address on the loopback network
- * @param port the first of the five ports that it uses
+ * @param port the first of the five consecutive ports that it uses
  * @param store the store's address
  */
 public record SiteHost(String name, String region, List<String> regions, String ip, int port, String store) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
@@ -14,13 +14,13 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A replica of the users' services, as a stand-in: it enters itself in the store, runs only what is meant for it, and
- * answers plainly or by a stream that may be resumed. Not thread safe: confined to its event loop.
+ * Stand-in of a replica of a service: it registers itself in the store, executes only requests that are addressed to it,
+ * and responds with a single body or a resumable stream. Not thread safe: confined to its event loop.
  */
 public final class SiteReplica {
     private static final int STATUS_OK = 200;
     private static final int STATUS_MISDIRECTED_REQUEST = 421;
-    /** How many events a whole stream has. */
+    /** The number of events of a complete stream. */
     public static final int EVENTS = 5;
 
     private static final long EVENT_INTERVAL_MILLIS = 20;
@@ -31,30 +31,31 @@
     private final Consumer<String> executionListener;
     private final HeaderNames headerNames = PlatformHeaders.names();
 
-    private SiteReplica(EventLoop loop, String id, boolean streams, Consumer<String> ran) {
+    private SiteReplica(EventLoop loop, String id, boolean streams, Consumer<String> executionListener) {
         this.loop = loop;
         this.id = id;
         this.streams = streams;
-        this.executionListener = ran;
+        this.executionListener = executionListener;
     }
 
     /**
-     * Serves a replica.
+     * Starts serving a replica.
      *
-     * @param loop the loop that serves it
-     * @param id its identifier
-     * @param streams whether it answers by streams
-     * @param ran told the identifier of each request that it runs
-     * @return its address
+     * @param loop the event loop that serves it
+     * @param id the replica's identifier
+     * @param streams whether it responds with streams
+     * @param executionListener called with the identifier of each request that it executes
+     * @return the address that is served
      */
-    public static InetSocketAddress serve(EventLoop loop, String id, boolean streams, Consumer<String> ran) {
-        return loop.serve(0, new SiteReplica(loop, id, streams, ran)::handle);
+    public static InetSocketAddress serve(
+            EventLoop loop, String id, boolean streams, Consumer<String> executionListener) {
+        return loop.serve(0, new SiteReplica(loop, id, streams, executionListener)::handle);
     }
 
     /**
-     * Runs a replica until the process is ended.
+     * Runs a replica until the process is terminated.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         Options options = new Options();
@@ -66,10 +67,10 @@
     }
 
     private void handle(Exchange exchange) {
-        String expected = exchange.header(headerNames.expectedTarget()).getOrElse(id);
+        String expectedId = exchange.header(headerNames.expectedTarget()).getOrElse(id);
         String requestId = exchange.header(headerNames.requestId()).getOrElse("");
         Map<String, String> echo = Map.of(headerNames.requestId(), requestId);
-        if (!expected.equals(id)) {
+        if (!expectedId.equals(id)) {
             exchange.respond(STATUS_MISDIRECTED_REQUEST, echo, Json.object());
             return;
         }
@@ -79,7 +80,10 @@
             sendEvent(
                     exchange,
                     requestId,
-                    exchange.header(headerNames.lastEventId()).map(Integer::parseInt).getOrElse(0) + 1);
+                    exchange.header(headerNames.lastEventId())
+                                    .map(Integer::parseInt)
+                                    .getOrElse(0)
+                            + 1);
         } else {
             exchange.respond(STATUS_OK, echo, Json.object().put("by", id).put("for", requestId));
         }
@@ -97,7 +101,7 @@
         loop.schedule(EVENT_INTERVAL_MILLIS, () -> sendEvent(exchange, requestId, number + 1));
     }
 
-    /** The settings. Written by JCommander before any thread reads them, then left alone. */
+    /** The options. Written by JCommander before any thread reads them, constant afterwards. */
     private static final class Options {
         @Parameter(names = "--store", description = "the store's address", required = true)
         private String store;
@@ -105,13 +109,13 @@
         @Parameter(names = "--id", description = "the replica's identifier", required = true)
         private String id;
 
-        @Parameter(names = "--service", description = "the service that it belongs to", required = true)
+        @Parameter(names = "--service", description = "the replica's service", required = true)
         private String service;
 
-        @Parameter(names = "--data-centre", description = "where it stands", required = true)
+        @Parameter(names = "--data-centre", description = "the replica's data centre", required = true)
         private String dataCentre;
 
-        @Parameter(names = "--streams", description = "answer by streams")
+        @Parameter(names = "--streams", description = "respond with streams")
         private boolean streams;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.rattanplank.standins.http.Json;
 
-/** Writes the settings file of one gateway process, as the users' platform would. Stateless. */
+/** Writes the settings file of one gateway process, as the deployment platform does. Stateless. */
 public final class SiteSettings {
     private static final int STOP_GRACE_SECONDS = 8;
     private static final double RETRY_BUDGET_RATIO = 0.2;
@@ -23,7 +23,7 @@
     /**
      * Writes a settings file.
      *
-     * @param args the settings
+     * @param args the command-line options
      * @throws IOException if a file can't be read or written
      */
     public static void main(String[] args) throws IOException {
@@ -73,7 +73,7 @@
         return values;
     }
 
-    /** The settings. Written by JCommander before any thread reads them, then left alone. */
+    /** The options. Written by JCommander before any thread reads them, constant afterwards. */
     private static final class Options {
         @Parameter(names = "--template", description = "the template", required = true)
         private String template;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
@@ -15,7 +15,7 @@
 import org.rattanplank.platform.PlatformPaths;
 import org.rattanplank.standins.http.Json;
 
-/** Writes into the stand-in store as the operator and the replicas do. Thread safe. */
+/** Client that writes to the stand-in store as the operator and the replicas do. Thread safe. */
 public final class SiteStoreClient {
     private static final int STATUS_OK = 200;
     private static final int TARGET_SLOTS = 8;
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Makes a client.
+     * Returns a client of a store.
      *
      * @param store the store's address
      * @return the client
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Puts a configuration in force.
+     * Installs a configuration.
      *
      * @param configuration the configuration
      */
@@ -47,12 +47,12 @@
     }
 
     /**
-     * Enters a target.
+     * Registers a target as ready.
      *
-     * @param id its identifier
-     * @param service the service that it belongs to
-     * @param address its address
-     * @param dataCentre where it stands
+     * @param id the target's identifier
+     * @param service the target's service
+     * @param address the target's address
+     * @param dataCentre the target's data centre
      */
     public void enterTarget(String id, String service, String address, String dataCentre) {
         put(
@@ -67,9 +67,9 @@
     }
 
     /**
-     * Takes a target out.
+     * Removes a target.
      *
-     * @param id its identifier
+     * @param id the target's identifier
      */
     public void removeTarget(String id) {
         ObjectNode change = Json.object();
@@ -95,13 +95,13 @@
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             if (response.statusCode() != STATUS_OK) {
-                throw new IOException("the store answered " + response.statusCode());
+                throw new IOException("store update failed with HTTP status " + response.statusCode());
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted", e);
+            throw new IllegalStateException("interrupted during a store update", e);
         }
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
@@ -8,14 +8,14 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A call to a target with the fault that it meets. Immutable; its exchange is confined to the targets' thread.
+ * A call to a target with the fault that is injected into it. Immutable; its exchange is confined to the targets' thread.
  *
- * @param exchange the call
+ * @param exchange the HTTP exchange of the call
  * @param body the call's body
  * @param requestId the request's identifier
- * @param idempotencyKey the key, empty for none
- * @param reference the caller's own name for the call, which the answer repeats; empty for none
- * @param fault the fault
+ * @param idempotencyKey the idempotency key, empty for none
+ * @param reference the caller's own name for the call, which the response echoes; empty for none
+ * @param fault the fault to inject
  */
 record Call(
         Exchange exchange,
@@ -41,8 +41,8 @@
         return Map.of("X-Request-Id", requestId);
     }
 
-    void respond(ObjectNode answer) {
-        fault.kind().respond(this, answer);
+    void respond(ObjectNode response) {
+        fault.kind().respond(this, response);
     }
 
     void reject(int status, String reason) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/EngineRequest.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/EngineRequest.java
@@ -4,10 +4,10 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * One request in an engine, from the queue to its last token.
+ * A request at a model engine, from its queueing to its last generated token.
  *
- * <p>Invariant: part {@code n} of a request is the same whenever it is made, so that a resumed stream fits. Confined to
- * the targets' thread.
+ * <p>Invariant: token {@code n} of a request is the same whenever it is produced, so that a resumed stream continues
+ * the interrupted one. Each token is one stream event. Confined to the targets' thread.
  */
 final class EngineRequest {
     private final long arrivalNumber;
@@ -65,15 +65,15 @@
         detached = true;
     }
 
-    void start(Execution begun, int warmTokens) {
-        execution = begun;
-        prefillTokens = prompt.tokens() - warmTokens;
+    void start(Execution newExecution, int cachedTokens) {
+        execution = newExecution;
+        prefillTokens = prompt.tokens() - cachedTokens;
         if (isStream()) {
             startStream();
         }
     }
 
-    /** Takes one step of the batch. */
+    /** Runs one step of the batch: a chunk of the prefill, or the decode of one token. */
     void step(long prefillTokensPerStep) {
         if (prefillTokens > 0) {
             prefillTokens -= prefillTokensPerStep;
@@ -90,8 +90,8 @@
         }
     }
 
-    /** Goes on at a part on another connection. */
-    void resume(Call resumed, long fromPart) {
+    /** Resumes the stream at an event on another connection. */
+    void resume(Call resumed, long fromEvent) {
         call = new Call(
                 resumed.exchange(),
                 call.body(),
@@ -99,7 +99,7 @@
                 call.idempotencyKey(),
                 call.reference(),
                 resumed.fault());
-        sentEvents = fromPart;
+        sentEvents = fromEvent;
         detached = false;
         startStream();
         sendEvents();
@@ -132,24 +132,26 @@
         }
     }
 
-    private ObjectNode chunk(long part) {
+    private ObjectNode chunk(long token) {
         ObjectNode choice = Json.object().put("index", 0);
-        choice.set("delta", Json.object().put("content", content(part)));
-        return responseFields("chat.completion.chunk").set("choices", Json.array().add(choice));
+        choice.set("delta", Json.object().put("content", content(token)));
+        return responseFields("chat.completion.chunk")
+                .set("choices", Json.array().add(choice));
     }
 
     private ObjectNode completion() {
-        StringBuilder whole = new StringBuilder();
-        for (long part = 0; part < maxTokens; part++) {
-            whole.append(content(part));
+        StringBuilder content = new StringBuilder();
+        for (long token = 0; token < maxTokens; token++) {
+            content.append(content(token));
         }
-        ObjectNode message = Json.object().put("role", "assistant").put("content", whole.toString());
+        ObjectNode message = Json.object().put("role", "assistant").put("content", content.toString());
         ObjectNode choice = Json.object().put("index", 0).put("finish_reason", "stop");
         choice.set("message", message);
-        ObjectNode answer = responseFields("chat.completion");
-        answer.set("choices", Json.array().add(choice));
-        answer.set("usage", Json.object().put("prompt_tokens", prompt.tokens()).put("completion_tokens", maxTokens));
-        return answer;
+        ObjectNode response = responseFields("chat.completion");
+        response.set("choices", Json.array().add(choice));
+        response.set(
+                "usage", Json.object().put("prompt_tokens", prompt.tokens()).put("completion_tokens", maxTokens));
+        return response;
     }
 
     private ObjectNode responseFields(String object) {
@@ -159,7 +161,7 @@
                 .put("model", call.body().path("model").asText());
     }
 
-    private String content(long part) {
-        return call.reference() + ":" + part + " ";
+    private String content(long token) {
+        return call.reference() + ":" + token + " ";
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Execution.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Execution.java
@@ -4,9 +4,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * One run of a request at a target, as the ledger holds it.
+ * One execution of a request at a target, as recorded in the ledger.
  *
- * <p>Invariant: a run that has ended stays as it is. Not thread safe: confined to the targets' thread.
+ * <p>Invariant: an execution that has ended doesn't change any more. Not thread safe: confined to the targets' thread.
  */
 final class Execution {
     private final String target;
@@ -23,9 +23,9 @@
         this.startedAtMillis = startedAtMillis;
     }
 
-    void end(ExecutionState ended) {
+    void end(ExecutionState finalState) {
         if (state == ExecutionState.RUNNING) {
-            state = ended;
+            state = finalState;
             endedAtMillis = System.currentTimeMillis();
         }
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ExecutionState.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ExecutionState.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 
-/** How far a run has come. */
+/** The state of an execution. */
 enum ExecutionState {
-    /** It runs. */
+    /** In progress. */
     RUNNING,
-    /** It ran wholly, whether or not anybody got the answer. */
+    /** Completed, whether or not the response was delivered. */
     WHOLE,
-    /** It was cancelled on the way. */
+    /** Cancelled before it completed. */
     CANCELLED;
 
     String label() {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/FaultKind.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/FaultKind.java
@@ -7,14 +7,14 @@
 import io.vavr.control.Option;
 import org.rattanplank.standins.http.Json;
 
-/** A way in which a target goes wrong, or {@link #NONE}. */
+/** A fault that a target injects into a call, or {@link #NONE}. */
 enum FaultKind {
-    /** The call is answered as it should be. */
+    /** The call gets its normal response. */
     NONE,
-    /** The call runs, then the connection is reset instead of the answer. */
+    /** The call is executed, then the connection is reset instead of sending the response. */
     LOSE_ANSWER {
         @Override
-        void respond(Call call, ObjectNode answer) {
+        void respond(Call call, ObjectNode response) {
             call.exchange().reset();
         }
 
@@ -23,12 +23,12 @@
             call.exchange().reset();
         }
     },
-    /** The answer is sent twice on the same connection. */
+    /** The response is sent twice on the same connection. */
     ANSWER_TWICE {
         @Override
-        void respond(Call call, ObjectNode answer) {
-            super.respond(call, answer);
-            super.respond(call, answer);
+        void respond(Call call, ObjectNode response) {
+            super.respond(call, response);
+            super.respond(call, response);
         }
 
         @Override
@@ -37,18 +37,18 @@
             super.respond(call, Json.object().put("again", call.reference()));
         }
     },
-    /** The answer names another request. */
+    /** The response carries the identifier of another request. */
     WRONG_ID {
         @Override
         Map<String, String> headers(Call call) {
             return Map.of("X-Request-Id", "another-than-" + call.requestId());
         }
     },
-    /** Half of the answer is sent, then the connection is reset. */
+    /** Half of the response is sent, then the connection is reset. */
     CUT_BODY {
         @Override
-        void respond(Call call, ObjectNode answer) {
-            call.exchange().respondTruncated(200, headers(call), answer);
+        void respond(Call call, ObjectNode response) {
+            call.exchange().respondTruncated(200, headers(call), response);
         }
 
         @Override
@@ -56,36 +56,36 @@
             call.exchange().reset();
         }
     },
-    /** After some parts of a stream the connection is reset; other answers are cut. */
+    /** After some stream events the connection is reset; other responses are truncated. */
     CUT_STREAM {
         @Override
-        void respond(Call call, ObjectNode answer) {
-            CUT_BODY.respond(call, answer);
+        void respond(Call call, ObjectNode response) {
+            CUT_BODY.respond(call, response);
         }
 
         @Override
-        void beforeEvent(Call call, long part) {
-            if (part == call.fault().afterEvents()) {
+        void beforeEvent(Call call, long event) {
+            if (event == call.fault().afterEvents()) {
                 call.exchange().reset();
             }
         }
     },
-    /** The call runs; after some parts, or instead of the answer, nothing is sent on the open connection. */
+    /** The call is executed; after some stream events, or instead of the response, nothing is sent on the open connection. */
     SILENT {
         @Override
-        void respond(Call call, ObjectNode answer) {}
+        void respond(Call call, ObjectNode response) {}
 
         @Override
-        boolean sendsEvent(Call call, long part) {
-            return part < call.fault().afterEvents();
+        boolean sendsEvent(Call call, long event) {
+            return event < call.fault().afterEvents();
         }
 
         @Override
         void endStream(Call call) {}
     },
-    /** The call takes longer. */
+    /** The call takes longer than usual. */
     SLOW,
-    /** The call is refused before it runs. */
+    /** The call is rejected before it is executed. */
     REFUSE {
         @Override
         boolean rejects() {
@@ -114,13 +114,13 @@
         return call.headers();
     }
 
-    void respond(Call call, ObjectNode answer) {
-        call.exchange().respond(200, headers(call), answer);
+    void respond(Call call, ObjectNode response) {
+        call.exchange().respond(200, headers(call), response);
     }
 
-    void beforeEvent(Call call, long part) {}
+    void beforeEvent(Call call, long event) {}
 
-    boolean sendsEvent(Call call, long part) {
+    boolean sendsEvent(Call call, long event) {
         return true;
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ModelEngine.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/ModelEngine.java
@@ -14,10 +14,10 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A model engine that batches continuously: each step gives every running request one token, and a request that has
- * ended makes room at once for the queued one with the lowest priority number.
+ * A model engine with continuous batching: each step gives every running request one token, and the slot of a finished
+ * request goes at once to the queued request with the lowest priority number.
  *
- * <p>Invariant: at most as many requests run as there are slots. Confined to the targets' thread.
+ * <p>Invariant: the number of running requests never exceeds the number of slots. Confined to the targets' thread.
  */
 final class ModelEngine implements RequestExecutor {
     private static final int MAX_QUEUED_REQUESTS = 200;
@@ -30,8 +30,8 @@
     private final TargetOptions options;
     private final Function<Call, Execution> startExecution;
     private final PrefixCache cache;
-    private final PriorityQueue<EngineRequest> queue =
-            new PriorityQueue<>(Comparator.comparingInt(EngineRequest::priority).thenComparingLong(EngineRequest::arrivalNumber));
+    private final PriorityQueue<EngineRequest> queue = new PriorityQueue<>(
+            Comparator.comparingInt(EngineRequest::priority).thenComparingLong(EngineRequest::arrivalNumber));
     private final Map<String, EngineRequest> running = new LinkedHashMap<>();
     private final Map<String, EngineRequest> finished = new LinkedHashMap<>() {
         @Override
@@ -55,9 +55,9 @@
             call.reject(429, "the queue is full");
             return;
         }
-        EngineRequest generation = new EngineRequest(call, PromptPrefixes.of(call.body()), nextArrivalNumber++);
-        queue.add(generation);
-        watchConnection(generation, call);
+        EngineRequest request = new EngineRequest(call, PromptPrefixes.of(call.body()), nextArrivalNumber++);
+        queue.add(request);
+        watchConnection(request, call);
         startQueued();
     }
 
@@ -98,10 +98,10 @@
 
     private void startQueued() {
         while (running.size() < options.slots && !queue.isEmpty()) {
-            EngineRequest generation = queue.poll();
-            running.put(generation.requestId(), generation);
-            int warmTokens = cache.lookupAndInsert(generation.prompt());
-            generation.start(startExecution.apply(generation.call()), warmTokens);
+            EngineRequest request = queue.poll();
+            running.put(request.requestId(), request);
+            int cachedTokens = cache.lookupAndInsert(request.prompt());
+            request.start(startExecution.apply(request.call()), cachedTokens);
         }
         if (!stepScheduled && !running.isEmpty()) {
             stepScheduled = true;
@@ -112,50 +112,50 @@
     private void step() {
         stepScheduled = false;
         List<EngineRequest> batch = new ArrayList<>(running.values());
-        for (EngineRequest generation : batch) {
-            generation.step(options.prefillTokensPerStep);
-            if (generation.isDone()) {
-                running.remove(generation.requestId());
-                finished.put(generation.requestId(), generation);
+        for (EngineRequest request : batch) {
+            request.step(options.prefillTokensPerStep);
+            if (request.isDone()) {
+                running.remove(request.requestId());
+                finished.put(request.requestId(), request);
             }
         }
         startQueued();
     }
 
     private void resume(Exchange exchange, String requestId) {
-        EngineRequest generation = running.getOrDefault(requestId, finished.get(requestId));
-        if (generation == null) {
+        EngineRequest request = running.getOrDefault(requestId, finished.get(requestId));
+        if (request == null) {
             exchange.respond(
                     404, Map.of("X-Request-Id", requestId), Json.object().put("error", "no such stream"));
             return;
         }
         Call call = Call.of(exchange, PlannedFault.none());
-        generation.resume(call, Long.parseLong(exchange.query("from").getOrElse("0")));
-        watchConnection(generation, call);
+        request.resume(call, Long.parseLong(exchange.query("from").getOrElse("0")));
+        watchConnection(request, call);
     }
 
     private void cancel(String requestId) {
-        queue.removeIf(generation -> generation.requestId().equals(requestId));
-        EngineRequest generation = running.remove(requestId);
-        if (generation != null) {
-            generation.cancel();
+        queue.removeIf(request -> request.requestId().equals(requestId));
+        EngineRequest request = running.remove(requestId);
+        if (request != null) {
+            request.cancel();
             startQueued();
         }
     }
 
-    /** Lets a broken stream go on for a while, so that it can be resumed, and then ends it. */
-    private void watchConnection(EngineRequest generation, Call call) {
-        if (!generation.isStream()) {
+    /** Continues a stream after its connection closed, so that it can be resumed; cancels it after a time-out. */
+    private void watchConnection(EngineRequest request, Call call) {
+        if (!request.isStream()) {
             return;
         }
         call.exchange().onClose(() -> {
-            if (generation.isDone() || generation.call().exchange() != call.exchange()) {
+            if (request.isDone() || request.call().exchange() != call.exchange()) {
                 return;
             }
-            generation.detach();
+            request.detach();
             loop.schedule(DETACHED_STREAM_TIMEOUT_MILLIS, () -> {
-                if (generation.isDetached() && !generation.isDone()) {
-                    cancel(generation.requestId());
+                if (request.isDetached() && !request.isDone()) {
+                    cancel(request.requestId());
                 }
             });
         });
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlainService.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlainService.java
@@ -10,9 +10,10 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A plain service: bookings or quotes that take a fixed time, some at once. Confined to the targets' thread.
+ * A plain service: bookings or quotes that take a fixed time, with bounded concurrency. Confined to the targets'
+ * thread.
  *
- * <p>Invariant: it does not look at idempotency keys; a call that comes twice runs twice.
+ * <p>Invariant: it ignores idempotency keys; a call that arrives twice is executed twice.
  */
 final class PlainService implements RequestExecutor {
     private static final String CACHE_EVENTS_PATH = "/cache-events";
@@ -69,20 +70,20 @@
         while (running < options.slots && !queue.isEmpty()) {
             Call call = queue.poll();
             running++;
-            Execution run = startExecution.apply(call);
-            loop.schedule(options.delayMillis + call.fault().delayMillis(), () -> finish(call, run));
+            Execution execution = startExecution.apply(call);
+            loop.schedule(options.delayMillis + call.fault().delayMillis(), () -> finish(call, execution));
         }
     }
 
-    private void finish(Call call, Execution run) {
+    private void finish(Call call, Execution execution) {
         running--;
         confirmations++;
-        run.end(ExecutionState.WHOLE);
-        ObjectNode answer = Json.object()
-                .put("confirmation", run.toJson().path("target").asText() + "-" + confirmations)
+        execution.end(ExecutionState.WHOLE);
+        ObjectNode response = Json.object()
+                .put("confirmation", execution.toJson().path("target").asText() + "-" + confirmations)
                 .put("reference", call.reference());
-        answer.set("asked", call.body());
-        call.respond(answer);
+        response.set("asked", call.body());
+        call.respond(response);
         startQueued();
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
@@ -6,12 +6,12 @@
 import io.vavr.control.Option;
 
 /**
- * A fault that the next calls meet. Immutable and thread safe.
+ * A fault to inject into the next calls. Immutable and thread safe.
  *
- * @param kind what goes wrong
- * @param remainingCalls how many calls meet it
- * @param afterEvents after how many parts a stream meets it
- * @param delayMillis how much longer a call takes
+ * @param kind the kind of fault
+ * @param remainingCalls how many further calls get it
+ * @param afterEvents after how many stream events it takes effect
+ * @param delayMillis the additional latency of a call
  */
 record PlannedFault(FaultKind kind, int remainingCalls, long afterEvents, long delayMillis) {
     private static final PlannedFault NONE = new PlannedFault(FaultKind.NONE, 0, 0, 0);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PrefixCache.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PrefixCache.java
@@ -12,9 +12,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * An engine's bounded cache of prompt prefixes, and the late and gappy events that it publishes.
+ * An engine's bounded cache of prompt prefixes, which publishes its events with a lag and with gaps.
  *
- * <p>Invariant: the cached tokens stay within the bound; the least recently used prefix goes first. Confined to the
+ * <p>Invariant: the cached tokens stay within the bound; the least recently used block is evicted first. Confined to the
  * targets' thread.
  */
 final class PrefixCache {
@@ -36,17 +36,17 @@
         return cachedTokens;
     }
 
-    /** Takes a prompt in and tells how many of its tokens were there already. */
+    /** Inserts a prompt and returns how many of its tokens were cached already. */
     int lookupAndInsert(PromptPrefixes prompt) {
-        int warm = 0;
+        int hitTokens = 0;
         for (long hash : prompt.hashes()) {
             if (blocks.get(hash) == null) {
                 break;
             }
-            warm += prompt.tokensPerBlock();
+            hitTokens += prompt.tokensPerBlock();
         }
         insert(prompt);
-        return Math.min(warm, prompt.tokens());
+        return Math.min(hitTokens, prompt.tokens());
     }
 
     ObjectNode eventsAfter(long after) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PromptPrefixes.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PromptPrefixes.java
@@ -6,10 +6,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A prompt as an engine sees it. Immutable and thread safe.
+ * The length of a prompt and the hashes of its prefixes (FNV-1a, 64 bits). Immutable and thread safe.
  *
- * @param tokens the length of the prompt
- * @param tokensPerBlock how many tokens each hash adds
+ * @param tokens the length of the prompt in tokens
+ * @param tokensPerBlock the tokens by which each prefix is longer than the previous one
  * @param hashes hashes of the prompt's prefixes, shortest first
  */
 record PromptPrefixes(int tokens, int tokensPerBlock, List<Long> hashes) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/RequestExecutor.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/RequestExecutor.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** What a target runs: a model engine or a plain service. Confined to the targets' thread. */
+/** Executes the calls of a target: a model engine or a plain service. Confined to the targets' thread. */
 interface RequestExecutor {
 
-    /** Starts a call, queues it or refuses it. */
+    /** Starts a call, queues it or rejects it. */
     void start(Call call);
 
-    /** Takes a call that is about an earlier one; tells whether it was one. */
+    /** Handles a control call, such as one about an earlier request; returns false if it is none. */
     boolean handleControl(org.rattanplank.standins.http.Exchange exchange);
 
     int runningCount();
 
     int queuedCount();
 
-    /** Adds what only this kind of work reports of its load. */
+    /** Adds the load report's fields that are specific to this kind of executor. */
     void addLoadFields(ObjectNode load);
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Target.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Target.java
@@ -14,9 +14,9 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * One target: its work, its reports of load, its orders and its faults.
+ * One target: its executor, load reports, orders and planned faults.
  *
- * <p>Invariant: the highest fencing number that it has seen never falls. Confined to the targets' thread.
+ * <p>Invariant: the highest fencing number received never decreases. Confined to the targets' thread.
  */
 final class Target {
     private static final String LOAD_PATH = "/load";
@@ -72,8 +72,8 @@
         faults.clear();
     }
 
-    void leaving(boolean newer) {
-        leaving = newer;
+    void leaving(boolean newLeaving) {
+        leaving = newLeaving;
     }
 
     void handle(Exchange exchange) {
@@ -109,17 +109,17 @@
     }
 
     private void updateLoadReport() {
-        ArrayNode loaded = Json.array();
-        models.forEach(loaded::add);
-        ObjectNode measured = Json.object().put("service", service);
-        measured.set("models", loaded);
-        measured.put("running", executor.runningCount())
+        ArrayNode modelNames = Json.array();
+        models.forEach(modelNames::add);
+        ObjectNode updated = Json.object().put("service", service);
+        updated.set("models", modelNames);
+        updated.put("running", executor.runningCount())
                 .put("queued", executor.queuedCount())
                 .put("slots", options.slots)
                 .put("leaving", leaving)
                 .put("role", role);
-        executor.addLoadFields(measured);
-        loadReport = measured;
+        executor.addLoadFields(updated);
+        loadReport = updated;
         loadReportedAtMillis = System.currentTimeMillis();
     }
 
@@ -127,8 +127,8 @@
         return loadReport.deepCopy().put("ageMillis", System.currentTimeMillis() - loadReportedAtMillis);
     }
 
-    private void setRole(String newer) {
-        role = newer;
+    private void setRole(String newRole) {
+        role = newRole;
     }
 
     private void handleOrder(Exchange exchange, JsonNode order) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
@@ -16,17 +16,17 @@
 import org.rattanplank.standins.platform.HostsClient;
 
 /**
- * One process of targets, each on its own port, and a port for whoever tests them.
+ * A process of targets, each on its own port, with a further port by which tests control them.
  *
- * <p>The test's port takes {@code GET /ledger}, {@code POST /faults} and {@code POST /leaving}. Confined to its loop's
- * thread once it serves.
+ * <p>The control port serves {@code GET /ledger}, {@code POST /faults} and {@code POST /leaving}. Confined to its event
+ * loop's thread once it serves.
  */
 public final class Targets {
     private final EventLoop loop;
     private final TargetOptions options;
     private final Ledger ledger = new Ledger();
     private final Map<Target, String> addresses = new LinkedHashMap<>();
-    private String control = "";
+    private String controlAddress = "";
 
     private Targets(EventLoop loop, TargetOptions options) {
         this.loop = loop;
@@ -34,24 +34,24 @@
     }
 
     /**
-     * Serves targets.
+     * Starts serving the targets of the options.
      *
-     * @param loop the loop that serves them
-     * @param options their settings
+     * @param loop the event loop that serves them
+     * @param options the options
      * @return the targets
      */
     public static Targets serve(EventLoop loop, TargetOptions options) {
         Targets targets = new Targets(loop, options);
         options.modelServices.forEach(service -> targets.addService(service, true));
         options.plainServices.forEach(service -> targets.addService(service, false));
-        targets.control = Addresses.write(loop.serve(0, targets::control));
+        targets.controlAddress = Addresses.write(loop.serve(0, targets::handleControl));
         return targets;
     }
 
     /**
-     * Runs the targets until the process is ended.
+     * Runs the targets until the process is terminated.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         TargetOptions options = new TargetOptions();
@@ -59,22 +59,22 @@
         Targets targets = serve(EventLoop.of(), options);
         targets.addresses.forEach((target, address) -> System.out.println(
                 "target ready name=" + target.name() + " service=" + target.service() + " address=" + address));
-        System.out.println("targets ready control=" + targets.control);
+        System.out.println("targets ready control=" + targets.controlAddress);
     }
 
     /**
-     * The port for whoever tests the targets.
+     * Returns the address of the control port.
      *
      * @return the address as IP:PORT
      */
     public String controlAddress() {
-        return control;
+        return controlAddress;
     }
 
     /**
-     * Finds the address of a target.
+     * Returns the address of a target.
      *
-     * @param name the target
+     * @param name the target's name
      * @return the address as IP:PORT, or none
      */
     public Option<String> address(String name) {
@@ -114,7 +114,7 @@
         HostsClient.of(options.platform).put(target.name(), host);
     }
 
-    private void control(Exchange exchange) {
+    private void handleControl(Exchange exchange) {
         JsonNode body = exchange.jsonBody();
         switch (exchange.path()) {
             case "/ledger" -> exchange.respond(200, ledger.toJson());
@@ -139,10 +139,10 @@
     }
 
     private List<Target> selectTargets(JsonNode body) {
-        String wanted = body.path("target").asText();
+        String name = body.path("target").asText();
         String service = body.path("service").asText();
         return addresses.keySet().stream()
-                .filter(target -> wanted.isEmpty() || target.name().equals(wanted))
+                .filter(target -> name.isEmpty() || target.name().equals(name))
                 .filter(target -> service.isEmpty() || target.service().equals(service))
                 .toList();
     }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/TestHttp.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/TestHttp.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.rattanplank.standins.http.Json;
 
-/** Calls a stand-in. Thread safe. */
+/** HTTP client for calls to a stand-in. Thread safe. */
 public final class TestHttp {
     private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/link/LinkTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/link/LinkTest.java
@@ -8,11 +8,11 @@
 
 class LinkTest {
     /**
-     * Symptom: a cut of a link failed with "Socket is closed". Sequence: a connection closed between the moment at which
-     * the cut listed it and the one at which it was reset. Cause: a closed socket takes no options.
+     * Guards against a failure with "Socket is closed" when a link resets its connections: a connection may close after
+     * it was selected for the reset, and setting an option on a closed socket throws.
      */
     @Test
-    void shouldPassOverAConnectionWhenItClosedBeforeTheReset() {
+    void shouldSkipConnectionWhenItClosedBeforeReset() {
         try (EventLoop loop = EventLoop.of()) {
             NioSocketChannel channel = new NioSocketChannel();
             loop.group().register(channel).syncUninterruptibly();
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void shouldTellWatcherOfEarlierAndLaterChangesWhenItStartsAtRevision() throws Exception {
+    void shouldSendEarlierAndLaterChangesWhenWatchStartsAtRevision() throws Exception {
         createIfAbsent("k", "earlier");
         String watch = "{\"create_request\":{\"key\":\"" + base64("k") + "\",\"start_revision\":\"2\"}}";
         HttpRequest request = platform.request("/v3/watch")
@@ -53,10 +53,10 @@
         }
     }
 
-    // Symptom: a writer sees its connection reset and does not know whether it wrote. Sequence: the write takes effect,
-    // then the answer is lost. Cause: the store's answer and its effect are two things.
+    // Guards against a fault injection that drops the write together with its response: the write must take effect
+    // although the writer only sees a connection reset and can't know whether it did.
     @Test
-    void shouldApplyWriteWhenItsAnswerIsLost() throws Exception {
+    void shouldApplyWriteWhenItsResponseIsLost() throws Exception {
         platform.post("/faults", "{\"loseAnswers\":1}");
         assertThrows(IOException.class, () -> platform.post("/v3/kv/put", put("k", "kept", 0)));
         assertEquals("kept", read("k"));
@@ -70,11 +70,10 @@
         assertEquals("", read("k"));
     }
 
-    // Symptom: the test's own call to bring the store down gets no answer. Sequence: a watch is open when the store
-    // goes
-    // down. Cause: the reset watch leaves the list of watches while the list is walked through.
+    // Guards against a missing response to the call that takes the store down while a watch is open: the reset watch
+    // removes itself from the list of watches while that list is being iterated.
     @Test
-    void shouldResetWatchesAndAnswerTestWhenStoreGoesDown() throws Exception {
+    void shouldResetWatchesAndRespondWhenStoreGoesDown() throws Exception {
         HttpRequest watch = platform.request("/v3/watch")
                 .POST(HttpRequest.BodyPublishers.ofString("{\"create_request\":{\"key\":\"" + base64("k") + "\"}}"))
                 .build();
@@ -88,7 +87,7 @@
     }
 
     @Test
-    void shouldShowOldValueWhenReadsAreStale() throws Exception {
+    void shouldReturnOldValueWhenReadsAreStale() throws Exception {
         createIfAbsent("k", "old");
         platform.post("/faults", "{\"staleReads\":true}");
         platform.post("/v3/kv/put", put("k", "new", 0));
@@ -96,7 +95,7 @@
     }
 
     @Test
-    void shouldDeleteKeyAndRefuseWritesWhenLeaseLapses() {
+    void shouldDeleteKeyAndRejectWritesWhenLeaseExpires() {
         KeyValueStore store = KeyValueStore.of(change -> {});
         Lease lease = store.grantLease(0, 1_000, 0);
         assertTrue(store.put("k", "v", lease.id()));
@@ -110,7 +109,7 @@
     }
 
     @Test
-    void shouldCountWatchOnceAndListHostsWhenAsked() throws Exception {
+    void shouldCountCallAndReturnHostsWhenHostListIsRead() throws Exception {
         HostsClient.of(addressOf(platform)).put("suva-1", Json.object().put("role", "entry"));
         assertEquals("suva-1", platform.get("/hosts").at("/hosts/0/name").asText());
         assertEquals(1, platform.get("/counts").path("hosts").asInt());
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -33,14 +33,14 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The adapter's store client and the feed, against the stand-in of the users' store. */
+/** Tests the adapter's store client and the store feed against the stand-in of the deployment platform's store. */
 @Timeout(60)
 class SiteStoreTest {
     private static final long LINK_BYTES_PER_MILLI = 125_000;
-    private static final long LIMIT_SECONDS = 20;
-    private static final long BUSY_NANOS = 300_000_000;
+    private static final long AWAIT_SECONDS = 20;
+    private static final long LOOP_BLOCK_NANOS = 300_000_000;
 
-    /** After so many tasks in a row, a loop that is late reads what has come before it runs more of them. */
+    /** The number of queued tasks that a lagging event loop runs before it reads from its connections again. */
     private static final int TASKS_BETWEEN_READS = 64;
 
     private static final GatewayHost HOST =
@@ -48,8 +48,8 @@
 
     private final EventLoop storeLoop = EventLoop.of();
     private final EventLoop loop = EventLoop.of();
-    private final BlockingQueue<ClusterFact> learnt = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> store = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClusterFact> facts = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> storeStates = new LinkedBlockingQueue<>();
     private SiteStore site;
     private SiteStoreClient operator;
     private PlatformStore client;
@@ -77,89 +77,88 @@
         storeLoop.close();
     }
 
-    private ClusterFact next() throws InterruptedException {
-        ClusterFact fact = learnt.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+    private ClusterFact nextFact() throws InterruptedException {
+        ClusterFact fact = facts.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
         if (fact == null) {
-            throw new AssertionError("nothing was learnt");
+            throw new AssertionError("no change was received in time");
         }
         return fact;
     }
 
-    private void awaitStore(String state) throws InterruptedException {
-        assertEquals(state, store.poll(LIMIT_SECONDS, TimeUnit.SECONDS));
+    private void awaitStoreState(String state) throws InterruptedException {
+        assertEquals(state, storeStates.poll(AWAIT_SECONDS, TimeUnit.SECONDS));
     }
 
     @Test
-    void shouldLearnOfChangesWhenTheyAreMade() throws Exception {
+    void shouldReceiveChangesWhenTheyAreMade() throws Exception {
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
         assertEquals(
                 "t1",
-                assertInstanceOf(ClusterFact.TargetEntered.class, next())
+                assertInstanceOf(ClusterFact.TargetEntered.class, nextFact())
                         .entry()
                         .id());
 
         operator.configure(SiteConfigurations.of(3));
         assertEquals(
                 3,
-                assertInstanceOf(ClusterFact.Configured.class, next())
+                assertInstanceOf(ClusterFact.Configured.class, nextFact())
                         .configuration()
                         .version());
 
         operator.removeTarget("t1");
-        assertEquals(new ClusterFact.TargetRemoved("t1"), next());
+        assertEquals(new ClusterFact.TargetRemoved("t1"), nextFact());
     }
 
     /**
-     * Symptom: requests go on to a target that left long ago. Sequence: the store's history is dropped; the target
-     * leaves in the gap. Cause: only changes were followed, and the removal was among those that were dropped.
+     * Guards against requests to a target that was removed long ago: the target is removed while the store drops its
+     * history, so that a feed that only follows changes never receives the removal.
      */
     @Test
-    void shouldNoticeARemovalWhenItFellIntoAGapOfTheHistory() throws Exception {
+    void shouldReceiveRemovalWhenItFellIntoAGapOfTheHistory() throws Exception {
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
-        next();
+        nextFact();
 
         site.forgetHistory();
         operator.removeTarget("t1");
 
-        assertEquals(new ClusterFact.TargetRemoved("t1"), next());
+        assertEquals(new ClusterFact.TargetRemoved("t1"), nextFact());
     }
 
     /**
-     * Symptom: an old configuration stays in force after an outage. Sequence: the store turns this host away; the
-     * configuration changes; the store answers again. Cause: the feed did not list anew.
+     * Guards against a stale configuration after an outage: the store rejects this host's calls, the configuration
+     * changes, the store accepts calls again, and the feed doesn't list the items again.
      */
     @Test
-    void shouldLearnWhatItMissedWhenTheStoreReturns() throws Exception {
+    void shouldReceiveMissedChangesWhenTheStoreReturns() throws Exception {
         operator.configure(SiteConfigurations.of(1));
-        next();
+        nextFact();
         site.down(true);
-        awaitStore("lost REFUSED");
+        awaitStoreState("lost REFUSED");
         site.down(false);
         operator.configure(SiteConfigurations.of(2));
-        awaitStore("returned");
+        awaitStoreState("returned");
 
         assertEquals(
                 2,
-                assertInstanceOf(ClusterFact.Configured.class, next())
+                assertInstanceOf(ClusterFact.Configured.class, nextFact())
                         .configuration()
                         .version());
     }
 
     /**
-     * Symptom: on a busy machine, a write is refused by a store that was taken back up before. Sequence: the store's loop is
-     * late while it is told that it is up; the write is sent; both wait for the loop. Cause: the loop reads what has come
-     * before it runs what it was told.
+     * Guards against a write that is rejected by a store that was already back up, as happens on a loaded machine: if the
+     * change of state were a task of the store's event loop, a lagging loop could read the write before it runs the task.
      */
     @Test
-    void shouldTakeAWriteWhenItWasTakenBackUpBefore() throws Exception {
+    void shouldAcceptWriteWhenStoreIsBackUp() throws Exception {
         operator.configure(SiteConfigurations.of(1));
-        next();
+        nextFact();
         site.down(true);
-        awaitStore("lost REFUSED");
+        awaitStoreState("lost REFUSED");
         CountDownLatch busy = new CountDownLatch(1);
         storeLoop.schedule(0, () -> {
             busy.countDown();
-            LockSupport.parkNanos(BUSY_NANOS);
+            LockSupport.parkNanos(LOOP_BLOCK_NANOS);
         });
         for (int i = 0; i < TASKS_BETWEEN_READS * 2; i++) {
             storeLoop.schedule(0, () -> {});
@@ -169,72 +168,72 @@
         site.down(false);
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
 
-        assertInstanceOf(ClusterFact.TargetEntered.class, next());
+        assertInstanceOf(ClusterFact.TargetEntered.class, nextFact());
     }
 
     /**
-     * Symptom: a host that lives vanishes from the others' view for good. Sequence: its lease is ended by the platform
-     * while it renews it. Cause: a renewal of what is gone was taken for one that failed, and tried for ever.
+     * Guards against a live host that stays missing from the other hosts' view: the platform revokes its lease, and the
+     * host treats the renewal of the revoked lease as a transient failure and retries it for ever.
      */
     @Test
-    void shouldEnterItselfAgainWhenItsLeaseHasEnded() throws Exception {
+    void shouldRegisterItselfAgainWhenItsLeaseWasRevoked() throws Exception {
         BlockingQueue<Long> granted = new LinkedBlockingQueue<>();
         loop.schedule(0, () -> HostLease.of(
-                        client, new PlatformItems(), HOST, loop.group().next(), 0, told -> {})
+                        client, new PlatformItems(), HOST, loop.group().next(), 0, ignored -> {})
                 .start());
-        assertInstanceOf(ClusterFact.HostEntered.class, next());
+        assertInstanceOf(ClusterFact.HostEntered.class, nextFact());
         loop.schedule(0, () -> client.grantLease(1_000, lease -> granted.add(lease.get())));
-        long other = granted.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+        long otherLease = granted.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
 
-        loop.schedule(0, () -> client.endLease(other - 1));
+        loop.schedule(0, () -> client.endLease(otherLease - 1));
 
-        assertEquals(new ClusterFact.HostRemoved("h1"), next());
-        assertInstanceOf(ClusterFact.HostEntered.class, next());
+        assertEquals(new ClusterFact.HostRemoved("h1"), nextFact());
+        assertInstanceOf(ClusterFact.HostEntered.class, nextFact());
     }
 
     @Test
-    void shouldSayThatALeaseIsGoneWhenItIsRenewedTooLate() throws Exception {
+    void shouldReportUnknownLeaseWhenItIsRenewedTooLate() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
         loop.schedule(0, () -> client.keepLease(99, replies::add));
 
         assertEquals(
                 StoreFailure.NOT_FOUND,
-                replies.poll(LIMIT_SECONDS, TimeUnit.SECONDS).getLeft());
+                replies.poll(AWAIT_SECONDS, TimeUnit.SECONDS).getLeft());
     }
 
     @Test
-    void shouldEndACallWhenNothingListens() throws Exception {
+    void shouldFailCallWhenNothingListens() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
-        PlatformStore nowhere = PlatformStore.of(loop.group(), new InetSocketAddress("127.0.0.1", 1));
-        loop.schedule(0, () -> nowhere.grantLease(1_000, replies::add));
+        PlatformStore unreachable = PlatformStore.of(loop.group(), new InetSocketAddress("127.0.0.1", 1));
+        loop.schedule(0, () -> unreachable.grantLease(1_000, replies::add));
 
-        assertTrue(replies.poll(LIMIT_SECONDS, TimeUnit.SECONDS).isLeft());
+        assertTrue(replies.poll(AWAIT_SECONDS, TimeUnit.SECONDS).isLeft());
     }
 
     private final class Listener implements FeedListener {
         @Override
         public void learnt(StoreItem item, ClusterFact fact) {
-            learnt.add(fact);
+            facts.add(fact);
         }
 
         @Override
         public void storeAnswered(long tookMillis) {
-            // How long it takes says nothing of what is learnt.
+            // Response times are not checked here.
         }
 
         @Override
         public void read(FeedReading reading, long bytes, int items, long tookMillis) {
-            // Sizes are not looked at here.
+            // Sizes are not checked here.
         }
 
         @Override
         public void storeReturned() {
-            store.add("returned");
+            storeStates.add("returned");
         }
 
         @Override
         public void storeLost(StoreFailure reason) {
-            store.add("lost " + reason);
+            storeStates.add("lost " + reason);
         }
     }
 }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
@@ -46,73 +46,73 @@
     }
 
     @Test
-    void shouldEnterRunIntoLedgerWhenBookingIsAnswered() throws Exception {
+    void shouldRecordExecutionWhenBookingIsAnswered() throws Exception {
         assertEquals("b1", book("b1").path("reference").asText());
-        assertEquals("b1 whole", runs());
+        assertEquals("b1 whole", executions());
     }
 
-    // Symptom: the caller's connection is reset. Sequence: the booking runs, then its answer is lost. Cause: the
-    // target.
+    // Guards against a ledger that misses an execution whose response is lost: the booking is executed, then the target
+    // resets the caller's connection.
     @Test
-    void shouldEnterRunIntoLedgerWhenAnswerIsLost() throws Exception {
-        plan("lose-answer", 0);
+    void shouldRecordExecutionWhenResponseIsLost() throws Exception {
+        planFault("lose-answer", 0);
         assertThrows(IOException.class, () -> book("b1"));
-        assertEquals("b1 whole", runs());
+        assertEquals("b1 whole", executions());
     }
 
-    // Symptom: the ledger holds runs that no caller asked for. Sequence: an entry host polls a plain service for cache
-    // events. Cause: the service takes the poll for a call.
+    // Guards against executions in the ledger that no caller requested: an entry host polls a plain service for cache
+    // events, and the service takes the poll for a call.
     @Test
-    void shouldRunNothingWhenPlainServiceIsPolled() throws Exception {
+    void shouldExecuteNothingWhenPlainServiceIsPolled() throws Exception {
         assertTrue(desk.get("/cache-events?after=0").path("events").isArray());
         assertEquals("crew-desk", desk.get("/load").path("service").asText());
-        assertEquals("", runs());
+        assertEquals("", executions());
     }
 
     @Test
-    void shouldNotRunWhenCallIsRefused() throws Exception {
-        plan("refuse", 0);
+    void shouldNotExecuteCallWhenItIsRejected() throws Exception {
+        planFault("refuse", 0);
         HttpResponse<String> response = desk.post("/bookings", "{\"reference\":\"b1\"}");
         assertEquals("true", response.headers().firstValue("X-Not-Run").orElse(""));
-        assertEquals("", runs());
+        assertEquals("", executions());
     }
 
     @Test
-    void shouldNameAnotherRequestWhenAnswersAreCrossed() throws Exception {
-        plan("wrong-id", 0);
+    void shouldSendAnotherRequestIdWhenFaultIsWrongId() throws Exception {
+        planFault("wrong-id", 0);
         HttpResponse<String> response = desk.post("/bookings", "{\"reference\":\"b1\"}");
         assertFalse(response.headers().firstValue("X-Request-Id").orElse("").equals("r1"));
     }
 
     @Test
-    void shouldResumeStreamAtPartWhenItWasCut() throws Exception {
-        plan("cut-stream", 2);
+    void shouldResumeStreamAtEventWhenConnectionWasReset() throws Exception {
+        planFault("cut-stream", 2);
         String chat = "{\"model\":\"plank-serve\",\"stream\":true,\"max_tokens\":4,\"user\":\"u\",\"messages\":[]}";
         assertThrows(IOException.class, () -> engine.post("/v1/chat/completions", chat));
-        String rest = engine.client()
+        String resumed = engine.client()
                 .send(engine.request("/v1/streams/r1?from=2").build(), HttpResponse.BodyHandlers.ofString())
                 .body();
-        assertFalse(rest.contains("id: 1\n"));
-        assertTrue(rest.contains("id: 2\n") && rest.contains("id: 3\n") && rest.endsWith("data: [DONE]\n\n"));
+        assertFalse(resumed.contains("id: 1\n"));
+        assertTrue(resumed.contains("id: 2\n") && resumed.contains("id: 3\n") && resumed.endsWith("data: [DONE]\n\n"));
     }
 
     @Test
-    void shouldRefuseOrderWhenFencingNumberIsOld() throws Exception {
+    void shouldRejectOrderWhenFencingNumberIsStale() throws Exception {
         assertEquals(200, order(7));
         assertEquals(409, order(6));
         assertEquals(200, order(7));
     }
 
     @Test
-    void shouldResetConnectionWhenLinkIsCut() throws Exception {
+    void shouldResetConnectionWhenLinkIsPartitioned() throws Exception {
         Link link = Link.open(
                 loop, Addresses.read(targets.address("crew-desk-suva-hall-1").get()));
-        TestHttp far = new TestHttp(link.address());
-        assertEquals(200, far.post("/bookings", "{}").statusCode());
+        TestHttp linked = new TestHttp(link.address());
+        assertEquals(200, linked.post("/bookings", "{}").statusCode());
         link.state(LinkState.cutOff());
-        assertThrows(IOException.class, () -> far.post("/bookings", "{}"));
+        assertThrows(IOException.class, () -> linked.post("/bookings", "{}"));
         link.state(LinkState.delayed(5));
-        assertEquals(200, far.post("/bookings", "{}").statusCode());
+        assertEquals(200, linked.post("/bookings", "{}").statusCode());
     }
 
     private int order(long fencingNumber) throws Exception {
@@ -124,16 +124,16 @@
         return desk.postJson("/bookings", "{\"reference\":\"" + reference + "\"}");
     }
 
-    private void plan(String fault, int afterParts) throws Exception {
-        control.post("/faults", "{\"fault\":\"" + fault + "\",\"afterParts\":" + afterParts + "}");
+    private void planFault(String fault, int afterEvents) throws Exception {
+        control.post("/faults", "{\"fault\":\"" + fault + "\",\"afterParts\":" + afterEvents + "}");
     }
 
-    private String runs() throws Exception {
+    private String executions() throws Exception {
         StringBuilder text = new StringBuilder();
-        control.get("/ledger").path("runs").forEach(run -> text.append(
-                        run.path("reference").asText())
+        control.get("/ledger").path("runs").forEach(execution -> text.append(
+                        execution.path("reference").asText())
                 .append(' ')
-                .append(run.path("state").asText()));
+                .append(execution.path("state").asText()));
         return text.toString();
     }
 }
