--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
@@ -12,17 +12,18 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * Stands in for the platform: the store, the list of hosts and the weight store on one port.
+ * Stand-in of the platform: the store, the host list and the weight store on one port.
  *
- * <p>{@code GET /counts}, {@code POST /faults} and the changes of the list always work, as they belong to the test and
- * not to the platform. Under {@code /views/NAME/hosts} it keeps further lists, so that a test can put a link between any
- * two data centres by telling each its own addresses of the other's hosts. Not thread safe: confined to its loop's thread once it serves.
+ * <p>{@code GET /counts}, {@code POST /faults} and updates of the host list work during any fault, as tests use them to
+ * control the platform. Under {@code /views/NAME/hosts} it holds further host lists, so that a test can put a link
+ * between any two data centres by giving each data centre its own addresses of the other's hosts. Not thread safe:
+ * confined to its event loop's thread once it serves.
  */
 public final class Platform {
-    private static final String VIEWS = "/views/";
-    private static final long EXPIRE_EVERY_MILLIS = 50;
+    private static final String VIEWS_PREFIX = "/views/";
+    private static final long LEASE_EXPIRY_PERIOD_MILLIS = 50;
 
-    private final Counts counts = new Counts();
+    private final CallCounts counts = new CallCounts();
     private final StoreApi store;
     private final HostsApi hosts;
     private final Map<String, HostsApi> views = new HashMap<>();
@@ -37,22 +38,22 @@
     }
 
     /**
-     * Serves a platform.
+     * Starts serving a platform.
      *
-     * @param loop the loop that serves it
-     * @param options its settings
+     * @param loop the event loop that serves it
+     * @param options its options
      * @return the address that is served
      */
     public static InetSocketAddress serve(EventLoop loop, PlatformOptions options) {
         Platform platform = new Platform(loop, options);
-        loop.every(EXPIRE_EVERY_MILLIS, () -> platform.store.expire(System.currentTimeMillis()));
+        loop.scheduleAtFixedRate(LEASE_EXPIRY_PERIOD_MILLIS, () -> platform.store.expire(System.currentTimeMillis()));
         return loop.serve(options.port, platform::handle);
     }
 
     /**
-     * Runs the platform until the process is ended.
+     * Runs the platform until the process is terminated.
      *
-     * @param args the settings
+     * @param args the command-line options
      */
     public static void main(String[] args) {
         PlatformOptions options = new PlatformOptions();
@@ -66,45 +67,45 @@
         if (path.equals("/counts")) {
             exchange.respond(200, counts.toJson());
         } else if (path.equals("/faults")) {
-            store.faults(store.faults().changed(exchange.json()));
+            store.faults(store.faults().updated(exchange.jsonBody()));
             exchange.respond(200, Json.object());
-        } else if (StoreApi.owns(path)) {
+        } else if (StoreApi.handlesPath(path)) {
             store.handle(exchange);
-        } else if (HostsApi.owns(path)) {
-            hosts(exchange, hosts, path);
-        } else if (path.startsWith(VIEWS)) {
-            view(exchange, path.substring(VIEWS.length()));
-        } else if (WeightsApi.owns(path)) {
-            weights(exchange);
+        } else if (HostsApi.handlesPath(path)) {
+            handleHosts(exchange, hosts, path);
+        } else if (path.startsWith(VIEWS_PREFIX)) {
+            handleView(exchange, path.substring(VIEWS_PREFIX.length()));
+        } else if (WeightsApi.handlesPath(path)) {
+            handleWeights(exchange);
         } else {
             exchange.respond(404, notFound(path));
         }
     }
 
-    private void view(Exchange exchange, String nameAndPath) {
+    private void handleView(Exchange exchange, String nameAndPath) {
         int slash = nameAndPath.indexOf('/');
-        if (slash < 0 || !HostsApi.owns(nameAndPath.substring(slash))) {
+        if (slash < 0 || !HostsApi.handlesPath(nameAndPath.substring(slash))) {
             exchange.respond(404, notFound(exchange.path()));
             return;
         }
         HostsApi view = views.computeIfAbsent(nameAndPath.substring(0, slash), name -> new HostsApi(loop));
-        hosts(exchange, view, nameAndPath.substring(slash));
+        handleHosts(exchange, view, nameAndPath.substring(slash));
     }
 
-    private void hosts(Exchange exchange, HostsApi list, String path) {
-        boolean read = exchange.method().equals("GET");
-        if (read) {
-            counts.add("hosts");
+    private void handleHosts(Exchange exchange, HostsApi hostList, String path) {
+        boolean isRead = exchange.method().equals("GET");
+        if (isRead) {
+            counts.increment("hosts");
         }
-        if (read && store.faults().down()) {
+        if (isRead && store.faults().down()) {
             exchange.reset();
         } else {
-            list.handle(exchange, path, store.faults().listLagMillis());
+            hostList.handle(exchange, path, store.faults().listLagMillis());
         }
     }
 
-    private void weights(Exchange exchange) {
-        counts.add("weights");
+    private void handleWeights(Exchange exchange) {
+        counts.increment("weights");
         if (store.faults().down()) {
             exchange.reset();
         } else {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/PlannedFault.java
@@ -6,14 +6,14 @@
 import io.vavr.control.Option;
 
 /**
- * A fault that the next calls meet. Immutable and thread safe.
+ * A fault to inject into the next calls. Immutable and thread safe.
  *
- * @param kind what goes wrong
- * @param next how many calls meet it
- * @param afterParts after how many parts a stream meets it
- * @param delayMillis how much longer a call takes
+ * @param kind the kind of fault
+ * @param remainingCalls how many further calls get it
+ * @param afterEvents after how many stream events it takes effect
+ * @param delayMillis the additional latency of a call
  */
-record PlannedFault(FaultKind kind, int next, long afterParts, long delayMillis) {
+record PlannedFault(FaultKind kind, int remainingCalls, long afterEvents, long delayMillis) {
     private static final PlannedFault NONE = new PlannedFault(FaultKind.NONE, 0, 0, 0);
 
     PlannedFault {
@@ -33,7 +33,7 @@
                         node.path("delayMillis").asLong(0)));
     }
 
-    PlannedFault withOneLess() {
-        return new PlannedFault(kind, next - 1, afterParts, delayMillis);
+    PlannedFault withOneCallFewer() {
+        return new PlannedFault(kind, remainingCalls - 1, afterEvents, delayMillis);
     }
 }
