--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/AtMostOnceMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/AtMostOnceMeasurement.java
@@ -64,13 +64,13 @@
         for (int i = 0; i < 3 * PHASE_MILLIS / MILLIS_PER_SECOND * BookingLoad.BOOKINGS_PER_SECOND; i++) {
             time.after(i * MILLIS_PER_SECOND * MILLIS_PER_SECOND / BookingLoad.BOOKINGS_PER_SECOND, load::book);
         }
-        long writesBefore = store.writeCount();
+        long previousWrites = store.writeCount();
         time.runFor(PHASE_MILLIS);
         scenario.injectFault(store, load, HOSTS);
         time.runFor(PHASE_MILLIS);
         store.unavailable(false);
         time.runFor(PHASE_MILLIS + DRAIN_MILLIS);
-        printResult(scenario, strategy, load.result(store.writeCount() - writesBefore));
+        printResult(scenario, strategy, load.result(store.writeCount() - previousWrites));
     }
 
     private static ClaimStrategy strategy(int number, VirtualTime time, ModelStore store) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/ControlCostMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/ControlCostMeasurement.java
@@ -65,7 +65,7 @@
                         cost.retainedMebibytes);
             }
         }
-        printSlopes(out, costs);
+        printCostModels(out, costs);
         printMessageTypes(out, costs.get(REMOTE_DATA_CENTRE_COUNTS.length + REMOTE_DATA_CENTRE_COUNTS.length - 1));
         printStoreCalls(out);
     }
@@ -120,28 +120,29 @@
                 node);
     }
 
-    private static void printSlopes(PrintStream out, List<Cost> costs) {
+    private static void printCostModels(PrintStream out, List<Cost> costs) {
         double[] peers = costs.stream().mapToDouble(Cost::peers).toArray();
         double[] dataCentres =
                 costs.stream().mapToDouble(Cost::remoteDataCentres).toArray();
         out.printf("%nfitted: cost = fixed + perPeer * peers + perCentre * other centres%n");
         out.println("what              fixed   perPeer  perCentre  at 4/81  at 8/81  at 20/81  goal");
-        printSlope(out, "cpu %", peers, dataCentres, costs.stream().mapToDouble(Cost::cpuPercent), GOAL_CPU_PERCENT);
-        printSlope(
+        printCostModel(
+                out, "cpu %", peers, dataCentres, costs.stream().mapToDouble(Cost::cpuPercent), GOAL_CPU_PERCENT);
+        printCostModel(
                 out,
                 "sent B/s",
                 peers,
                 dataCentres,
                 costs.stream().mapToDouble(Cost::sentBytesPerSecond),
                 GOAL_BYTES_PER_SECOND);
-        printSlope(
+        printCostModel(
                 out,
                 "received B/s",
                 peers,
                 dataCentres,
                 costs.stream().mapToDouble(Cost::receivedBytesPerSecond),
                 GOAL_BYTES_PER_SECOND);
-        printSlope(
+        printCostModel(
                 out,
                 "retained MiB",
                 peers,
@@ -150,23 +151,23 @@
                 GOAL_MEBIBYTES);
     }
 
-    private static void printSlope(
+    private static void printCostModel(
             PrintStream out,
             String label,
             double[] peers,
             double[] dataCentres,
             java.util.stream.DoubleStream costs,
             double goal) {
-        LinearCostModel slope = LinearCostModel.fit(peers, dataCentres, costs.toArray());
+        LinearCostModel model = LinearCostModel.fit(peers, dataCentres, costs.toArray());
         out.printf(
                 "%-14s %8.3f  %8.3f  %9.4f  %7.2f  %7.2f  %8.2f  %.0f%n",
                 label,
-                slope.fixed(),
-                slope.perPeer(),
-                slope.perDataCentre(),
-                slope.costAt(4, 81),
-                slope.costAt(8, 81),
-                slope.costAt(20, 81),
+                model.fixed(),
+                model.perPeer(),
+                model.perDataCentre(),
+                model.costAt(4, 81),
+                model.costAt(8, 81),
+                model.costAt(20, 81),
                 goal);
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/VirtualFleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/VirtualFleet.java
@@ -57,8 +57,8 @@
         final Set<String> wantedHosts = new TreeSet<>();
         final Set<String> linkedHosts = new TreeSet<>();
 
-        Host(ListedHost listed) {
-            this.entry = listed;
+        Host(ListedHost entry) {
+            this.entry = entry;
         }
     }
 
@@ -505,7 +505,7 @@
         return left.equals(hosts.get(other).entry.place().dataCentre()) ? LOCAL_DELAY_MILLIS : REMOTE_DELAY_MILLIS;
     }
 
-    private void schedule(long afterMillis, Runnable work) {
-        scheduledTasks.add(new ScheduledTask(nowMillis + afterMillis, sequence++, work));
+    private void schedule(long afterMillis, Runnable task) {
+        scheduledTasks.add(new ScheduledTask(nowMillis + afterMillis, sequence++, task));
     }
 }
