--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/BookingLoad.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/BookingLoad.java
@@ -100,7 +100,7 @@
     }
 
     private void handleDecision(ClaimKey key, int attemptNumber, ClaimDecision decision) {
-        if (decision instanceof ClaimDecision.Kept) {
+        if (decision instanceof ClaimDecision.Replay) {
             answered.add(key);
         } else if (decision instanceof ClaimDecision.Unknown) {
             unknown.add(key);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/StoreClaimStrategy.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/StoreClaimStrategy.java
@@ -51,7 +51,7 @@
         }
         if (reply instanceof StoreReply.Conflicted conflicted) {
             return conflicted.current().exists(entry -> entry.value().equals(DONE))
-                    ? new ClaimDecision.Kept(BookingLoad.RESPONSE)
+                    ? new ClaimDecision.Replay(BookingLoad.RESPONSE)
                     : new ClaimDecision.Unknown(Failure.of(Step.CLAIM, "store", "the key is claimed"));
         }
         return new ClaimDecision.NotRun(
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllStrategy.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllStrategy.java
@@ -8,10 +8,10 @@
 import java.util.function.Function;
 
 import org.rattanplank.core.NodeIdentity;
+import org.rattanplank.core.claim.ClaimAction;
 import org.rattanplank.core.claim.ClaimDecision;
 import org.rattanplank.core.claim.ClaimKey;
 import org.rattanplank.core.claim.ClaimResult;
-import org.rattanplank.core.claim.ClaimStep;
 import org.rattanplank.core.claim.Claims;
 import org.rattanplank.core.host.Place;
 
@@ -82,7 +82,7 @@
     public void kill(String host) {
         claimsByHost.remove(host);
         for (String other : claimsByHost.keySet()) {
-            sendOverLink(() -> process(other, claims -> claims.lost(host, true, time.nowMillis())));
+            sendOverLink(() -> process(other, claims -> claims.disconnected(host, true, time.nowMillis())));
         }
     }
 
@@ -93,27 +93,27 @@
         }
     }
 
-    private void process(String host, Function<Claims, List<ClaimStep>> event) {
+    private void process(String host, Function<Claims, List<ClaimAction>> event) {
         Claims claims = claimsByHost.get(host);
         if (claims == null) {
             return;
         }
         long startNanos = System.nanoTime();
-        List<ClaimStep> actions = event.apply(claims);
+        List<ClaimAction> actions = event.apply(claims);
         processingNanos += System.nanoTime() - startNanos;
         actions.forEach(action -> execute(host, action));
     }
 
-    private void execute(String host, ClaimStep action) {
-        if (action instanceof ClaimStep.Send send) {
+    private void execute(String host, ClaimAction action) {
+        if (action instanceof ClaimAction.Send send) {
             messageCount++;
             sendOverLink(
                     () -> process(send.host(), claims -> claims.receive(host, 1, send.message(), time.nowMillis())));
-        } else if (action instanceof ClaimStep.CallStore call) {
+        } else if (action instanceof ClaimAction.CallStore call) {
             store.call(
                     call.command(),
                     reply -> process(host, claims -> claims.storeReplied(call.callId(), reply, time.nowMillis())));
-        } else if (action instanceof ClaimStep.Decide decide) {
+        } else if (action instanceof ClaimAction.Decide decide) {
             pendingDecisions.remove(decide.requestId()).accept(decide.decision());
         }
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -12,7 +12,7 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.route.Eligibility;
 import org.rattanplank.core.route.Route;
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 
 /**
  * One request at one entry host; it calls the router as the product's request flow does.
@@ -45,7 +45,7 @@
     }
 
     void start() {
-        Option<Routing.Refuse> refusal = host.router.admit(request, now());
+        Option<RoutingDecision.Reject> refusal = host.router.admit(request, now());
         if (refusal.isDefined()) {
             done = true;
             reply.notRun(refusal.get().retryAfterMillis());
@@ -81,15 +81,16 @@
     private void finish() {
         done = true;
         host.forgets(this);
-        host.router.finished(request, now());
+        host.router.recordFinish(request, now());
     }
 
     private void route() {
         Set<String> allowed = arrival.mayCross() ? run.regionNames() : Set.of(request.homeRegion());
-        Routing routing = host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), tried), now());
-        if (routing instanceof Routing.Go go) {
+        RoutingDecision routing =
+                host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), tried), now());
+        if (routing instanceof RoutingDecision.Dispatch go) {
             go(go.route());
-        } else if (routing instanceof Routing.Refuse refuse) {
+        } else if (routing instanceof RoutingDecision.Reject refuse) {
             finish();
             reply.notRun(refuse.retryAfterMillis());
         }
@@ -101,7 +102,7 @@
         attemptAtMillis = now();
         route = Option.some(next);
         tried.add(next.peer());
-        host.router.started(request, next, now());
+        host.router.recordStart(request, next, now());
         if (next instanceof Route.ToHost) {
             forward(next.peer(), attempt);
         } else {
@@ -174,7 +175,7 @@
             return;
         }
         long took = now() - attemptAtMillis;
-        host.router.ended(request, route.get(), new AttemptResult.Whole(ANSWER, List.of()), took, now());
+        host.router.recordEnd(request, route.get(), new AttemptResult.Whole(ANSWER, List.of()), took, now());
         finish();
         reply.answered(region, firstTokenMillis);
     }
@@ -185,7 +186,7 @@
         }
         host.forgets(this);
         cancelAttempt = () -> {};
-        host.router.ended(request, route.get(), result, now() - attemptAtMillis, now());
+        host.router.recordEnd(request, route.get(), result, now() - attemptAtMillis, now());
         boolean mayRunAgain = result instanceof AttemptResult.NotRun || request.repeatable();
         if (mayRunAgain && host.router.mayRetry(request, attempt, now())) {
             route();
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
@@ -27,13 +27,13 @@
 
     void hears(int otherRegion, RemoteRegion summary, long nowMillis) {
         remote.put(otherRegion, summary);
-        router.regions(List.copyOf(remote.values()), nowMillis);
+        router.updateRegions(List.copyOf(remote.values()), nowMillis);
     }
 
     /** Notices that the links to a region are down: what was forwarded there is lost. */
     void loses(int otherRegion, long nowMillis) {
         remote.remove(otherRegion);
-        router.regions(List.copyOf(remote.values()), nowMillis);
+        router.updateRegions(List.copyOf(remote.values()), nowMillis);
         List.copyOf(forwarded).forEach(call -> call.linkLost(otherRegion));
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
@@ -145,7 +145,7 @@
                 .filter(target -> target.region == region && target.isUp())
                 .map(target -> target.listed)
                 .toList();
-        hostsOf(region).forEach(host -> host.router.targets(listed, time.nowMillis()));
+        hostsOf(region).forEach(host -> host.router.updateTargets(listed, time.nowMillis()));
     }
 
     private List<Host> hostsOf(int region) {
@@ -185,7 +185,7 @@
         }
         Map<String, Set<String>> residencies = Map.of(ANYWHERE, regionNames());
         Configuration configuration = new Configuration(1, "", services, accounts, residencies, Map.of(), Set.of());
-        hosts.forEach(host -> host.router.configured(configuration, 0));
+        hosts.forEach(host -> host.router.applyConfiguration(configuration, 0));
         for (int region = 0; region < deployment.regions.size(); region++) {
             list(region);
             summarize(region);
@@ -208,18 +208,18 @@
     private void poll(Host host, StandInTarget target) {
         if (!target.isUp()) {
             String name = target.listed.name();
-            time.after(MISSED_MILLIS, () -> host.router.missed(name, time.nowMillis()));
+            time.after(MISSED_MILLIS, () -> host.router.recordMissedReport(name, time.nowMillis()));
             return;
         }
         TargetLoad load = target.load();
-        time.after(scenario.reportLagMillis(), () -> host.router.reported(load, time.nowMillis()));
+        time.after(scenario.reportLagMillis(), () -> host.router.recordLoadReport(load, time.nowMillis()));
     }
 
     private void publishCache(StandInTarget target) {
         CacheEvent event = target.cacheEvent();
         for (Host host : hostsOf(target.region)) {
             if (random.nextDouble() >= CACHE_EVENTS_LOST) {
-                time.after(CACHE_LAG_MILLIS, () -> host.router.cached(List.of(event), time.nowMillis()));
+                time.after(CACHE_LAG_MILLIS, () -> host.router.recordCacheEvents(List.of(event), time.nowMillis()));
             }
         }
     }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.core.host.Place;
-import org.rattanplank.gateway.SteadyClock;
-import org.rattanplank.gateway.store.ClusterFact;
+import org.rattanplank.gateway.MonotonicClock;
+import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.FeedListener;
-import org.rattanplank.gateway.store.FeedReading;
 import org.rattanplank.gateway.store.HostLease;
 import org.rattanplank.gateway.store.StoreFailure;
 import org.rattanplank.gateway.store.StoreFeed;
 import org.rattanplank.gateway.store.StoreItem;
+import org.rattanplank.gateway.store.StoreReadKind;
 import org.rattanplank.platform.PlatformItems;
 import org.rattanplank.platform.PlatformStore;
 import org.rattanplank.standins.http.Addresses;
@@ -48,7 +48,7 @@
 
     private final EventLoop storeLoop = EventLoop.of();
     private final EventLoop loop = EventLoop.of();
-    private final BlockingQueue<ClusterFact> facts = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClusterEvent> facts = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> storeStates = new LinkedBlockingQueue<>();
     private SiteStore site;
     private SiteStoreClient operator;
@@ -65,7 +65,7 @@
                 new PlatformItems(),
                 new Listener(),
                 loop.group().next(),
-                SteadyClock.ofProcess(),
+                MonotonicClock.ofProcess(),
                 new Random(1),
                 LINK_BYTES_PER_MILLI);
         loop.schedule(0, feed::start);
@@ -77,8 +77,8 @@
         storeLoop.close();
     }
 
-    private ClusterFact nextFact() throws InterruptedException {
-        ClusterFact fact = facts.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
+    private ClusterEvent nextFact() throws InterruptedException {
+        ClusterEvent fact = facts.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
         if (fact == null) {
             throw new AssertionError("no change was received in time");
         }
@@ -94,19 +94,19 @@
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
         assertEquals(
                 "t1",
-                assertInstanceOf(ClusterFact.TargetEntered.class, nextFact())
+                assertInstanceOf(ClusterEvent.TargetRegistered.class, nextFact())
                         .entry()
                         .id());
 
         operator.configure(SiteConfigurations.of(3));
         assertEquals(
                 3,
-                assertInstanceOf(ClusterFact.Configured.class, nextFact())
+                assertInstanceOf(ClusterEvent.ConfigurationChanged.class, nextFact())
                         .configuration()
                         .version());
 
         operator.removeTarget("t1");
-        assertEquals(new ClusterFact.TargetRemoved("t1"), nextFact());
+        assertEquals(new ClusterEvent.TargetRemoved("t1"), nextFact());
     }
 
     /**
@@ -121,7 +121,7 @@
         site.forgetHistory();
         operator.removeTarget("t1");
 
-        assertEquals(new ClusterFact.TargetRemoved("t1"), nextFact());
+        assertEquals(new ClusterEvent.TargetRemoved("t1"), nextFact());
     }
 
     /**
@@ -140,7 +140,7 @@
 
         assertEquals(
                 2,
-                assertInstanceOf(ClusterFact.Configured.class, nextFact())
+                assertInstanceOf(ClusterEvent.ConfigurationChanged.class, nextFact())
                         .configuration()
                         .version());
     }
@@ -168,7 +168,7 @@
         site.down(false);
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
 
-        assertInstanceOf(ClusterFact.TargetEntered.class, nextFact());
+        assertInstanceOf(ClusterEvent.TargetRegistered.class, nextFact());
     }
 
     /**
@@ -181,20 +181,20 @@
         loop.schedule(0, () -> HostLease.of(
                         client, new PlatformItems(), HOST, loop.group().next(), 0, ignored -> {})
                 .start());
-        assertInstanceOf(ClusterFact.HostEntered.class, nextFact());
+        assertInstanceOf(ClusterEvent.HostRegistered.class, nextFact());
         loop.schedule(0, () -> client.grantLease(1_000, lease -> granted.add(lease.get())));
         long otherLease = granted.poll(AWAIT_SECONDS, TimeUnit.SECONDS);
 
-        loop.schedule(0, () -> client.endLease(otherLease - 1));
+        loop.schedule(0, () -> client.revokeLease(otherLease - 1));
 
-        assertEquals(new ClusterFact.HostRemoved("h1"), nextFact());
-        assertInstanceOf(ClusterFact.HostEntered.class, nextFact());
+        assertEquals(new ClusterEvent.HostRemoved("h1"), nextFact());
+        assertInstanceOf(ClusterEvent.HostRegistered.class, nextFact());
     }
 
     @Test
     void shouldReportUnknownLeaseWhenItIsRenewedTooLate() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
-        loop.schedule(0, () -> client.keepLease(99, replies::add));
+        loop.schedule(0, () -> client.renewLease(99, replies::add));
 
         assertEquals(
                 StoreFailure.NOT_FOUND,
@@ -212,27 +212,27 @@
 
     private final class Listener implements FeedListener {
         @Override
-        public void learnt(StoreItem item, ClusterFact fact) {
+        public void itemChanged(StoreItem item, ClusterEvent fact) {
             facts.add(fact);
         }
 
         @Override
-        public void storeAnswered(long tookMillis) {
+        public void storeResponded(long tookMillis) {
             // Response times are not checked here.
         }
 
         @Override
-        public void read(FeedReading reading, long bytes, int items, long tookMillis) {
+        public void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis) {
             // Sizes are not checked here.
         }
 
         @Override
-        public void storeReturned() {
+        public void storeRecovered() {
             storeStates.add("returned");
         }
 
         @Override
-        public void storeLost(StoreFailure reason) {
+        public void storeUnavailable(StoreFailure reason) {
             storeStates.add("lost " + reason);
         }
     }
