--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Lease.java
@@ -4,15 +4,15 @@
  * A lease. Immutable and thread safe.
  *
  * @param id its identifier
- * @param ttlMillis its term
- * @param endsAtMillis when it lapses unless it is kept
+ * @param ttlMillis its time to live
+ * @param expiresAtMillis when it expires unless it is renewed
  */
-record Lease(long id, long ttlMillis, long endsAtMillis) {
-    Lease kept(long nowMillis) {
+record Lease(long id, long ttlMillis, long expiresAtMillis) {
+    Lease renewed(long nowMillis) {
         return new Lease(id, ttlMillis, nowMillis + ttlMillis);
     }
 
-    boolean hasLapsed(long nowMillis) {
-        return nowMillis >= endsAtMillis;
+    boolean hasExpired(long nowMillis) {
+        return nowMillis >= expiresAtMillis;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Generation.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/EngineRequest.java
@@ -4,27 +4,27 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * One request in an engine, from the queue to its last token.
+ * A request at a model engine, from its queueing to its last generated token.
  *
- * <p>Invariant: part {@code n} of a request is the same whenever it is made, so that a resumed stream fits. Confined to
- * the targets' thread.
+ * <p>Invariant: token {@code n} of a request is the same whenever it is produced, so that a resumed stream continues
+ * the interrupted one. Each token is one stream event. Confined to the targets' thread.
  */
-final class Generation {
-    private final long arrival;
+final class EngineRequest {
+    private final long arrivalNumber;
     private final int priority;
     private final PromptPrefixes prompt;
     private final long maxTokens;
     private Call call;
-    private Run run;
+    private Execution execution;
     private long prefillTokens;
-    private long produced;
-    private long sent;
+    private long generatedTokens;
+    private long sentEvents;
     private boolean detached;
 
-    Generation(Call call, PromptPrefixes prompt, long arrival) {
+    EngineRequest(Call call, PromptPrefixes prompt, long arrival) {
         this.call = call;
         this.prompt = prompt;
-        this.arrival = arrival;
+        this.arrivalNumber = arrival;
         priority = call.body().path("priority").asInt(0);
         maxTokens = Math.max(1, call.body().path("max_tokens").asLong(32));
     }
@@ -37,8 +37,8 @@
         return priority;
     }
 
-    long arrival() {
-        return arrival;
+    long arrivalNumber() {
+        return arrivalNumber;
     }
 
     PromptPrefixes prompt() {
@@ -54,7 +54,7 @@
     }
 
     boolean isDone() {
-        return produced >= maxTokens;
+        return generatedTokens >= maxTokens;
     }
 
     boolean isDetached() {
@@ -65,33 +65,33 @@
         detached = true;
     }
 
-    void begin(Run begun, int warmTokens) {
-        run = begun;
-        prefillTokens = prompt.tokens() - warmTokens;
+    void start(Execution newExecution, int cachedTokens) {
+        execution = newExecution;
+        prefillTokens = prompt.tokens() - cachedTokens;
         if (isStream()) {
             startStream();
         }
     }
 
-    /** Takes one step of the batch. */
+    /** Runs one step of the batch: a chunk of the prefill, or the decode of one token. */
     void step(long prefillTokensPerStep) {
         if (prefillTokens > 0) {
             prefillTokens -= prefillTokensPerStep;
             return;
         }
-        produced++;
+        generatedTokens++;
         if (isDone()) {
-            run.end(RunState.WHOLE);
+            execution.end(ExecutionState.WHOLE);
         }
         if (isStream()) {
-            sendParts();
+            sendEvents();
         } else if (isDone()) {
-            call.answer(answer());
+            call.respond(completion());
         }
     }
 
-    /** Goes on at a part on another connection. */
-    void resume(Call resumed, long fromPart) {
+    /** Resumes the stream at an event on another connection. */
+    void resume(Call resumed, long fromEvent) {
         call = new Call(
                 resumed.exchange(),
                 call.body(),
@@ -99,15 +99,15 @@
                 call.idempotencyKey(),
                 call.reference(),
                 resumed.fault());
-        sent = fromPart;
+        sentEvents = fromEvent;
         detached = false;
         startStream();
-        sendParts();
+        sendEvents();
     }
 
     void cancel() {
-        if (run != null) {
-            run.end(RunState.CANCELLED);
+        if (execution != null) {
+            execution.end(ExecutionState.CANCELLED);
         }
         call.exchange().reset();
     }
@@ -116,50 +116,52 @@
         call.exchange().startStream("text/event-stream", call.fault().kind().headers(call));
     }
 
-    private void sendParts() {
+    private void sendEvents() {
         if (detached) {
             return;
         }
-        while (sent < produced) {
-            call.fault().kind().beforePart(call, sent);
-            if (call.fault().kind().sendsPart(call, sent)) {
-                call.exchange().part("id: " + sent + "\ndata: " + Json.write(chunk(sent)) + "\n\n");
+        while (sentEvents < generatedTokens) {
+            call.fault().kind().beforeEvent(call, sentEvents);
+            if (call.fault().kind().sendsEvent(call, sentEvents)) {
+                call.exchange().sendChunk("id: " + sentEvents + "\ndata: " + Json.write(chunk(sentEvents)) + "\n\n");
             }
-            sent++;
+            sentEvents++;
         }
         if (isDone()) {
             call.fault().kind().endStream(call);
         }
     }
 
-    private ObjectNode chunk(long part) {
+    private ObjectNode chunk(long token) {
         ObjectNode choice = Json.object().put("index", 0);
-        choice.set("delta", Json.object().put("content", content(part)));
-        return head("chat.completion.chunk").set("choices", Json.array().add(choice));
+        choice.set("delta", Json.object().put("content", content(token)));
+        return responseFields("chat.completion.chunk")
+                .set("choices", Json.array().add(choice));
     }
 
-    private ObjectNode answer() {
-        StringBuilder whole = new StringBuilder();
-        for (long part = 0; part < maxTokens; part++) {
-            whole.append(content(part));
+    private ObjectNode completion() {
+        StringBuilder content = new StringBuilder();
+        for (long token = 0; token < maxTokens; token++) {
+            content.append(content(token));
         }
-        ObjectNode message = Json.object().put("role", "assistant").put("content", whole.toString());
+        ObjectNode message = Json.object().put("role", "assistant").put("content", content.toString());
         ObjectNode choice = Json.object().put("index", 0).put("finish_reason", "stop");
         choice.set("message", message);
-        ObjectNode answer = head("chat.completion");
-        answer.set("choices", Json.array().add(choice));
-        answer.set("usage", Json.object().put("prompt_tokens", prompt.tokens()).put("completion_tokens", maxTokens));
-        return answer;
+        ObjectNode response = responseFields("chat.completion");
+        response.set("choices", Json.array().add(choice));
+        response.set(
+                "usage", Json.object().put("prompt_tokens", prompt.tokens()).put("completion_tokens", maxTokens));
+        return response;
     }
 
-    private ObjectNode head(String object) {
+    private ObjectNode responseFields(String object) {
         return Json.object()
                 .put("id", call.requestId())
                 .put("object", object)
                 .put("model", call.body().path("model").asText());
     }
 
-    private String content(long part) {
-        return call.reference() + ":" + part + " ";
+    private String content(long token) {
+        return call.reference() + ":" + token + " ";
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Run.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Execution.java
@@ -4,28 +4,28 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * One run of a request at a target, as the ledger holds it.
+ * One execution of a request at a target, as recorded in the ledger.
  *
- * <p>Invariant: a run that has ended stays as it is. Not thread safe: confined to the targets' thread.
+ * <p>Invariant: an execution that has ended doesn't change any more. Not thread safe: confined to the targets' thread.
  */
-final class Run {
+final class Execution {
     private final String target;
     private final String region;
     private final Call call;
     private final long startedAtMillis;
     private long endedAtMillis;
-    private RunState state = RunState.RUNNING;
+    private ExecutionState state = ExecutionState.RUNNING;
 
-    Run(String target, String region, Call call, long startedAtMillis) {
+    Execution(String target, String region, Call call, long startedAtMillis) {
         this.target = target;
         this.region = region;
         this.call = call;
         this.startedAtMillis = startedAtMillis;
     }
 
-    void end(RunState ended) {
-        if (state == RunState.RUNNING) {
-            state = ended;
+    void end(ExecutionState finalState) {
+        if (state == ExecutionState.RUNNING) {
+            state = finalState;
             endedAtMillis = System.currentTimeMillis();
         }
     }
