--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/SingleNodeSimulation.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/SingleNodeSimulation.java
@@ -21,8 +21,8 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.intent.Document;
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.route.TargetLoad;
@@ -45,7 +45,7 @@
     private static final long CONFIGURATION_CHANGE_INTERVAL_MILLIS = 86_400_000L / 3_700;
     private static final int FRAME_HEADER_BYTES = 4;
     private static final int REGION_COUNT = 30;
-    private static final Place LOCAL_LOCATION = Place.of("region-0", "centre-0");
+    private static final Location LOCAL_LOCATION = Location.of("region-0", "centre-0");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final ObjectMapper messagePack = new ObjectMapper(new MessagePackFactory());
@@ -79,7 +79,7 @@
                     "target-" + i, HostRole.TARGET, LOCAL_LOCATION, "127.0.0.1", 1, 0, "model-" + i % services, false));
         }
         document = FleetDocuments.of(1, REGION_COUNT, accounts, services);
-        store.write(org.rattanplank.core.intent.Configurations.KEY, document.toText());
+        store.write(org.rattanplank.core.intent.ConfigurationManager.KEY, document.toText());
         handle(new Event.HostsListed(hostList()));
         peers.forEach(
                 peer -> handle(new Event.PeerConnected(peer, 1, LOCAL_LOCATION.region(), LOCAL_LOCATION.dataCentre())));
@@ -156,10 +156,10 @@
         return new HostList(1, hosts);
     }
 
-    private static Place locationOf(int dataCentre) {
+    private static Location locationOf(int dataCentre) {
         return dataCentre == 0
                 ? LOCAL_LOCATION
-                : Place.of("region-" + dataCentre % REGION_COUNT, "centre-" + dataCentre);
+                : Location.of("region-" + dataCentre % REGION_COUNT, "centre-" + dataCentre);
     }
 
     private void receivePeerHeartbeats() {
@@ -202,7 +202,7 @@
             long running = (nowMillis / TICK_INTERVAL_MILLIS * 31 + service * 17L + dataCentre) % 20;
             loads.put("model-" + service, List.of(2L, 16L, running, 0L));
         }
-        Place place = locationOf(dataCentre);
+        Location place = locationOf(dataCentre);
         return new RegionSummary(place.region(), place.dataCentre(), document.generation(), hosts, loads, List.of());
     }
 
@@ -227,10 +227,10 @@
                         .put("kind", "retire")
                         .put("name", "gone-" + generation));
         document = document.next(files, "c" + generation);
-        var entry = store.write(org.rattanplank.core.intent.Configurations.KEY, document.toText());
+        var entry = store.write(org.rattanplank.core.intent.ConfigurationManager.KEY, document.toText());
         handle(new Event.StoreChanged(
                 org.rattanplank.core.store.StoreOwner.CONFIGURATION,
-                org.rattanplank.core.intent.Configurations.KEY,
+                org.rattanplank.core.intent.ConfigurationManager.KEY,
                 List.of(entry),
                 entry.modRevision()));
     }
@@ -279,7 +279,7 @@
         for (String host : hosts) {
             int dataCentre = dataCentreIndexOf(host);
             if (dataCentre != 0 && linkedRemoteHosts.add(host)) {
-                Place place = locationOf(dataCentre);
+                Location place = locationOf(dataCentre);
                 handle(new Event.PeerConnected(host, 1, place.region(), place.dataCentre()));
             }
         }
@@ -300,7 +300,7 @@
     private boolean isFirstRepresentativeFor(int dataCentre) {
         Set<String> localHosts = new TreeSet<>(peers);
         localHosts.add("host-0-0");
-        return Rendezvous.rank(localHosts, "speaker/centre-" + dataCentre)
+        return RendezvousHashing.rank(localHosts, "speaker/centre-" + dataCentre)
                 .get(0)
                 .equals("host-0-0");
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -142,7 +142,7 @@
             run.time().after(Simulation.LINK_TIMEOUT_MILLIS, () -> ended(number, notRun));
             return;
         }
-        Request asSeen = request.passedBy(host.name, false);
+        Request asSeen = request.forwardedBy(host.name, false);
         Call there = new Call(run, other, arrival, asSeen, new Reply() {
             @Override
             public void answered(int region, long firstTokenMillis) {
@@ -175,7 +175,7 @@
             return;
         }
         long took = now() - attemptAtMillis;
-        host.router.recordEnd(request, route.get(), new AttemptResult.Whole(ANSWER, List.of()), took, now());
+        host.router.recordEnd(request, route.get(), new AttemptResult.Completed(ANSWER, List.of()), took, now());
         finish();
         reply.answered(region, firstTokenMillis);
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
@@ -11,7 +11,7 @@
 
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.route.CacheEvent;
 import org.rattanplank.core.route.TargetLoad;
 
@@ -42,7 +42,7 @@
     private long promptTokens;
     private long hitTokens;
 
-    StandInTarget(String name, Place place, int region, ServiceShape service, int capacityFactor, VirtualTime time) {
+    StandInTarget(String name, Location place, int region, ServiceShape service, int capacityFactor, VirtualTime time) {
         this.listed = new ListedHost(name, HostRole.TARGET, place, "127.0.0.1", 1, 0, service.name(), false);
         this.region = region;
         this.service = service;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
@@ -106,14 +106,14 @@
             long ttlMillis = exchange.jsonBody().path("ttl_ms").asLong();
             Lease lease = store.grantLease(0, ttlMillis, System.currentTimeMillis());
             exchange.respond(STATUS_OK, Json.object().put("lease", lease.id()).put("ttl_ms", ttlMillis));
-        } else if (path.startsWith(PlatformPaths.KEEP_LEASE)) {
+        } else if (path.startsWith(PlatformPaths.RENEW_LEASE)) {
             Option<Lease> renewed =
-                    store.renewLease(parseId(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
+                    store.renewLease(parseId(path, PlatformPaths.RENEW_LEASE), System.currentTimeMillis());
             exchange.respond(renewed.isDefined() ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
-        } else if (path.startsWith(PlatformPaths.END_LEASE)) {
-            boolean revoked = store.revokeLease(parseId(path, PlatformPaths.END_LEASE));
+        } else if (path.startsWith(PlatformPaths.REVOKE_LEASE)) {
+            boolean revoked = store.revokeLease(parseId(path, PlatformPaths.REVOKE_LEASE));
             exchange.respond(revoked ? STATUS_OK : STATUS_NOT_FOUND, Json.object());
-        } else if (path.equals(PlatformPaths.CHANGE)) {
+        } else if (path.equals(PlatformPaths.TRANSACTION)) {
             change(exchange);
         } else {
             exchange.respond(STATUS_NOT_FOUND, Json.object());
