--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/KeyValueStore.java
@@ -12,13 +12,13 @@
 import io.vavr.control.Option;
 
 /**
- * Keys with revisions, leases and a bounded history of changes.
+ * A key-value store with revisions, leases and a bounded history of changes.
  *
- * <p>Invariant: each write has its own revision, and listeners see the writes in the order of their revisions. Not
+ * <p>Invariant: each write has its own revision, and the listener receives the writes in the order of their revisions. Not
  * thread safe: confined to the platform's thread.
  */
 final class KeyValueStore {
-    private static final int HISTORY = 20_000;
+    private static final int MAX_HISTORY_CHANGES = 20_000;
 
     private final TreeMap<String, StoredValue> values = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -40,7 +40,7 @@
         return revision;
     }
 
-    /** The newest revision whose change is no longer known. */
+    /** Returns the newest revision whose change has been dropped from the history. */
     long compactedRevision() {
         return compactedRevision;
     }
@@ -61,39 +61,39 @@
                 .toList();
     }
 
-    /** Writes a key; a lease that is not there is refused, as a lapsed holder must not write with it. */
+    /** Writes a key; rejects an unknown lease, as a holder must not write with a lease that has expired. */
     boolean put(String key, String value, long leaseId) {
         if (leaseId != 0 && !leases.containsKey(leaseId)) {
             return false;
         }
         revision++;
-        StoredValue written = get(key).written(value, revision, leaseId);
+        StoredValue written = get(key).withValue(value, revision, leaseId);
         values.put(key, written);
-        record(written);
+        recordChange(written);
         return true;
     }
 
     int delete(KeyRange range) {
-        Collection<StoredValue> doomed = range(range);
-        doomed.forEach(value -> delete(value.key()));
-        return doomed.size();
+        Collection<StoredValue> deleted = range(range);
+        deleted.forEach(value -> delete(value.key()));
+        return deleted.size();
     }
 
-    Lease grant(long wantedId, long ttlMillis, long nowMillis) {
-        long id = wantedId == 0 ? nextLeaseId++ : wantedId;
+    Lease grantLease(long requestedId, long ttlMillis, long nowMillis) {
+        long id = requestedId == 0 ? nextLeaseId++ : requestedId;
         Lease lease = new Lease(id, ttlMillis, nowMillis + ttlMillis);
         leases.put(id, lease);
         return lease;
     }
 
-    Option<Lease> keep(long id, long nowMillis) {
-        expire(nowMillis);
-        Option<Lease> kept = Option.of(leases.get(id)).map(lease -> lease.kept(nowMillis));
-        kept.forEach(lease -> leases.put(id, lease));
-        return kept;
+    Option<Lease> renewLease(long id, long nowMillis) {
+        expireLeases(nowMillis);
+        Option<Lease> renewed = Option.of(leases.get(id)).map(lease -> lease.renewed(nowMillis));
+        renewed.forEach(lease -> leases.put(id, lease));
+        return renewed;
     }
 
-    boolean revoke(long id) {
+    boolean revokeLease(long id) {
         if (leases.remove(id) == null) {
             return false;
         }
@@ -105,23 +105,23 @@
         return true;
     }
 
-    void expire(long nowMillis) {
+    void expireLeases(long nowMillis) {
         leases.values().stream()
-                .filter(lease -> lease.hasLapsed(nowMillis))
+                .filter(lease -> lease.hasExpired(nowMillis))
                 .map(Lease::id)
                 .toList()
-                .forEach(this::revoke);
+                .forEach(this::revokeLease);
     }
 
     private void delete(String key) {
         revision++;
         values.remove(key);
-        record(StoredValue.deleted(key, revision));
+        recordChange(StoredValue.deleted(key, revision));
     }
 
-    private void record(StoredValue change) {
+    private void recordChange(StoredValue change) {
         history.add(change);
-        if (history.size() > HISTORY) {
+        if (history.size() > MAX_HISTORY_CHANGES) {
             compactedRevision = history.poll().modRevision();
         }
         listener.accept(change);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteSettings.java
@@ -10,20 +10,20 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.rattanplank.standins.http.Json;
 
-/** Writes the settings file of one gateway process, as the users' platform would. Stateless. */
+/** Writes the settings file of one gateway process, as the deployment platform does. Stateless. */
 public final class SiteSettings {
-    private static final int GRACE_SECONDS = 8;
-    private static final double REPEAT_RATIO = 0.2;
-    private static final int REPEAT_SLACK = 52;
-    private static final int REPEAT_WINDOW_SECONDS = 10;
-    private static final int LEAST_LEASE_MILLIS = 1_000;
+    private static final int STOP_GRACE_SECONDS = 8;
+    private static final double RETRY_BUDGET_RATIO = 0.2;
+    private static final int RETRY_BUDGET_SLACK = 52;
+    private static final int RETRY_BUDGET_WINDOW_SECONDS = 10;
+    private static final int MIN_LEASE_TTL_MILLIS = 1_000;
 
     private SiteSettings() {}
 
     /**
      * Writes a settings file.
      *
-     * @param args the settings
+     * @param args the command-line options
      * @throws IOException if a file can't be read or written
      */
     public static void main(String[] args) throws IOException {
@@ -65,15 +65,15 @@
                 .put("directory", host.ip() + ":" + (host.port() + 2));
         values.putArray("port_range").add(host.port() + 3).add(host.port() + 4);
         values.putObject("bounds")
-                .put("grace_s", GRACE_SECONDS)
-                .put("retry_budget_ratio", REPEAT_RATIO)
-                .put("retry_budget_slack", REPEAT_SLACK)
-                .put("budget_window_s", REPEAT_WINDOW_SECONDS);
-        values.putObject("provider").put("address", host.store()).put("ttl_min_ms", LEAST_LEASE_MILLIS);
+                .put("grace_s", STOP_GRACE_SECONDS)
+                .put("retry_budget_ratio", RETRY_BUDGET_RATIO)
+                .put("retry_budget_slack", RETRY_BUDGET_SLACK)
+                .put("budget_window_s", RETRY_BUDGET_WINDOW_SECONDS);
+        values.putObject("provider").put("address", host.store()).put("ttl_min_ms", MIN_LEASE_TTL_MILLIS);
         return values;
     }
 
-    /** The settings. Written by JCommander before any thread reads them, then left alone. */
+    /** The options. Written by JCommander before any thread reads them, constant afterwards. */
     private static final class Options {
         @Parameter(names = "--template", description = "the template", required = true)
         private String template;
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Call.java
@@ -8,14 +8,14 @@
 import org.rattanplank.standins.http.Json;
 
 /**
- * A call to a target with the fault that it meets. Immutable; its exchange is confined to the targets' thread.
+ * A call to a target with the fault that is injected into it. Immutable; its exchange is confined to the targets' thread.
  *
- * @param exchange the call
+ * @param exchange the HTTP exchange of the call
  * @param body the call's body
  * @param requestId the request's identifier
- * @param idempotencyKey the key, empty for none
- * @param reference the caller's own name for the call, which the answer repeats; empty for none
- * @param fault the fault
+ * @param idempotencyKey the idempotency key, empty for none
+ * @param reference the caller's own name for the call, which the response echoes; empty for none
+ * @param fault the fault to inject
  */
 record Call(
         Exchange exchange,
@@ -26,7 +26,7 @@
         PlannedFault fault) {
 
     static Call of(Exchange exchange, PlannedFault fault) {
-        JsonNode body = exchange.json();
+        JsonNode body = exchange.jsonBody();
         String reference = body.path("reference").asText(body.path("user").asText());
         return new Call(
                 exchange,
@@ -41,11 +41,11 @@
         return Map.of("X-Request-Id", requestId);
     }
 
-    void answer(ObjectNode answer) {
-        fault.kind().answer(this, answer);
+    void respond(ObjectNode response) {
+        fault.kind().respond(this, response);
     }
 
-    void refuse(int status, String reason) {
+    void reject(int status, String reason) {
         Map<String, String> headers = Map.of("X-Request-Id", requestId, "X-Not-Run", "true", "Retry-After", "1");
         exchange.respond(status, headers, Json.object().put("error", reason));
     }
