--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
@@ -17,17 +17,17 @@
 import org.rattanplank.standins.caller.Caller;
 
 /**
- * Measures what one real entry host spends on requests and on the parts of streams. Run by one thread.
+ * Measures the CPU time that one entry host process spends per request and per stream event. Run by one thread.
  *
- * <p>The processor time is that of the entry host's process alone; stand-in targets and callers run beside it on the
- * same machine, so the rates are bounds of the whole arrangement, not of the host.
+ * <p>The CPU time is that of the entry host's process alone; stand-in targets and callers run on the same machine, so
+ * the rates are limits of the whole setup, not of the host.
  */
 public final class DataPathMeasurement {
     private static final int ROUNDS = 3;
     private static final int QUERIES = 600;
     private static final int STREAMS = 48;
-    private static final int SHORT_PARTS = 8;
-    private static final int LONG_PARTS = 400;
+    private static final int SHORT_STREAM_EVENTS = 8;
+    private static final int LONG_STREAM_EVENTS = 400;
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final double NANOS_PER_MICRO = 1_000;
     private static final double NANOS_PER_SECOND = 1_000_000_000;
@@ -42,11 +42,11 @@
         this.model = model;
     }
 
-    /** What a batch of calls cost. Immutable and thread safe. */
+    /** The cost of a batch of calls. Immutable and thread safe. */
     private record Cost(int answered, double seconds, double cpuNanos) {}
 
     /**
-     * Measures and prints one line a round.
+     * Runs the measurement and prints the results of each round.
      *
      * @param args none
      */
@@ -58,53 +58,54 @@
             DataPathMeasurement measurement = new DataPathMeasurement(
                     host, Caller.of("suva-floor-token"), fleet.deployment().modelService());
             System.out.println("one entry host, 3 stand-in engines of 64 slots and 100 tokens/s a stream");
-            measurement.round(0);
+            measurement.warmUp(0);
             for (int round = 1; round <= ROUNDS; round++) {
-                measurement.print(round);
+                measurement.measure(round);
             }
         }
     }
 
-    private void print(int round) {
+    private void measure(int round) {
         Cost queries = queries(round);
-        Cost brief = streams(round, SHORT_PARTS);
-        Cost lengthy = streams(round, LONG_PARTS);
-        double partNanos = (lengthy.cpuNanos() - brief.cpuNanos()) / (STREAMS * (double) (LONG_PARTS - SHORT_PARTS));
+        Cost shortStreams = streams(round, SHORT_STREAM_EVENTS);
+        Cost longStreams = streams(round, LONG_STREAM_EVENTS);
+        double eventNanos = (longStreams.cpuNanos() - shortStreams.cpuNanos())
+                / (STREAMS * (double) (LONG_STREAM_EVENTS - SHORT_STREAM_EVENTS));
         System.out.printf(
                 Locale.ROOT,
                 "round %d: query %.0f us of a core, %.0f/s; part of a stream %.1f us of a core; %.0f parts/s%n",
                 round,
                 queries.cpuNanos() / QUERIES / NANOS_PER_MICRO,
                 QUERIES / queries.seconds(),
-                partNanos / NANOS_PER_MICRO,
-                STREAMS * LONG_PARTS / lengthy.seconds());
+                eventNanos / NANOS_PER_MICRO,
+                STREAMS * LONG_STREAM_EVENTS / longStreams.seconds());
         System.out.printf(
                 Locale.ROOT,
                 "round %d: answered %d of %d%n",
                 round,
-                queries.answered() + brief.answered() + lengthy.answered(),
+                queries.answered() + shortStreams.answered() + longStreams.answered(),
                 QUERIES + 2 * STREAMS);
     }
 
-    private void round(int number) {
-        queries(number);
-        streams(number, LONG_PARTS);
+    private void warmUp(int round) {
+        queries(round);
+        streams(round, LONG_STREAM_EVENTS);
     }
 
     private Cost queries(int round) {
         return cost(QUERIES, number -> CallRequest.query("q" + round + "-" + number, model, "torque " + number, 1));
     }
 
-    private Cost streams(int round, int parts) {
+    private Cost streams(int round, int events) {
         return cost(
                 STREAMS,
-                number ->
-                        CallRequest.draft("d" + round + "-" + parts + "-" + number, model, "manual " + number, parts));
+                number -> CallRequest.draft(
+                        "d" + round + "-" + events + "-" + number, model, "manual " + number, events));
     }
 
     private Cost cost(int calls, IntFunction<CallRequest> call) {
-        long cpuBefore = cpuNanos();
-        long before = System.nanoTime();
+        long cpuStartNanos = cpuNanos();
+        long startNanos = System.nanoTime();
         List<CompletableFuture<CallResult>> results = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
             results.add(caller.start(host.callers(), call.apply(i).within(TIMEOUT)));
@@ -113,8 +114,8 @@
                 .map(CompletableFuture::join)
                 .filter(result -> result.outcome() == CallOutcome.ANSWERED)
                 .count();
-        double seconds = (System.nanoTime() - before) / NANOS_PER_SECOND;
-        return new Cost(Math.toIntExact(answered), seconds, cpuNanos() - cpuBefore);
+        double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+        return new Cost(Math.toIntExact(answered), seconds, cpuNanos() - cpuStartNanos);
     }
 
     private long cpuNanos() {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Child.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Child.java
@@ -17,23 +17,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that a test or a measurement started, and the signals that it may send to it.
+ * A child process that a test or a measurement started, with the signals that can be sent to it.
  *
- * <p>Invariant: signals go to this process only, by its own id. Thread safe.
+ * <p>Invariant: signals are sent to this process only, by its process id. Thread safe.
  */
 public final class Child implements AutoCloseable {
     private static final List<String> JAVA_FLAGS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx128m", "-XX:CICompilerCount=1");
-    private static final long READY_MILLIS = 60_000;
-    private static final long END_MILLIS = 30_000;
+    private static final long READY_TIMEOUT_MILLIS = 60_000;
+    private static final long EXIT_TIMEOUT_MILLIS = 30_000;
 
-    private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
+    private static final Set<Process> RUNNING_PROCESSES = ConcurrentHashMap.newKeySet();
 
-    // A measurement that is ended from outside would leave its processes behind, which hold ports and memory; they
-    // would
-    // show as Java processes without a parent.
+    // A measurement that is terminated from outside would otherwise leave orphaned Java processes that hold ports and
+    // memory.
     static {
-        Runtime.getRuntime().addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly)));
+        Runtime.getRuntime().addShutdownHook(new Thread(() -> RUNNING_PROCESSES.forEach(Process::destroyForcibly)));
     }
 
     private final String name;
@@ -51,11 +50,11 @@
     /**
      * Starts a Java process with this process's class path.
      *
-     * @param name the name, for messages and its log
-     * @param readyPrefix how the line begins that says that it is ready
-     * @param log where its complaints go
-     * @param mainClass its main class
-     * @param args its arguments
+     * @param name the name, used in error messages
+     * @param readyPrefix the prefix of the line that the process prints once it is ready
+     * @param log the file to which its standard error is appended
+     * @param mainClass the main class
+     * @param args the arguments
      * @return the process, which may not be ready yet
      */
     public static Child start(String name, String readyPrefix, File log, String mainClass, List<String> args) {
@@ -63,14 +62,14 @@
     }
 
     /**
-     * Starts a Java process with this process's class path and further variables.
+     * Starts a Java process with this process's class path and additional environment variables.
      *
-     * @param name the name, for messages and its log
-     * @param readyPrefix how the line begins that says that it is ready
-     * @param log where its complaints go
-     * @param variables variables of its environment
-     * @param mainClass its main class
-     * @param args its arguments
+     * @param name the name, used in error messages
+     * @param readyPrefix the prefix of the line that the process prints once it is ready
+     * @param log the file to which its standard error is appended
+     * @param variables the additional environment variables
+     * @param mainClass the main class
+     * @param args the arguments
      * @return the process, which may not be ready yet
      */
     public static Child start(
@@ -91,10 +90,10 @@
             ProcessBuilder builder = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log));
             builder.environment().putAll(variables);
             Process process = builder.start();
-            STARTED.add(process);
-            process.onExit().thenAccept(STARTED::remove);
+            RUNNING_PROCESSES.add(process);
+            process.onExit().thenAccept(RUNNING_PROCESSES::remove);
             Child child = new Child(name, process, readyPrefix);
-            Thread reader = new Thread(child::read, "read-" + name);
+            Thread reader = new Thread(child::readOutput, "read-" + name);
             reader.setDaemon(true);
             reader.start();
             return child;
@@ -104,27 +103,27 @@
     }
 
     /**
-     * Waits until the process has said that it is ready.
+     * Waits until the process has printed its ready line.
      *
-     * @return the words of its ready line that have the form NAME=VALUE
+     * @return the NAME=VALUE pairs of the ready line
      */
     public Map<String, String> awaitReady() {
         try {
-            if (!ready.await(READY_MILLIS, TimeUnit.MILLISECONDS) || !process.isAlive()) {
-                throw new IllegalStateException(name + " did not get ready");
+            if (!ready.await(READY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || !process.isAlive()) {
+                throw new IllegalStateException(name + " exited or was not ready in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted while waiting for " + name, e);
         }
-        return words(lines().stream()
+        return fields(lines().stream()
                 .filter(line -> line.startsWith(readyPrefix))
                 .findFirst()
                 .orElseThrow());
     }
 
     /**
-     * The lines that the process has printed so far.
+     * Returns the lines that the process has printed so far.
      *
      * @return the lines
      */
@@ -135,58 +134,58 @@
     }
 
     /**
-     * Tells whether the process runs or is frozen.
+     * Returns whether the process is alive; a suspended process is alive too.
      *
-     * @return false once it has ended
+     * @return false once it has terminated
      */
     public boolean isAlive() {
         return process.isAlive();
     }
 
     /**
-     * The processor time that the process has used.
+     * Returns the CPU time that the process has used.
      *
-     * @return the time, zero if the platform does not tell
+     * @return the CPU time, zero if the platform does not report it
      */
     public Duration cpuTime() {
         return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Asks the process to stop gracefully. */
+    /** Requests a graceful stop of the process (SIGTERM). */
     public void terminate() {
         signal("TERM");
     }
 
-    /** Stops the process on the spot, as when a host loses power. */
+    /** Kills the process immediately, as a power failure of a host would, and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
         awaitEnd();
     }
 
-    /** Freezes the process; its connections stay open. */
+    /** Suspends the process (SIGSTOP); its connections stay open. */
     public void freeze() {
         signal("STOP");
     }
 
-    /** Lets a frozen process go on. */
+    /** Resumes a suspended process (SIGCONT). */
     public void resume() {
         signal("CONT");
     }
 
     /**
-     * Waits until the process has ended.
+     * Waits until the process has terminated.
      *
-     * @return its exit code
+     * @return the exit code
      */
     public int awaitEnd() {
         try {
-            if (!process.waitFor(END_MILLIS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException(name + " did not end");
+            if (!process.waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                throw new IllegalStateException(name + " did not terminate in time");
             }
             return process.exitValue();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted while waiting for the end of " + name, e);
+            throw new IllegalStateException("interrupted while waiting for the termination of " + name, e);
         }
     }
 
@@ -195,18 +194,18 @@
         process.destroyForcibly();
     }
 
-    static Map<String, String> words(String line) {
-        Map<String, String> words = new LinkedHashMap<>();
-        for (String word : line.split(" ")) {
-            int equals = word.indexOf('=');
+    static Map<String, String> fields(String line) {
+        Map<String, String> fields = new LinkedHashMap<>();
+        for (String field : line.split(" ")) {
+            int equals = field.indexOf('=');
             if (equals > 0) {
-                words.put(word.substring(0, equals), word.substring(equals + 1));
+                fields.put(field.substring(0, equals), field.substring(equals + 1));
             }
         }
-        return words;
+        return fields;
     }
 
-    private void read() {
+    private void readOutput() {
         try (BufferedReader reader =
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = reader.readLine(); line != null; line = reader.readLine()) {
@@ -218,7 +217,7 @@
                 }
             }
         } catch (IOException e) {
-            // The pipe breaks when the process is killed; what it printed before is kept.
+            // The pipe breaks when the process is killed; the lines read until then are kept.
         } finally {
             ready.countDown();
         }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Client.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Client.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 
 /**
- * An account of a deployment's examples. Immutable and thread safe.
+ * A client account of a deployment's example configuration. Immutable and thread safe.
  *
  * @param account the account's name
- * @param homeDataCentre its home data centre
- * @param allowedRegions the regions in which its data may be served
+ * @param homeDataCentre the account's home data centre
+ * @param allowedRegions the regions in which its requests may be served
  */
 public record Client(String account, String homeDataCentre, Set<String> allowedRegions) {
     public Client {
@@ -18,7 +18,7 @@
     }
 
     /**
-     * The bearer token, of which the examples hold the hash.
+     * Returns the bearer token, whose hash is part of the example configuration.
      *
      * @return the token
      */
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
@@ -6,9 +6,9 @@
 
 import io.vavr.control.Option;
 
-/** The users' deployments at their sizes of today. */
+/** The users' deployments, at their current sizes. */
 public enum Deployment {
-    /** Three regions that weigh cost. */
+    /** Three regions, routed by the cost policy. */
     KORO(
             "plank-serve",
             "crew-desk",
@@ -21,7 +21,7 @@
                     new Client("suva-floor", "suva-hall", Set.of("suva", "lautoka", "labasa")),
                     new Client("lautoka-floor", "lautoka-hall", Set.of("suva", "lautoka", "labasa")),
                     new Client("labasa-floor", "labasa-hall", Set.of("labasa")))),
-    /** Three regions that weigh tail latency. */
+    /** Three regions, routed by the tail latency policy. */
     BRAZOS(
             "quote-writer",
             "fleet-desk",
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Finds a deployment by its name in lower case.
+     * Returns the deployment with the given lower-case name.
      *
-     * @param name the name
+     * @param name the lower-case name
      * @return the deployment, or none
      */
     public static Option<Deployment> of(String name) {
@@ -65,43 +65,43 @@
     }
 
     /**
-     * The name in lower case, which is also that of the examples' folder.
+     * Returns the lower-case name, which is also the name of the folder with its example configuration.
      *
-     * @return the name
+     * @return the lower-case name
      */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 
     /**
-     * The service of model engines.
+     * Returns the name of the service that is served by model engines.
      *
-     * @return its name
+     * @return the service name
      */
     public String modelService() {
         return modelService;
     }
 
     /**
-     * The plain service, whose calls may not be repeated.
+     * Returns the name of the plain HTTP service, whose requests are not repeatable.
      *
-     * @return its name
+     * @return the service name
      */
     public String plainService() {
         return plainService;
     }
 
     /**
-     * What the choice of a target weighs.
+     * Returns the routing policy.
      *
-     * @return the value of the daemon's setting
+     * @return the value of the daemon's policy setting
      */
     public String policy() {
         return policy;
     }
 
     /**
-     * The data centres.
+     * Returns the data centres.
      *
      * @return the sites
      */
@@ -110,9 +110,9 @@
     }
 
     /**
-     * The accounts.
+     * Returns the client accounts.
      *
-     * @return the clients
+     * @return the client accounts
      */
     public List<Client> clients() {
         return clients;
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
@@ -23,17 +23,17 @@
 import org.rattanplank.standins.platform.HostsClient;
 
 /**
- * A deployment in separate processes, joined by relays: the platform, one process of targets for each data centre and
- * the entry hosts.
+ * Runs a deployment in separate processes that are connected through relays: the platform, one process for the targets
+ * of each data centre, and the entry hosts.
  *
- * <p>Each data centre has its own view of the platform's list of hosts, with relays to the hosts of the others, so that
- * any two data centres can be cut from each other. Invariant: closing it ends every process that it started. Not thread
- * safe but for the ledger and the statuses: confined to the thread that runs it.
+ * <p>Each data centre has its own view of the platform's host list, with relays to the hosts of the other data centres,
+ * so that any two data centres can be partitioned from each other. Invariant: closing the fleet terminates every
+ * process that it started. Not thread safe except for the ledger and the statuses: confined to the thread that runs it.
  */
 public final class Fleet implements AutoCloseable {
-    private static final String PLATFORM = "org.rattanplank.standins.platform.Platform";
-    private static final String TARGETS = "org.rattanplank.standins.target.Targets";
-    private static final long READY_MILLIS = 60_000;
+    private static final String PLATFORM_MAIN_CLASS = "org.rattanplank.standins.platform.Platform";
+    private static final String TARGETS_MAIN_CLASS = "org.rattanplank.standins.target.Targets";
+    private static final long SERVING_TIMEOUT_MILLIS = 60_000;
 
     private final FleetOptions options;
     private final Workspace workspace = Workspace.create();
@@ -43,17 +43,17 @@
     private final List<Child> children = new ArrayList<>();
     private final Map<String, Host> hosts = new LinkedHashMap<>();
     private final Map<String, Child> targetProcesses = new LinkedHashMap<>();
-    private final Map<String, String> controls = new LinkedHashMap<>();
-    private String platform = "";
+    private final Map<String, String> targetControlAddresses = new LinkedHashMap<>();
+    private String platformAddress = "";
 
     private Fleet(FleetOptions options) {
         this.options = options;
     }
 
     /**
-     * Starts a fleet, applies its folder of intents and waits until every host serves.
+     * Starts a fleet, applies its folder of intents and waits until every entry host is serving.
      *
-     * @param options what to start
+     * @param options the options of the fleet
      * @return the fleet
      */
     public static Fleet start(FleetOptions options) {
@@ -69,7 +69,7 @@
     }
 
     /**
-     * The deployment that runs.
+     * Returns the running deployment.
      *
      * @return the deployment
      */
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Finds an entry host.
+     * Returns the entry host with the given name.
      *
-     * @param name its name
+     * @param name the name
      * @return the host
      */
     public Host host(String name) {
@@ -88,7 +88,7 @@
     }
 
     /**
-     * All entry hosts.
+     * Returns all entry hosts.
      *
      * @return the hosts
      */
@@ -97,7 +97,7 @@
     }
 
     /**
-     * The entry hosts of a data centre.
+     * Returns the entry hosts of a data centre.
      *
      * @param dataCentre the data centre
      * @return the hosts
@@ -109,7 +109,7 @@
     }
 
     /**
-     * The relays.
+     * Returns the relays between the processes.
      *
      * @return the relays
      */
@@ -118,7 +118,7 @@
     }
 
     /**
-     * The process that holds a data centre's targets.
+     * Returns the process that runs a data centre's targets.
      *
      * @param dataCentre the data centre
      * @return the process
@@ -128,32 +128,32 @@
     }
 
     /**
-     * Plans faults of the targets of a data centre.
+     * Configures faults of the targets of a data centre.
      *
      * @param dataCentre the data centre
-     * @param faults what {@code POST /faults} takes
+     * @param faults the body of {@code POST /faults}
      */
     public void planTargetFaults(String dataCentre, ObjectNode faults) {
-        http.post(controls.get(dataCentre), "/faults", Json.write(faults));
+        http.post(targetControlAddresses.get(dataCentre), "/faults", Json.write(faults));
     }
 
     /**
-     * Changes the faults of the platform.
+     * Sets the faults of the platform.
      *
-     * @param faults what {@code POST /faults} takes
+     * @param faults the body of {@code POST /faults}
      */
     public void platformFaults(ObjectNode faults) {
-        http.post(platform, "/faults", Json.write(faults));
+        http.post(platformAddress, "/faults", Json.write(faults));
     }
 
     /**
-     * Reads what truly ran.
+     * Reads the ledgers of all targets, which record the requests that were executed.
      *
      * @return all runs at all targets
      */
     public List<LedgerRun> ledger() {
         List<LedgerRun> runs = new ArrayList<>();
-        for (String control : controls.values()) {
+        for (String control : targetControlAddresses.values()) {
             try {
                 http.get(control, "/ledger").path("runs").forEach(run -> runs.add(LedgerRun.of(run)));
             } catch (IOException e) {
@@ -164,17 +164,17 @@
     }
 
     /**
-     * Asks an entry host for its status.
+     * Requests the status of an entry host.
      *
      * @param host the host
-     * @return the status, or none if it gives no answer
+     * @return the status, or none if the host does not respond
      */
     public Option<JsonNode> status(Host host) {
         return Try.of(() -> http.get(host.operators(), "/status")).toOption();
     }
 
     /**
-     * Asks an entry host to stop gracefully.
+     * Requests a graceful stop of an entry host.
      *
      * @param host the host
      */
@@ -183,17 +183,20 @@
     }
 
     /**
-     * Waits until every entry host that runs has a configuration and holds a claim view.
+     * Waits until every running entry host has a configuration and a claim view.
      *
-     * @param boundMillis how long to wait at most
+     * @param timeoutMillis the longest wait
      */
-    public void awaitServing(long boundMillis) {
-        Poll.until("every entry host serves and is in a view", boundMillis, () -> hosts.values().stream()
-                .filter(host -> host.child().isAlive())
-                .allMatch(this::isServing));
+    public void awaitServing(long timeoutMillis) {
+        Poll.until(
+                "every running entry host has a configuration and a claim view",
+                timeoutMillis,
+                () -> hosts.values().stream()
+                        .filter(host -> host.child().isAlive())
+                        .allMatch(this::isServing));
     }
 
-    /** Prints the end of what the processes wrote about their trouble. */
+    /** Prints the last lines of the logs of all processes. */
     public void printLogs() {
         workspace.printLogs();
     }
@@ -214,34 +217,34 @@
     }
 
     private void start() {
-        Child process = child("platform", "platform ready", PLATFORM, List.of());
-        platform = process.awaitReady().get("address");
+        Child process = startChild("platform", "platform ready", PLATFORM_MAIN_CLASS, List.of());
+        platformAddress = process.awaitReady().get("address");
         startTargets();
         startHosts();
-        enlist();
-        apply();
-        awaitServing(READY_MILLIS);
+        registerAll();
+        applyIntents();
+        awaitServing(SERVING_TIMEOUT_MILLIS);
     }
 
     private void startTargets() {
         for (Site site : deployment().sites()) {
             List<String> args = new ArrayList<>(List.of("--region", site.region(), "--data-centre", site.dataCentre()));
-            args.addAll(List.of("--model", deployment().modelService() + ":" + site.models()));
-            args.addAll(List.of("--plain", deployment().plainService() + ":" + site.plains()));
+            args.addAll(List.of("--model", deployment().modelService() + ":" + site.modelTargets()));
+            args.addAll(List.of("--plain", deployment().plainService() + ":" + site.plainTargets()));
             args.addAll(options.targetSettings());
             String name = "targets-" + site.dataCentre();
-            targetProcesses.put(site.dataCentre(), child(name, "targets ready", TARGETS, args));
+            targetProcesses.put(site.dataCentre(), startChild(name, "targets ready", TARGETS_MAIN_CLASS, args));
         }
         targetProcesses.forEach((dataCentre, process) ->
-                controls.put(dataCentre, process.awaitReady().get("control")));
+                targetControlAddresses.put(dataCentre, process.awaitReady().get("control")));
     }
 
     private void startHosts() {
         for (Site site : deployment().sites()) {
-            String link = links.toPlatform(site.dataCentre(), platform);
+            String platformLink = links.toPlatform(site.dataCentre(), platformAddress);
             List<String> settings = new ArrayList<>();
-            settings.addAll(List.of("--hosts-url", "http://" + link + "/views/" + site.dataCentre()));
-            settings.addAll(List.of("--store-url", "http://" + link));
+            settings.addAll(List.of("--hosts-url", "http://" + platformLink + "/views/" + site.dataCentre()));
+            settings.addAll(List.of("--store-url", "http://" + platformLink));
             settings.addAll(List.of("--policy", deployment().policy()));
             settings.addAll(options.hostSettings());
             for (String name : site.hosts()) {
@@ -251,18 +254,18 @@
         hosts.values().forEach(Host::awaitReady);
     }
 
-    /** Tells each data centre its own addresses of all hosts and targets. */
-    private void enlist() {
+    /** Registers all hosts and targets in each data centre's view, with the addresses as seen from there. */
+    private void registerAll() {
         for (Site from : deployment().sites()) {
-            HostsClient view = HostsClient.of(platform + "/views/" + from.dataCentre());
-            hosts.values().forEach(host -> view.put(host.name(), entry(from, host)));
+            HostsClient view = HostsClient.of(platformAddress + "/views/" + from.dataCentre());
+            hosts.values().forEach(host -> view.put(host.name(), hostEntry(from, host)));
             for (Site to : deployment().sites()) {
-                enlistTargets(view, from, to);
+                registerTargets(view, from, to);
             }
         }
     }
 
-    private ObjectNode entry(Site from, Host host) {
+    private ObjectNode hostEntry(Site from, Host host) {
         Site to = host.site();
         String peers = to.equals(from)
                 ? host.peers()
@@ -270,20 +273,20 @@
         return EnlistHosts.entry(to.region(), to.dataCentre(), host.callers(), peers);
     }
 
-    private void enlistTargets(HostsClient view, Site from, Site to) {
+    private void registerTargets(HostsClient view, Site from, Site to) {
         for (String line : targetProcess(to.dataCentre()).lines()) {
             if (line.startsWith("target ready")) {
-                Map<String, String> target = Child.words(line);
+                Map<String, String> target = Child.fields(line);
                 String name = target.get("name");
                 String address = to.equals(from)
                         ? links.toTarget(to.dataCentre(), name, target.get("address"))
                         : target.get("address");
-                view.put(name, target(to, target.get("service"), address));
+                view.put(name, targetEntry(to, target.get("service"), address));
             }
         }
     }
 
-    private static ObjectNode target(Site site, String service, String address) {
+    private static ObjectNode targetEntry(Site site, String service, String address) {
         int colon = address.lastIndexOf(':');
         return Json.object()
                 .put("role", "target")
@@ -296,20 +299,21 @@
                 .put("leaving", false);
     }
 
-    private void apply() {
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        PrintStream stream = new PrintStream(said, true);
+    private void applyIntents() {
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream stream = new PrintStream(output, true);
         String operators = hosts.values().stream().map(Host::operators).collect(Collectors.joining(","));
         String intents = workspace.intents(options).toString();
         Console console = new Console(stream, stream, Map.of());
-        ExitCode code = Main.run(console, "apply", "--store", platform, "--operators", operators, "--wait", intents);
+        ExitCode code =
+                Main.run(console, "apply", "--store", platformAddress, "--operators", operators, "--wait", intents);
         if (code != ExitCode.DONE) {
-            throw new IllegalStateException("the folder was not applied: " + said);
+            throw new IllegalStateException("the intents folder was not applied: " + output);
         }
     }
 
-    private Child child(String name, String ready, String mainClass, List<String> args) {
-        Child child = Child.start(name, ready, workspace.log(name), mainClass, args);
+    private Child startChild(String name, String readyPrefix, String mainClass, List<String> args) {
+        Child child = Child.start(name, readyPrefix, workspace.log(name), mainClass, args);
         children.add(child);
         return child;
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/FleetOptions.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/FleetOptions.java
@@ -6,15 +6,15 @@
 import java.util.Objects;
 
 /**
- * What a fleet is made of. Immutable and thread safe.
+ * The options of a fleet. Immutable and thread safe.
  *
  * @param deployment the deployment
- * @param claims whether the plain service's calls are claimed before they run, as the examples say
- * @param hostSettings further settings of the entry hosts
- * @param targetSettings further settings of the targets
+ * @param claimsEnabled whether requests to the plain service are claimed before they run, as the examples configure it
+ * @param hostSettings additional settings of the entry hosts
+ * @param targetSettings additional settings of the targets
  */
 public record FleetOptions(
-        Deployment deployment, boolean claims, List<String> hostSettings, List<String> targetSettings) {
+        Deployment deployment, boolean claimsEnabled, List<String> hostSettings, List<String> targetSettings) {
     public FleetOptions {
         Objects.requireNonNull(deployment, "deployment");
         hostSettings = List.copyOf(hostSettings);
@@ -22,7 +22,7 @@
     }
 
     /**
-     * A fleet with all its parts as they are shipped.
+     * Returns the options of a fleet with default settings.
      *
      * @param deployment the deployment
      * @return the options
@@ -32,27 +32,27 @@
     }
 
     /**
-     * Copies these options with further settings of the entry hosts.
+     * Returns a copy of these options with the given additional settings of the entry hosts.
      *
      * @param settings the settings
      * @return the copy
      */
     public FleetOptions withHostSettings(String... settings) {
-        return new FleetOptions(deployment, claims, List.of(settings), targetSettings);
+        return new FleetOptions(deployment, claimsEnabled, List.of(settings), targetSettings);
     }
 
     /**
-     * Copies these options with further settings of the targets.
+     * Returns a copy of these options with the given additional settings of the targets.
      *
      * @param settings the settings
      * @return the copy
      */
     public FleetOptions withTargetSettings(String... settings) {
-        return new FleetOptions(deployment, claims, hostSettings, List.of(settings));
+        return new FleetOptions(deployment, claimsEnabled, hostSettings, List.of(settings));
     }
 
     /**
-     * Copies these options with the claim step taken out: the plain service is declared repeatable.
+     * Returns a copy of these options without claims: the plain service is declared repeatable.
      *
      * @return the copy
      */
@@ -61,12 +61,12 @@
     }
 
     /**
-     * Finds the deployment's folder of intents, whether the process runs in the root or in a module.
+     * Returns the deployment's folder of intents; works from the root of the checkout and from a module's folder.
      *
      * @return the folder
      */
-    public Path examples() {
-        Path here = Path.of("examples", deployment.label());
-        return Files.isDirectory(here) ? here : Path.of("..", "examples", deployment.label());
+    public Path intentsFolder() {
+        Path fromRoot = Path.of("examples", deployment.label());
+        return Files.isDirectory(fromRoot) ? fromRoot : Path.of("..", "examples", deployment.label());
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Host.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * An entry host: its process, and how to start it anew at the same addresses.
+ * An entry host: its process and the settings to restart it with the same addresses.
  *
- * <p>Invariant: the addresses stay the same over restarts. Not thread safe: confined to the thread that runs the fleet.
+ * <p>Invariant: the addresses do not change on a restart. Not thread safe: confined to the thread that runs the fleet.
  */
 public final class Host {
-    private static final String READY = "rattanplankd ready";
+    private static final String READY_PREFIX = "rattanplankd ready";
 
     private final String name;
     private final Site site;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * The host's name.
+     * Returns the host's name.
      *
      * @return the name
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The data centre in which the host stands.
+     * Returns the data centre in which the host runs.
      *
      * @return the site
      */
@@ -51,7 +51,7 @@
     }
 
     /**
-     * The host's process, which is another one after a restart.
+     * Returns the host's process, which changes with a restart.
      *
      * @return the process
      */
@@ -60,7 +60,7 @@
     }
 
     /**
-     * The address for callers.
+     * Returns the address for callers.
      *
      * @return the address as IP:PORT
      */
@@ -69,7 +69,7 @@
     }
 
     /**
-     * The address for other entry hosts.
+     * Returns the address for other entry hosts.
      *
      * @return the address as IP:PORT
      */
@@ -78,7 +78,7 @@
     }
 
     /**
-     * The address for operators.
+     * Returns the address for operators.
      *
      * @return the address as IP:PORT
      */
@@ -90,7 +90,7 @@
         addresses = child.awaitReady();
     }
 
-    /** Starts a new process for this host once the old one has ended. */
+    /** Waits until the current process has terminated, then starts a new one and waits until it is ready. */
     public void restart() {
         child.awaitEnd();
         child = launch(List.of(
@@ -104,7 +104,7 @@
         List<String> args = new ArrayList<>(settings);
         args.addAll(List.of("--host", name, "--region", site.region(), "--data-centre", site.dataCentre()));
         args.addAll(ports);
-        return Child.start(name, READY, log, "org.rattanplank.daemon.Rattanplankd", args);
+        return Child.start(name, READY_PREFIX, log, "org.rattanplank.daemon.Rattanplankd", args);
     }
 
     private static String port(String address) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Http.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Http.java
@@ -12,7 +12,7 @@
 import org.rattanplank.cli.WholeExchange;
 import org.rattanplank.standins.http.Json;
 
-/** Calls the ports for tests and operators. Thread safe. */
+/** Sends JSON requests to the control and operator ports. Thread safe. */
 final class Http {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/LedgerRun.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/LedgerRun.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One run of a request at a target, as the target's ledger holds it. Immutable and thread safe.
+ * One execution of a request at a target, as recorded in the target's ledger. Immutable and thread safe.
  *
  * @param target the target
- * @param region the region in which it stands
- * @param requestId the request's identifier, with the number of the attempt
- * @param idempotencyKey the key, empty for none
- * @param reference the caller's own name for the call
+ * @param region the region of the target
+ * @param requestId the request ID, with the attempt number as suffix
+ * @param idempotencyKey the idempotency key, empty for none
+ * @param reference the caller's reference of the call
  * @param state running, whole or cancelled
  */
 public record LedgerRun(
         String target, String region, String requestId, String idempotencyKey, String reference, String state) {
 
     /**
-     * The identifier that the caller was told, to which each attempt adds its own number.
+     * Returns the request ID as reported to the caller, without the suffix that each attempt adds.
      *
-     * @return the identifier without the attempt's number
+     * @return the request ID without the attempt number
      */
     public String toldRequestId() {
         return requestId.replaceFirst("\\.\\d+$", "");
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Links.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Links.java
@@ -9,83 +9,86 @@
 import org.rattanplank.standins.link.Link;
 import org.rattanplank.standins.link.LinkState;
 
-/** The relays of a fleet. Not thread safe: confined to the thread that runs the fleet. */
+/** The relays between the processes of a fleet. Not thread safe: confined to the thread that runs the fleet. */
 public final class Links {
     private static final String PLATFORM = "platform";
 
     private final EventLoop loop;
-    private final Map<Ends, Link> links = new LinkedHashMap<>();
+    private final Map<Endpoints, Link> links = new LinkedHashMap<>();
 
     Links(EventLoop loop) {
         this.loop = loop;
     }
 
     String toPlatform(String dataCentre, String address) {
-        return open(new Ends(dataCentre, PLATFORM, PLATFORM), address);
+        return open(new Endpoints(dataCentre, PLATFORM, PLATFORM), address);
     }
 
     String toHost(String dataCentre, String otherDataCentre, String host, String address) {
-        return open(new Ends(dataCentre, otherDataCentre, host), address);
+        return open(new Endpoints(dataCentre, otherDataCentre, host), address);
     }
 
     String toTarget(String dataCentre, String target, String address) {
-        return open(new Ends(dataCentre, dataCentre, target), address);
+        return open(new Endpoints(dataCentre, dataCentre, target), address);
     }
 
     /**
-     * Changes the state of all relays between a data centre and the rest: other data centres and the platform.
+     * Sets the state of all relays between a data centre and the other data centres and the platform.
      *
      * @param dataCentre the data centre
      * @param state the state
      */
     public void around(String dataCentre, LinkState state) {
-        change(ends -> ends.leaves(dataCentre), state);
+        setState(endpoints -> endpoints.crossesBoundaryOf(dataCentre), state);
     }
 
     /**
-     * Changes the state of a data centre's relay to the platform.
+     * Sets the state of a data centre's relay to the platform.
      *
      * @param dataCentre the data centre
      * @param state the state
      */
     public void platform(String dataCentre, LinkState state) {
-        change(ends -> ends.from().equals(dataCentre) && ends.to().equals(PLATFORM), state);
+        setState(
+                endpoints ->
+                        endpoints.from().equals(dataCentre) && endpoints.to().equals(PLATFORM),
+                state);
     }
 
     /**
-     * Makes the open connections to a target silent, while new ones work.
+     * Drops all bytes of the open connections to a target, while new connections work.
      *
      * @param target the target
      */
     public void silenceOpenConnections(String target) {
-        links.forEach((ends, link) -> {
-            if (ends.name().equals(target)) {
+        links.forEach((endpoints, link) -> {
+            if (endpoints.name().equals(target)) {
                 link.silenceOpenConnections();
             }
         });
     }
 
-    /** Lets all relays pass everything on. */
+    /** Resets all relays to forward all traffic. */
     public void heal() {
-        change(ends -> true, LinkState.up());
+        setState(endpoints -> true, LinkState.up());
     }
 
-    private void change(Predicate<Ends> which, LinkState state) {
-        links.forEach((ends, link) -> {
-            if (which.test(ends)) {
+    private void setState(Predicate<Endpoints> selector, LinkState state) {
+        links.forEach((endpoints, link) -> {
+            if (selector.test(endpoints)) {
                 link.state(state);
             }
         });
     }
 
-    private String open(Ends ends, String address) {
+    private String open(Endpoints endpoints, String address) {
         Link link = Link.open(loop, Addresses.read(address));
-        links.put(ends, link);
+        links.put(endpoints, link);
         return link.address();
     }
 
-    private record Ends(String from, String to, String name) {
-        private boolean leaves(String dataCentre) {
+    private record Endpoints(String from, String to, String name) {
+        private boolean crossesBoundaryOf(String dataCentre) {
             return !from.equals(to) && (from.equals(dataCentre) || to.equals(dataCentre));
         }
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Site.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Site.java
@@ -8,11 +8,11 @@
  *
  * @param region the region
  * @param dataCentre the data centre
- * @param models how many model replicas it has
- * @param plains how many replicas of the plain service it has
+ * @param modelTargets the number of targets of the model service
+ * @param plainTargets the number of targets of the plain service
  */
-public record Site(String region, String dataCentre, int models, int plains) {
-    private static final String SUFFIX = "-hall";
+public record Site(String region, String dataCentre, int modelTargets, int plainTargets) {
+    private static final String DATA_CENTRE_SUFFIX = "-hall";
 
     public Site {
         Objects.requireNonNull(region, "region");
@@ -20,12 +20,12 @@
     }
 
     /**
-     * The names of the data centre's two entry hosts.
+     * Returns the names of the data centre's two entry hosts.
      *
      * @return the names
      */
     public List<String> hosts() {
-        String prefix = dataCentre.replace(SUFFIX, "");
+        String prefix = dataCentre.replace(DATA_CENTRE_SUFFIX, "");
         return List.of(prefix + "-1", prefix + "-2");
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Workspace.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Workspace.java
@@ -13,7 +13,7 @@
 
 /** A temporary folder for the logs and intents of a fleet, deleted when it is closed. Thread safe. */
 final class Workspace implements AutoCloseable {
-    private static final int SHOWN_LINES = 20;
+    private static final int PRINTED_LINES_PER_LOG = 20;
 
     private final Path folder;
 
@@ -30,13 +30,16 @@
         return folder.resolve(name + ".log").toFile();
     }
 
-    /** Copies a deployment's intents, as apply leaves its hidden file in the folder; changes them if asked to. */
+    /**
+     * Copies a deployment's intents, because the apply command writes a hidden file to the folder that it applies.
+     * Without claims, the services are declared repeatable in the copy.
+     */
     Path intents(FleetOptions options) {
-        try (Stream<Path> files = Files.list(options.examples())) {
+        try (Stream<Path> files = Files.list(options.intentsFolder())) {
             Path intents = Files.createDirectory(folder.resolve("intents"));
             for (Path file : files.toList()) {
                 String text = Files.readString(file);
-                String changed = options.claims() ? text : text.replace("repeatable: false", "repeatable: true");
+                String changed = options.claimsEnabled() ? text : text.replace("repeatable: false", "repeatable: true");
                 Files.writeString(intents.resolve(file.getFileName()), changed);
             }
             return intents;
@@ -50,10 +53,12 @@
             for (Path log : logs.filter(Files::isRegularFile).sorted().toList()) {
                 List<String> lines = Files.readAllLines(log);
                 System.err.println("== " + log.getFileName());
-                lines.stream().skip(Math.max(0, lines.size() - SHOWN_LINES)).forEach(System.err::println);
+                lines.stream()
+                        .skip(Math.max(0, lines.size() - PRINTED_LINES_PER_LOG))
+                        .forEach(System.err::println);
             }
         } catch (IOException e) {
-            System.err.println("the logs cannot be read: " + e);
+            System.err.println("cannot read the logs: " + e);
         }
     }
 
@@ -62,7 +67,7 @@
         try (Stream<Path> files = Files.walk(folder)) {
             files.sorted(Comparator.reverseOrder()).forEach(file -> Try.run(() -> Files.delete(file)));
         } catch (IOException e) {
-            System.err.println("the logs cannot be deleted: " + e);
+            System.err.println("cannot delete the logs: " + e);
         }
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Arrival.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Arrival.java
@@ -5,21 +5,21 @@
 import org.rattanplank.core.request.WorkClass;
 
 /**
- * One request as its caller asks it. Immutable and thread safe.
+ * One request of the generated load. Immutable and thread safe.
  *
- * @param number its number in the run
- * @param atMillis when it is asked
- * @param region the index of its home region
+ * @param number the number of the request in the run
+ * @param atMillis the virtual time at which it is sent
+ * @param region the index of the home region
  * @param host the index of the entry host within the region
- * @param account the account
- * @param service the service's shape
- * @param workClass its class
- * @param mayCross whether its residency allows all regions
- * @param promptTokens the prompt's tokens
- * @param maxTokens the largest number of tokens that the caller allows
- * @param outputTokens the tokens that the answer will have
- * @param patienceMillis how long the caller waits
- * @param prefixes hashes of the prompt's prefixes
+ * @param account the client account
+ * @param service the profile of the service
+ * @param workClass the work class
+ * @param allRegionsAllowed whether its residency allows all regions
+ * @param promptTokens the length of the prompt
+ * @param maxTokens the maximum number of output tokens that the caller allows
+ * @param outputTokens the number of output tokens of the response
+ * @param maxWaitMillis the time after which the caller gives up waiting
+ * @param prefixes the hashes of the prompt's prefixes
  */
 record Arrival(
         long number,
@@ -27,11 +27,11 @@
         int region,
         int host,
         String account,
-        ServiceShape service,
+        ServiceProfile service,
         WorkClass workClass,
-        boolean mayCross,
+        boolean allRegionsAllowed,
         int promptTokens,
         int maxTokens,
         int outputTokens,
-        long patienceMillis,
+        long maxWaitMillis,
         List<Long> prefixes) {}
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Arrivals.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Arrivals.java
@@ -7,13 +7,13 @@
 
 import org.rattanplank.core.request.WorkClass;
 
-/** Makes the requests of one run from a seed, so that every policy meets the same ones. Confined to one thread. */
+/** Generates the requests of a run from a seed, so that all policies get the same load. Confined to one thread. */
 final class Arrivals {
-    /** The part of requests that is bound to its home region. */
-    private static final double HOME_BOUND_PART = 0.11;
+    /** The share of requests whose residency allows only the home region. */
+    private static final double HOME_ONLY_SHARE = 0.11;
 
-    private static final int ACCOUNTS_BY_REGION = 12;
-    private static final int HOSTS_BY_REGION = 2;
+    private static final int ACCOUNTS_PER_REGION = 12;
+    private static final int HOSTS_PER_REGION = 2;
     private static final double PLAIN_LOAD = 0.05;
     private static final long STEP_MILLIS = 100;
 
@@ -21,7 +21,7 @@
     private final Scenario scenario;
     private final SplittableRandom random;
     private final List<Arrival> arrivals = new ArrayList<>();
-    private long uniquePrefix = 1L << 40;
+    private long nextUniquePrefix = 1L << 40;
 
     private Arrivals(Deployment deployment, Scenario scenario, long seed) {
         this.deployment = deployment;
@@ -30,32 +30,32 @@
     }
 
     static List<Arrival> of(Deployment deployment, Scenario scenario, long seed) {
-        Arrivals made = new Arrivals(deployment, scenario, seed);
+        Arrivals generator = new Arrivals(deployment, scenario, seed);
         for (int region = 0; region < deployment.regions.size(); region++) {
             for (long at = 0; at < Scenario.RUN_MILLIS; at += STEP_MILLIS) {
-                made.step(region, at);
+                generator.generateStep(region, at);
             }
         }
-        made.arrivals.sort(Comparator.comparingLong(Arrival::atMillis).thenComparing(Arrival::number));
-        return made.arrivals;
+        generator.arrivals.sort(Comparator.comparingLong(Arrival::atMillis).thenComparing(Arrival::number));
+        return generator.arrivals;
     }
 
-    private void step(int region, long atMillis) {
+    private void generateStep(int region, long atMillis) {
         double load = scenario.load(region, atMillis);
-        int models = poisson(load * perStep(deployment.model, region));
-        for (int i = 0; i < models; i++) {
-            arrivals.add(model(region, atMillis + random.nextLong(STEP_MILLIS)));
+        int modelRequests = poisson(load * requestsPerStep(deployment.model, region));
+        for (int i = 0; i < modelRequests; i++) {
+            arrivals.add(modelArrival(region, atMillis + random.nextLong(STEP_MILLIS)));
         }
-        int plains = poisson(PLAIN_LOAD * perStep(deployment.plain, region));
-        for (int i = 0; i < plains; i++) {
-            arrivals.add(plain(region, atMillis + random.nextLong(STEP_MILLIS)));
+        int plainRequests = poisson(PLAIN_LOAD * requestsPerStep(deployment.plain, region));
+        for (int i = 0; i < plainRequests; i++) {
+            arrivals.add(plainArrival(region, atMillis + random.nextLong(STEP_MILLIS)));
         }
     }
 
-    /** How many requests a region's targets can take in one step. */
-    private double perStep(ServiceShape service, int region) {
-        double slots = (double) service.targetsByRegion()[region] * service.slots() * scenario.capacityFactor(region);
-        return slots * STEP_MILLIS / service.nominalRunMillis();
+    /** Returns the number of requests that a region's targets can serve in one step. */
+    private double requestsPerStep(ServiceProfile service, int region) {
+        double slots = (double) service.targetsPerRegion()[region] * service.slots() * scenario.capacityFactor(region);
+        return slots * STEP_MILLIS / service.nominalServiceMillis();
     }
 
     private int poisson(double mean) {
@@ -69,34 +69,34 @@
         return count;
     }
 
-    private Arrival model(int region, long atMillis) {
-        Deployment.Work work = work();
+    private Arrival modelArrival(int region, long atMillis) {
+        Deployment.WorkProfile work = drawWork();
         return new Arrival(
                 arrivals.size(),
                 atMillis,
                 region,
-                random.nextInt(HOSTS_BY_REGION),
-                account(region),
+                random.nextInt(HOSTS_PER_REGION),
+                drawAccount(region),
                 deployment.model,
                 work.workClass(),
-                random.nextDouble() >= HOME_BOUND_PART,
+                random.nextDouble() >= HOME_ONLY_SHARE,
                 work.promptTokens(),
                 work.maxTokens(),
                 (int) (work.maxTokens() * (0.2 + 0.6 * random.nextDouble())),
-                work.patienceMillis(),
-                prefixes(region, work));
+                work.maxWaitMillis(),
+                drawPrefixes(region, work));
     }
 
-    private Arrival plain(int region, long atMillis) {
+    private Arrival plainArrival(int region, long atMillis) {
         return new Arrival(
                 arrivals.size(),
                 atMillis,
                 region,
-                random.nextInt(HOSTS_BY_REGION),
-                account(region),
+                random.nextInt(HOSTS_PER_REGION),
+                drawAccount(region),
                 deployment.plain,
                 WorkClass.INTERACTIVE,
-                random.nextDouble() >= HOME_BOUND_PART,
+                random.nextDouble() >= HOME_ONLY_SHARE,
                 0,
                 0,
                 0,
@@ -104,34 +104,34 @@
                 List.of());
     }
 
-    private Deployment.Work work() {
-        double place = random.nextDouble();
-        for (Deployment.Work work : deployment.work) {
-            place -= work.part();
-            if (place < 0) {
+    private Deployment.WorkProfile drawWork() {
+        double draw = random.nextDouble();
+        for (Deployment.WorkProfile work : deployment.work) {
+            draw -= work.share();
+            if (draw < 0) {
                 return work;
             }
         }
         return deployment.work.get(0);
     }
 
-    private String account(int region) {
-        if (random.nextDouble() < scenario.heavyPart()) {
+    private String drawAccount(int region) {
+        if (random.nextDouble() < scenario.heavyAccountShare()) {
             return "heavy";
         }
-        return deployment.regions.get(region) + "-" + random.nextInt(ACCOUNTS_BY_REGION);
+        return deployment.regions.get(region) + "-" + random.nextInt(ACCOUNTS_PER_REGION);
     }
 
-    /** All blocks but the last are shared by the prompts on one manual; some manuals are read more than others. */
-    private List<Long> prefixes(int region, Deployment.Work work) {
-        double skewed = random.nextDouble() * (0.4 + 0.6 * random.nextDouble());
-        long manual = 1 + (long) (skewed * deployment.prefixes.byRegion());
+    /** Returns prefixes; prompts on one manual share all but the last, and some manuals are used more often. */
+    private List<Long> drawPrefixes(int region, Deployment.WorkProfile work) {
+        double skewedFraction = random.nextDouble() * (0.4 + 0.6 * random.nextDouble());
+        long manual = 1 + (long) (skewedFraction * deployment.prefixes.documentsPerRegion());
         long base = (region + 1) * 1_000_000L + work.promptTokens() * 100_000_000L + manual * 100;
         List<Long> prefixes = new ArrayList<>();
-        for (int block = 0; block < deployment.prefixes.blocks() - 1; block++) {
+        for (int block = 0; block < deployment.prefixes.blocksPerPrompt() - 1; block++) {
             prefixes.add(base + block);
         }
-        prefixes.add(uniquePrefix++);
+        prefixes.add(nextUniquePrefix++);
         return prefixes;
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -15,47 +15,47 @@
 import org.rattanplank.core.route.Routing;
 
 /**
- * One request at one entry host; it calls the router as the product's request flow does.
+ * Processes one request at one entry host and calls the router as the product's request flow does.
  *
- * <p>Invariant: it replies once, and a result of an attempt that is no longer current is dropped. Confined to one
- * thread.
+ * <p>Invariant: the listener is notified once unless the request is cancelled, and the result of an
+ * outdated attempt is ignored. Confined to one thread.
  */
 final class Call {
-    private static final long REFUSED_MILLIS = 5;
-    private static final Answer ANSWER = Answer.of(200, "application/json", new byte[0]);
+    private static final long CONNECTION_ERROR_DELAY_MILLIS = 5;
+    private static final Answer EMPTY_RESPONSE = Answer.of(200, "application/json", new byte[0]);
 
-    private final Simulation run;
+    private final Simulation simulation;
     private final Host host;
     private final Arrival arrival;
     private final Request request;
-    private final Reply reply;
-    private final Set<String> tried = new HashSet<>();
+    private final OutcomeListener listener;
+    private final Set<String> triedPeers = new HashSet<>();
     private Runnable cancelAttempt = () -> {};
     private Option<Route> route = Option.none();
-    private int attempt;
+    private int currentAttempt;
     private long attemptAtMillis;
     private boolean done;
 
-    Call(Simulation run, Host host, Arrival arrival, Request request, Reply reply) {
-        this.run = run;
+    Call(Simulation simulation, Host host, Arrival arrival, Request request, OutcomeListener listener) {
+        this.simulation = simulation;
         this.host = host;
         this.arrival = arrival;
         this.request = request;
-        this.reply = reply;
+        this.listener = listener;
     }
 
     void start() {
-        Option<Routing.Refuse> refusal = host.router.admit(request, now());
-        if (refusal.isDefined()) {
+        Option<Routing.Refuse> rejection = host.router.admit(request, now());
+        if (rejection.isDefined()) {
             done = true;
-            reply.notRun(refusal.get().retryAfterMillis());
+            listener.notRun(rejection.get().retryAfterMillis());
             return;
         }
-        run.time().after(request.deadlineMillis() - now(), this::expire);
-        route();
+        simulation.scheduler().schedule(request.deadlineMillis() - now(), this::expire);
+        chooseRoute();
     }
 
-    /** Stops the request, because whoever asked no longer waits. */
+    /** Cancels the request, because its requester no longer waits for it. */
     void cancel() {
         if (!done) {
             finish();
@@ -63,143 +63,149 @@
         }
     }
 
-    void linkLost(int region) {
-        boolean isThere = route.exists(
-                there -> there instanceof Route.ToHost toHost && toHost.region().equals(run.regionName(region)));
-        if (!done && isThere) {
-            ended(attempt, new AttemptResult.Lost(Failure.of(Step.FORWARD, "", "the link broke"), 0));
+    void linkDisconnected(int region) {
+        boolean isForwardedToRegion = route.exists(chosen ->
+                chosen instanceof Route.ToHost toHost && toHost.region().equals(simulation.regionName(region)));
+        if (!done && isForwardedToRegion) {
+            attemptFailed(currentAttempt, new AttemptResult.Lost(Failure.of(Step.FORWARD, "", "link disconnected"), 0));
         }
     }
 
     private void expire() {
         if (!done) {
             cancel();
-            reply.unknown();
+            listener.unknown();
         }
     }
 
     private void finish() {
         done = true;
-        host.forgets(this);
+        host.removeForwarded(this);
         host.router.finished(request, now());
     }
 
-    private void route() {
-        Set<String> allowed = arrival.mayCross() ? run.regionNames() : Set.of(request.homeRegion());
-        Routing routing = host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), tried), now());
+    private void chooseRoute() {
+        Set<String> allowed = arrival.allRegionsAllowed() ? simulation.regionNames() : Set.of(request.homeRegion());
+        Routing routing =
+                host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), triedPeers), now());
         if (routing instanceof Routing.Go go) {
-            go(go.route());
+            startAttempt(go.route());
         } else if (routing instanceof Routing.Refuse refuse) {
             finish();
-            reply.notRun(refuse.retryAfterMillis());
+            listener.notRun(refuse.retryAfterMillis());
         }
     }
 
-    private void go(Route next) {
-        attempt++;
-        run.results().attempted(request.isForwarded(), attempt);
+    private void startAttempt(Route next) {
+        currentAttempt++;
+        simulation.results().recordAttempt(request.isForwarded(), currentAttempt);
         attemptAtMillis = now();
         route = Option.some(next);
-        tried.add(next.peer());
+        triedPeers.add(next.peer());
         host.router.started(request, next, now());
         if (next instanceof Route.ToHost) {
-            forward(next.peer(), attempt);
+            forward(next.peer(), currentAttempt);
         } else {
-            send(run.target(next.peer()), attempt);
+            send(simulation.target(next.peer()), currentAttempt);
         }
     }
 
     private void send(StandInTarget target, int number) {
         if (!target.isUp()) {
-            AttemptResult refused =
-                    new AttemptResult.NotRun(Failure.of(Step.CONNECT, target.listed.name(), "refused"), 0);
-            run.time().after(REFUSED_MILLIS, () -> ended(number, refused));
+            AttemptResult connectionRefused =
+                    new AttemptResult.NotRun(Failure.of(Step.CONNECT, target.listed.name(), "connection refused"), 0);
+            simulation
+                    .scheduler()
+                    .schedule(CONNECTION_ERROR_DELAY_MILLIS, () -> attemptFailed(number, connectionRefused));
             return;
         }
-        StandInTarget.Job job = target.take(arrival, new StandInTarget.JobEnd() {
+        StandInTarget.Job job = target.submit(arrival, new StandInTarget.JobListener() {
             @Override
-            public void answered(long firstTokenMillis) {
-                answeredBy(number, target.region, firstTokenMillis);
+            public void completed(long firstTokenMillis) {
+                attemptAnswered(number, target.region, firstTokenMillis);
             }
 
             @Override
-            public void lost() {
-                AttemptResult lost = new AttemptResult.Lost(Failure.of(Step.RECEIVE, target.listed.name(), "reset"), 0);
-                run.time().after(REFUSED_MILLIS, () -> ended(number, lost));
+            public void failed() {
+                AttemptResult lost =
+                        new AttemptResult.Lost(Failure.of(Step.RECEIVE, target.listed.name(), "connection reset"), 0);
+                simulation.scheduler().schedule(CONNECTION_ERROR_DELAY_MILLIS, () -> attemptFailed(number, lost));
             }
         });
         cancelAttempt = () -> target.cancel(job);
     }
 
     private void forward(String peer, int number) {
-        Host other = run.host(peer);
-        long crossing = run.crossingMillis();
-        run.results().crossed();
-        host.forwards(this);
-        if (run.isCut(host.region, other.region)) {
-            AttemptResult notRun = new AttemptResult.NotRun(Failure.of(Step.FORWARD, peer, "no link"), 0);
-            run.time().after(Simulation.LINK_TIMEOUT_MILLIS, () -> ended(number, notRun));
+        Host other = simulation.host(peer);
+        long delayMillis = simulation.interRegionDelayMillis();
+        simulation.results().recordForward();
+        host.addForwarded(this);
+        if (simulation.isPartitioned(host.region, other.region)) {
+            AttemptResult notRun = new AttemptResult.NotRun(Failure.of(Step.FORWARD, peer, "not connected"), 0);
+            simulation.scheduler().schedule(Simulation.LINK_TIMEOUT_MILLIS, () -> attemptFailed(number, notRun));
             return;
         }
-        Request asSeen = request.passedBy(host.name, false);
-        Call there = new Call(run, other, arrival, asSeen, new Reply() {
+        Request forwardedRequest = request.passedBy(host.name, false);
+        Call remoteCall = new Call(simulation, other, arrival, forwardedRequest, new OutcomeListener() {
             @Override
             public void answered(int region, long firstTokenMillis) {
-                back(() -> answeredBy(number, region, firstTokenMillis + crossing));
+                sendBack(() -> attemptAnswered(number, region, firstTokenMillis + delayMillis));
             }
 
             @Override
             public void notRun(long retryAfterMillis) {
-                back(() -> ended(
-                        number, new AttemptResult.NotRun(Failure.of(Step.ROUTE, peer, "refused"), retryAfterMillis)));
+                sendBack(() -> attemptFailed(
+                        number, new AttemptResult.NotRun(Failure.of(Step.ROUTE, peer, "rejected"), retryAfterMillis)));
             }
 
             @Override
             public void unknown() {
-                back(() -> ended(number, new AttemptResult.Lost(Failure.of(Step.FORWARD, peer, "unknown"), 0)));
+                sendBack(() -> attemptFailed(
+                        number, new AttemptResult.Lost(Failure.of(Step.FORWARD, peer, "outcome unknown"), 0)));
             }
 
-            private void back(Runnable action) {
-                if (!run.isCut(host.region, other.region)) {
-                    run.time().after(crossing, action);
+            private void sendBack(Runnable action) {
+                if (!simulation.isPartitioned(host.region, other.region)) {
+                    simulation.scheduler().schedule(delayMillis, action);
                 }
             }
         });
-        run.time().after(crossing, there::start);
-        cancelAttempt = () -> run.time().after(crossing, there::cancel);
+        simulation.scheduler().schedule(delayMillis, remoteCall::start);
+        cancelAttempt = () -> simulation.scheduler().schedule(delayMillis, remoteCall::cancel);
     }
 
-    private void answeredBy(int number, int region, long firstTokenMillis) {
-        if (done || number != attempt) {
+    private void attemptAnswered(int number, int region, long firstTokenMillis) {
+        if (done || number != currentAttempt) {
             return;
         }
-        long took = now() - attemptAtMillis;
-        host.router.ended(request, route.get(), new AttemptResult.Whole(ANSWER, List.of()), took, now());
+        long elapsedMillis = now() - attemptAtMillis;
+        host.router.ended(
+                request, route.get(), new AttemptResult.Whole(EMPTY_RESPONSE, List.of()), elapsedMillis, now());
         finish();
-        reply.answered(region, firstTokenMillis);
+        listener.answered(region, firstTokenMillis);
     }
 
-    private void ended(int number, AttemptResult result) {
-        if (done || number != attempt) {
+    private void attemptFailed(int number, AttemptResult result) {
+        if (done || number != currentAttempt) {
             return;
         }
-        host.forgets(this);
+        host.removeForwarded(this);
         cancelAttempt = () -> {};
         host.router.ended(request, route.get(), result, now() - attemptAtMillis, now());
-        boolean mayRunAgain = result instanceof AttemptResult.NotRun || request.repeatable();
-        if (mayRunAgain && host.router.mayRetry(request, attempt, now())) {
-            route();
+        boolean isSafeToRetry = result instanceof AttemptResult.NotRun || request.repeatable();
+        if (isSafeToRetry && host.router.mayRetry(request, currentAttempt, now())) {
+            chooseRoute();
             return;
         }
         finish();
         if (result instanceof AttemptResult.NotRun notRun) {
-            reply.notRun(notRun.retryAfterMillis());
+            listener.notRun(notRun.retryAfterMillis());
         } else {
-            reply.unknown();
+            listener.unknown();
         }
     }
 
     private long now() {
-        return run.time().nowMillis();
+        return simulation.scheduler().nowMillis();
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Caller.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Caller.java
@@ -4,79 +4,80 @@
 import org.rattanplank.core.request.Request;
 
 /**
- * One caller with one request; in the retry storm it repeats at once, whatever it was told. Confined to one thread.
+ * A caller that sends one request and, in the retry storm, retries it without waiting for Retry-After.
  *
- * <p>Invariant: it records one outcome.
+ * <p>Invariant: it records exactly one outcome. Confined to one thread.
  */
 final class Caller {
-    private static final long REPEAT_MILLIS = 10;
+    private static final long RETRY_DELAY_MILLIS = 10;
 
-    private final Simulation run;
+    private final Simulation simulation;
     private final Arrival arrival;
-    private int repeatsLeft;
-    private int asked;
+    private int retriesLeft;
+    private int sent;
 
-    Caller(Simulation run, Arrival arrival, int repeats) {
-        this.run = run;
+    Caller(Simulation simulation, Arrival arrival, int maxRetries) {
+        this.simulation = simulation;
         this.arrival = arrival;
-        this.repeatsLeft = repeats;
+        this.retriesLeft = maxRetries;
     }
 
-    void ask() {
-        run.results().asked();
-        new Call(run, run.entryHost(arrival), arrival, request(), new Reply() {
+    void send() {
+        simulation.results().recordSent();
+        new Call(simulation, simulation.entryHost(arrival), arrival, request(), new OutcomeListener() {
                     @Override
                     public void answered(int region, long firstTokenMillis) {
-                        run.results()
-                                .answered(
+                        simulation
+                                .results()
+                                .recordAnswered(
                                         arrival,
                                         region,
                                         firstTokenMillis,
-                                        run.time().nowMillis());
+                                        simulation.scheduler().nowMillis());
                     }
 
                     @Override
                     public void notRun(long retryAfterMillis) {
-                        if (!repeats()) {
-                            run.results().refused(arrival);
+                        if (!scheduleRetry()) {
+                            simulation.results().recordRejected(arrival);
                         }
                     }
 
                     @Override
                     public void unknown() {
-                        if (!repeats()) {
-                            run.results().late(arrival);
+                        if (!scheduleRetry()) {
+                            simulation.results().recordUnknown(arrival);
                         }
                     }
                 })
                 .start();
     }
 
-    private boolean repeats() {
-        long again = run.time().nowMillis() + REPEAT_MILLIS;
-        if (repeatsLeft == 0 || again >= arrival.atMillis() + arrival.patienceMillis()) {
+    private boolean scheduleRetry() {
+        long retryAtMillis = simulation.scheduler().nowMillis() + RETRY_DELAY_MILLIS;
+        if (retriesLeft == 0 || retryAtMillis >= arrival.atMillis() + arrival.maxWaitMillis()) {
             return false;
         }
-        repeatsLeft--;
-        run.time().after(REPEAT_MILLIS, this::ask);
+        retriesLeft--;
+        simulation.scheduler().schedule(RETRY_DELAY_MILLIS, this::send);
         return true;
     }
 
     private Request request() {
         return new Request(
-                arrival.number() + "-" + asked++,
+                arrival.number() + "-" + sent++,
                 arrival.account(),
                 arrival.service().name(),
                 arrival.workClass(),
-                arrival.service().model(),
+                arrival.service().hasModelEngines(),
                 Option.none(),
-                run.regionName(arrival.region()),
-                arrival.mayCross() ? Option.some(Simulation.ANYWHERE) : Option.none(),
-                arrival.atMillis() + arrival.patienceMillis(),
+                simulation.regionName(arrival.region()),
+                arrival.allRegionsAllowed() ? Option.some(Simulation.ANYWHERE) : Option.none(),
+                arrival.atMillis() + arrival.maxWaitMillis(),
                 arrival.promptTokens(),
                 arrival.maxTokens(),
                 arrival.prefixes(),
-                arrival.service().model(),
+                arrival.service().hasModelEngines(),
                 java.util.List.of(),
                 false);
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
@@ -40,7 +40,8 @@
 import org.rattanplank.core.route.TargetLoad;
 
 /**
- * {@code bin/measure decision}: time and allocation of one routing decision, from admission to the end, with JMH.
+ * Measures the time and the allocation of one routing decision, from admission to completion, with JMH
+ * ({@code bin/measure decision}).
  *
  * <p>Confined to the benchmark's thread.
  */
@@ -50,10 +51,10 @@
 public class DecisionMeasurement {
     private static final int ACCOUNTS = 3_100;
     private static final int REQUESTS = 4_096;
-    private static final int REGIONS = 29;
+    private static final int REMOTE_REGIONS = 29;
     private static final String SERVICE = "plank-serve";
 
-    /** How many targets one service has in this host's region. */
+    /** The number of targets of the service in the region of the host. */
     @Param({"10", "100", "2000"})
     private int targets;
 
@@ -61,7 +62,7 @@
     private Request[] requests;
     private Eligibility eligibility;
     private long nowMillis;
-    private int next;
+    private int nextRequest;
 
     /**
      * Runs the measurement.
@@ -91,11 +92,11 @@
             System.out.printf(
                     Locale.ROOT, "decision targets %d micros %.2f error %.2f bytes %.0f%n", count, time, error, bytes);
         }
-        double slope = (micros.get(2_000) - micros.get(100)) / 1.9;
-        System.out.printf(Locale.ROOT, "decision slope micros per 1000 targets %.2f%n", slope);
+        double microsPerThousandTargets = (micros.get(2_000) - micros.get(100)) / 1.9;
+        System.out.printf(Locale.ROOT, "decision slope micros per 1000 targets %.2f%n", microsPerThousandTargets);
     }
 
-    /** Fills a router with targets, loads, regions and accounts. */
+    /** Sets up a router with targets, load reports, regions and client accounts. */
     @Setup
     public void fill() {
         Place place = Place.of("suva", "suva-hall");
@@ -126,14 +127,14 @@
     }
 
     /**
-     * Admits one request, chooses where it goes, starts it and ends it.
+     * Admits one request, chooses its route, starts it and finishes it.
      *
-     * @return the decision
+     * @return the routing decision
      */
     @Benchmark
     public Routing decide() {
         nowMillis++;
-        Request request = requests[next++ & (REQUESTS - 1)];
+        Request request = requests[nextRequest++ & (REQUESTS - 1)];
         router.admit(request, nowMillis);
         Routing routing = router.choose(request, eligibility, nowMillis);
         if (routing instanceof Routing.Go go) {
@@ -145,7 +146,7 @@
 
     private static List<RemoteRegion> regions() {
         List<RemoteRegion> regions = new ArrayList<>();
-        for (int i = 0; i < REGIONS; i++) {
+        for (int i = 0; i < REMOTE_REGIONS; i++) {
             var load = new RemoteRegion.ServiceLoad(70, 560, 300, 0, 0);
             regions.add(new RemoteRegion("region-" + i, List.of("h-" + i), Map.of(SERVICE, load)));
         }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Faults.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Faults.java
@@ -3,42 +3,44 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Plans the faults of a run. Confined to one thread. */
+/** Schedules the faults of a run. Confined to one thread. */
 final class Faults {
-    /** How far the platform's list of hosts lags behind. */
-    private static final long LIST_LAG_MILLIS = 3_000;
+    /** The delay with which the platform's host list reflects a change. */
+    private static final long HOST_LIST_LAG_MILLIS = 3_000;
 
-    private static final long BACK_MILLIS = 500;
+    private static final long RECONNECT_DELAY_MILLIS = 500;
 
-    private final Simulation run;
+    private final Simulation simulation;
 
-    Faults(Simulation run) {
-        this.run = run;
+    Faults(Simulation simulation) {
+        this.simulation = simulation;
     }
 
-    /** A region loses half of each of its services' targets, rounded up where a service has more than one. */
-    void loseHalf(int region, long fromMillis, long untilMillis) {
-        List<StandInTarget> lost = new ArrayList<>();
-        for (ServiceShape service : List.of(run.deployment().model, run.deployment().plain)) {
-            List<StandInTarget> all = run.targets(region, service);
-            lost.addAll(all.size() == 1 ? List.of() : all.subList(0, (all.size() + 1) / 2));
+    /** Fails half of the targets of each service in a region, rounded up; a service with one target keeps it. */
+    void failHalf(int region, long fromMillis, long untilMillis) {
+        List<StandInTarget> failed = new ArrayList<>();
+        for (ServiceProfile service : List.of(simulation.deployment().model, simulation.deployment().plain)) {
+            List<StandInTarget> all = simulation.targets(region, service);
+            failed.addAll(all.size() == 1 ? List.of() : all.subList(0, (all.size() + 1) / 2));
         }
-        run.time().after(fromMillis, () -> {
-            lost.forEach(StandInTarget::fail);
-            run.time().after(LIST_LAG_MILLIS, () -> run.list(region));
+        simulation.scheduler().schedule(fromMillis, () -> {
+            failed.forEach(StandInTarget::fail);
+            simulation.scheduler().schedule(HOST_LIST_LAG_MILLIS, () -> simulation.publishHostList(region));
         });
-        run.time().after(untilMillis, () -> {
-            lost.forEach(StandInTarget::restore);
-            run.time().after(LIST_LAG_MILLIS, () -> run.list(region));
+        simulation.scheduler().schedule(untilMillis, () -> {
+            failed.forEach(StandInTarget::restore);
+            simulation.scheduler().schedule(HOST_LIST_LAG_MILLIS, () -> simulation.publishHostList(region));
         });
     }
 
-    /** A region and all others lose each other. */
-    void cutOff(int region, long fromMillis, long untilMillis) {
-        run.time().after(fromMillis, () -> {
-            run.cut(region, true);
-            run.time().after(Simulation.LINK_TIMEOUT_MILLIS, () -> run.loseLinks(region));
+    /** Partitions a region from all other regions. */
+    void partition(int region, long fromMillis, long untilMillis) {
+        simulation.scheduler().schedule(fromMillis, () -> {
+            simulation.setPartitioned(region, true);
+            simulation.scheduler().schedule(Simulation.LINK_TIMEOUT_MILLIS, () -> simulation.disconnectLinks(region));
         });
-        run.time().after(untilMillis + BACK_MILLIS, () -> run.cut(region, false));
+        simulation
+                .scheduler()
+                .schedule(untilMillis + RECONNECT_DELAY_MILLIS, () -> simulation.setPartitioned(region, false));
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
@@ -11,13 +11,13 @@
 import org.rattanplank.core.route.RemoteRegion;
 import org.rattanplank.core.route.Router;
 
-/** One entry host of a run: the product's router and what its links have brought. Confined to one thread. */
+/** A simulated entry host: the product's router and the summaries of other regions. Confined to one thread. */
 final class Host {
     final String name;
     final int region;
     final Router router;
-    private final Map<Integer, RemoteRegion> remote = new TreeMap<>();
-    private final Set<Call> forwarded = new LinkedHashSet<>();
+    private final Map<Integer, RemoteRegion> remoteRegions = new TreeMap<>();
+    private final Set<Call> forwardedCalls = new LinkedHashSet<>();
 
     Host(String name, int region, Place place, Policy policy, long seed) {
         this.name = name;
@@ -25,23 +25,23 @@
         this.router = Router.of(place, policy, seed);
     }
 
-    void hears(int otherRegion, RemoteRegion summary, long nowMillis) {
-        remote.put(otherRegion, summary);
-        router.regions(List.copyOf(remote.values()), nowMillis);
+    void receiveSummary(int otherRegion, RemoteRegion summary, long nowMillis) {
+        remoteRegions.put(otherRegion, summary);
+        router.regions(List.copyOf(remoteRegions.values()), nowMillis);
     }
 
-    /** Notices that the links to a region are down: what was forwarded there is lost. */
-    void loses(int otherRegion, long nowMillis) {
-        remote.remove(otherRegion);
-        router.regions(List.copyOf(remote.values()), nowMillis);
-        List.copyOf(forwarded).forEach(call -> call.linkLost(otherRegion));
+    /** Handles the loss of the links to a region: the attempts that were forwarded there fail. */
+    void disconnect(int otherRegion, long nowMillis) {
+        remoteRegions.remove(otherRegion);
+        router.regions(List.copyOf(remoteRegions.values()), nowMillis);
+        List.copyOf(forwardedCalls).forEach(call -> call.linkDisconnected(otherRegion));
     }
 
-    void forwards(Call call) {
-        forwarded.add(call);
+    void addForwarded(Call call) {
+        forwardedCalls.add(call);
     }
 
-    void forgets(Call call) {
-        forwarded.remove(call);
+    void removeForwarded(Call call) {
+        forwardedCalls.remove(call);
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Results.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Results.java
@@ -10,90 +10,92 @@
 import org.rattanplank.core.request.WorkClass;
 
 /**
- * Collects the outcomes of one run and works out its metrics.
+ * Collects the outcomes of a run and computes its metrics.
  *
- * <p>Invariant: each arrival has one outcome; in the percentiles of times, one that was refused or late counts with its
- * caller's whole patience. Confined to one thread.
+ * <p>Invariant: each arrival has exactly one outcome; in the latency percentiles, an arrival without a response counts
+ * with the full time that its caller waits. Confined to one thread.
  */
 final class Results {
     private static final long RECOVERY_WINDOW_MILLIS = 5_000;
-    private static final long STEP_MILLIS = 1_000;
-    private static final double RECOVERED = 0.95;
-    private static final double FAIR_TOLERANCE = 0.05;
+    private static final long RECOVERY_STEP_MILLIS = 1_000;
+    private static final double RECOVERED_RATIO = 0.95;
+    private static final double FAIRNESS_TOLERANCE = 0.05;
 
-    private final Map<Arrival, Times> answered = new HashMap<>();
+    private final Map<Arrival, Latencies> answered = new HashMap<>();
     private final Map<String, Double> metrics = new TreeMap<>();
-    private long asked;
+    private long sent;
     private long attempts;
-    private long crossings;
-    private long away;
-    private long refused;
-    private long late;
+    private long forwards;
+    private long answeredElsewhere;
+    private long rejected;
+    private long unknown;
 
-    void asked() {
-        asked++;
+    void recordSent() {
+        sent++;
     }
 
-    /** Counts attempts: all of the first host, and those of a second host after its first. */
-    void attempted(boolean forwarded, int attempt) {
+    /** Counts an attempt, except the first attempt of a second host, which continues the first host's attempt. */
+    void recordAttempt(boolean forwarded, int attempt) {
         attempts += forwarded && attempt == 1 ? 0 : 1;
     }
 
-    void crossed() {
-        crossings++;
+    void recordForward() {
+        forwards++;
     }
 
-    void answered(Arrival arrival, int region, long firstTokenMillis, long endMillis) {
-        answered.put(arrival, new Times(firstTokenMillis - arrival.atMillis(), endMillis - arrival.atMillis()));
-        away += region == arrival.region() ? 0 : 1;
+    void recordAnswered(Arrival arrival, int region, long firstTokenMillis, long endMillis) {
+        answered.put(arrival, new Latencies(firstTokenMillis - arrival.atMillis(), endMillis - arrival.atMillis()));
+        answeredElsewhere += region == arrival.region() ? 0 : 1;
     }
 
-    void refused(Arrival arrival) {
-        refused++;
+    void recordRejected(Arrival arrival) {
+        rejected++;
     }
 
-    void late(Arrival arrival) {
-        late++;
+    void recordUnknown(Arrival arrival) {
+        unknown++;
     }
 
     Map<String, Double> metrics() {
         return metrics;
     }
 
-    void end(List<Arrival> arrivals, Collection<StandInTarget> targets, long crossingMillis, Scenario scenario) {
+    void computeMetrics(
+            List<Arrival> arrivals, Collection<StandInTarget> targets, long interRegionDelayMillis, Scenario scenario) {
         double count = Math.max(1, answered.size());
         double busySeconds =
                 targets.stream().mapToDouble(StandInTarget::busyMillis).sum() / 1_000;
-        double cost = busySeconds + crossings * 2 * crossingMillis / 1_000.0;
+        double cost = busySeconds + forwards * 2 * interRegionDelayMillis / 1_000.0;
         metrics.put("requests", (double) arrivals.size());
         metrics.put("cost-seconds-per-100-answers", 100 * cost / count);
-        metrics.put("share-away", away / count);
-        metrics.put("share-refused", refused / (double) arrivals.size());
-        metrics.put("share-late", late / (double) arrivals.size());
-        metrics.put("attempts-per-request", attempts / (double) asked);
+        metrics.put("share-away", answeredElsewhere / count);
+        metrics.put("share-refused", rejected / (double) arrivals.size());
+        metrics.put("share-late", unknown / (double) arrivals.size());
+        metrics.put("attempts-per-request", attempts / (double) sent);
         double prompts = targets.stream().mapToLong(StandInTarget::promptTokens).sum();
-        double hits = targets.stream().mapToLong(StandInTarget::hitTokens).sum();
-        metrics.put("prefix-cache-hits", hits / Math.max(1, prompts));
-        percentiles("first-token", arrivals, arrival -> arrival.service().model(), true);
-        percentiles("whole", arrivals, arrival -> arrival.service().model(), false);
+        double cachedTokens =
+                targets.stream().mapToLong(StandInTarget::cachedPromptTokens).sum();
+        metrics.put("prefix-cache-hits", cachedTokens / Math.max(1, prompts));
+        percentiles("first-token", arrivals, arrival -> arrival.service().hasModelEngines(), true);
+        percentiles("whole", arrivals, arrival -> arrival.service().hasModelEngines(), false);
         percentiles(
                 "interactive-whole",
                 arrivals,
-                arrival -> arrival.service().model() && arrival.workClass() == WorkClass.INTERACTIVE,
+                arrival -> arrival.service().hasModelEngines() && arrival.workClass() == WorkClass.INTERACTIVE,
                 false);
         metrics.put("unfair-accounts", unfairAccounts(arrivals));
         scenario.faultEndMillis().ifPresent(end -> metrics.put("recovery-seconds", recoverySeconds(arrivals, end)));
     }
 
-    private void percentiles(String name, List<Arrival> arrivals, Predicate<Arrival> counted, boolean first) {
+    private void percentiles(String name, List<Arrival> arrivals, Predicate<Arrival> filter, boolean first) {
         long[] times = arrivals.stream()
-                .filter(counted)
+                .filter(filter)
                 .mapToLong(arrival -> {
-                    Times found = answered.get(arrival);
-                    if (found == null) {
-                        return arrival.patienceMillis();
+                    Latencies latencies = answered.get(arrival);
+                    if (latencies == null) {
+                        return arrival.maxWaitMillis();
                     }
-                    return first ? found.firstTokenMillis() : found.wholeMillis();
+                    return first ? latencies.firstTokenMillis() : latencies.completionMillis();
                 })
                 .sorted()
                 .toArray();
@@ -103,32 +105,33 @@
         }
     }
 
-    /** Seconds from a fault's end until a window has 95% of the part answered in time that it had before the fault. */
+    /** Returns the seconds from a fault's end until a window reaches 95% of the answered share before the fault. */
     private double recoverySeconds(List<Arrival> arrivals, long faultEndMillis) {
-        double before = goodPart(arrivals, 20_000, 80_000);
-        for (long at = faultEndMillis; at < Scenario.RUN_MILLIS - RECOVERY_WINDOW_MILLIS; at += STEP_MILLIS) {
-            if (goodPart(arrivals, at, at + RECOVERY_WINDOW_MILLIS) >= RECOVERED * before) {
+        double answeredShareBefore = answeredShare(arrivals, 20_000, 80_000);
+        for (long at = faultEndMillis; at < Scenario.RUN_MILLIS - RECOVERY_WINDOW_MILLIS; at += RECOVERY_STEP_MILLIS) {
+            if (answeredShare(arrivals, at, at + RECOVERY_WINDOW_MILLIS) >= RECOVERED_RATIO * answeredShareBefore) {
                 return (at - faultEndMillis) / 1_000.0;
             }
         }
         return Double.POSITIVE_INFINITY;
     }
 
-    private double goodPart(List<Arrival> arrivals, long fromMillis, long untilMillis) {
+    private double answeredShare(List<Arrival> arrivals, long fromMillis, long untilMillis) {
         long all = 0;
-        long good = 0;
+        long answeredCount = 0;
         for (Arrival arrival : arrivals) {
             if (arrival.atMillis() >= fromMillis && arrival.atMillis() < untilMillis) {
                 all++;
-                good += answered.containsKey(arrival) ? 1 : 0;
+                answeredCount += answered.containsKey(arrival) ? 1 : 0;
             }
         }
-        return all == 0 ? 1 : good / (double) all;
+        return all == 0 ? 1 : answeredCount / (double) all;
     }
 
     /**
-     * Accounts that got less than they asked for and less than their fair share, while another of the same region got
-     * more than its own; regions share out their own targets, so accounts are compared within their region.
+     * Returns the number of client accounts that got less than they requested and less than their fair share, while
+     * another account of the same region got more than its share. Each region distributes the capacity of its own
+     * targets, so accounts are compared within their region.
      */
     private double unfairAccounts(List<Arrival> arrivals) {
         double unfair = 0;
@@ -141,19 +144,19 @@
     private double unfairAccounts(List<Arrival> arrivals, int region) {
         Map<String, double[]> accounts = new TreeMap<>();
         for (Arrival arrival : arrivals) {
-            if (arrival.service().model() && arrival.region() == region) {
+            if (arrival.service().hasModelEngines() && arrival.region() == region) {
                 double[] counts = accounts.computeIfAbsent(arrival.account(), account -> new double[2]);
                 counts[0]++;
                 counts[1] += answered.containsKey(arrival) ? 1 : 0;
             }
         }
         double level = fairLevel(accounts.values());
-        boolean anyAbove = accounts.values().stream().anyMatch(counts -> counts[1] > level * (1 + FAIR_TOLERANCE));
+        boolean anyAbove = accounts.values().stream().anyMatch(counts -> counts[1] > level * (1 + FAIRNESS_TOLERANCE));
         if (!anyAbove) {
             return 0;
         }
         return accounts.values().stream()
-                .filter(counts -> counts[1] < Math.min(counts[0], level) * (1 - FAIR_TOLERANCE))
+                .filter(counts -> counts[1] < Math.min(counts[0], level) * (1 - FAIRNESS_TOLERANCE))
                 .count();
     }
 
@@ -176,10 +179,10 @@
     }
 
     /**
-     * When an answer came, counted from when its request was asked. Immutable and thread safe.
+     * The latencies of a response, from the sending of its request. Immutable and thread safe.
      *
-     * @param firstTokenMillis until the first token
-     * @param wholeMillis until the end
+     * @param firstTokenMillis the time to the first token
+     * @param completionMillis the time to the end of the response
      */
-    private record Times(long firstTokenMillis, long wholeMillis) {}
+    private record Latencies(long firstTokenMillis, long completionMillis) {}
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/RoutingMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/RoutingMeasurement.java
@@ -12,21 +12,21 @@
 import org.rattanplank.core.route.Policy;
 
 /**
- * {@code bin/measure routing}: compares the product's policy with the baselines, with the same arrivals for all.
+ * Compares the product's policy with the baseline policies under the same load ({@code bin/measure routing}).
  *
- * <p>It prints lines of {@code policy scenario metric value}, medians over the seeds. Confined to one thread.
+ * <p>Prints lines of {@code policy scenario metric value} with medians over the seeds. Confined to one thread.
  */
 public final class RoutingMeasurement {
-    private static final int SEEDS = 5;
+    private static final int DEFAULT_SEEDS = 5;
 
     @Parameter(names = "--deployment", description = "koro or brazos; both if it is not given")
-    private String deployment = "";
+    private String deploymentOption = "";
 
     @Parameter(names = "--scenario", description = "one scenario; all if it is not given")
-    private String scenario = "";
+    private String scenarioOption = "";
 
     @Parameter(names = "--seed", description = "one seed; 1 to 5 if it is not given")
-    private long seed;
+    private long seedOption;
 
     private RoutingMeasurement() {}
 
@@ -45,37 +45,40 @@
         System.out.println("# Drives the product's routers in virtual time with stand-in targets; no daemons run.");
         System.out.println("# Cost: busy seconds of a target in all its slots, and the delay of each crossing.");
         System.out.println("# Lines: policy scenario metric value (medians over the seeds).");
-        for (Deployment one : Deployment.values()) {
-            if (deployment.isEmpty() || one.name().equalsIgnoreCase(deployment)) {
-                measure(one);
+        for (Deployment deployment : Deployment.values()) {
+            if (deploymentOption.isEmpty() || deployment.name().equalsIgnoreCase(deploymentOption)) {
+                measure(deployment);
             }
         }
     }
 
-    private void measure(Deployment one) {
-        System.out.println("# deployment " + one.name().toLowerCase(Locale.ROOT));
+    private void measure(Deployment deployment) {
+        System.out.println("# deployment " + deployment.name().toLowerCase(Locale.ROOT));
         List<Policy> policies = new ArrayList<>(
                 Arrays.stream(Policy.values()).filter(Policy::isBaseline).toList());
-        policies.add(one.policy);
-        for (Scenario each : Scenario.values()) {
-            if (!scenario.isEmpty() && !each.label().equals(scenario)) {
+        policies.add(deployment.policy);
+        for (Scenario scenario : Scenario.values()) {
+            if (!scenarioOption.isEmpty() && !scenario.label().equals(scenarioOption)) {
                 continue;
             }
             Map<Policy, Map<String, Double>> medians = new TreeMap<>();
             for (Policy policy : policies) {
-                medians.put(policy, medians(one, each, policy));
-                medians.get(policy).forEach((metric, value) -> print(policy.label(), each, metric, value));
+                medians.put(policy, medians(deployment, scenario, policy));
+                medians.get(policy).forEach((metric, value) -> print(policy.label(), scenario, metric, value));
             }
-            new Goals(one, each, medians).lines().forEach(System.out::println);
+            new Goals(deployment, scenario, medians).lines().forEach(System.out::println);
         }
     }
 
-    private Map<String, Double> medians(Deployment one, Scenario each, Policy policy) {
+    private Map<String, Double> medians(Deployment deployment, Scenario scenario, Policy policy) {
         Map<String, List<Double>> values = new TreeMap<>();
-        for (long run = seed == 0 ? 1 : seed; run <= (seed == 0 ? SEEDS : seed); run++) {
-            Simulation.run(one, each, policy, run).metrics().forEach((metric, value) -> values.computeIfAbsent(
-                            metric, name -> new ArrayList<>())
-                    .add(value));
+        for (long seed = seedOption == 0 ? 1 : seedOption;
+                seed <= (seedOption == 0 ? DEFAULT_SEEDS : seedOption);
+                seed++) {
+            Simulation.run(deployment, scenario, policy, seed)
+                    .metrics()
+                    .forEach((metric, value) -> values.computeIfAbsent(metric, name -> new ArrayList<>())
+                            .add(value));
         }
         Map<String, Double> medians = new TreeMap<>();
         values.forEach((metric, found) ->
@@ -83,7 +86,7 @@
         return medians;
     }
 
-    private static void print(String policy, Scenario each, String metric, double value) {
-        System.out.printf(Locale.ROOT, "%s %s %s %.4g%n", policy, each.label(), metric, value);
+    private static void print(String policy, Scenario scenario, String metric, double value) {
+        System.out.printf(Locale.ROOT, "%s %s %s %.4g%n", policy, scenario.label(), metric, value);
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Scenario.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Scenario.java
@@ -2,16 +2,16 @@
 
 import java.util.OptionalLong;
 
-/** What happens in one run. Times are virtual. */
+/** The load and the faults of a run. Times are virtual. */
 enum Scenario {
-    /** Daily peaks, offset between regions by a third of a day; a day is squeezed into four minutes. */
+    /** Daily peaks, offset between regions by a third of a day; a day is compressed to four minutes. */
     OFFSET_PEAKS {
         @Override
         double load(int region, long atMillis) {
             return 0.7 + 0.5 * Math.sin(2 * Math.PI * (atMillis / 240_000.0 + region / 3.0));
         }
     },
-    /** The first region has ten times the capacity; the others' callers ask for more than they have. */
+    /** The first region has ten times the capacity; the load of the other regions exceeds their capacity. */
     TENFOLD_CAPACITY {
         @Override
         double load(int region, long atMillis) {
@@ -23,11 +23,11 @@
             return region == 0 ? 10 : 1;
         }
     },
-    /** The first region loses half of its targets for a minute and gets them back with cold caches. */
+    /** Half of the targets of the first region fail for a minute and return with empty caches. */
     HALF_LOST {
         @Override
-        void plan(Simulation run) {
-            run.faults().loseHalf(0, FAULT_MILLIS, FAULT_END_MILLIS);
+        void scheduleFaults(Simulation simulation) {
+            simulation.faults().failHalf(0, FAULT_START_MILLIS, FAULT_END_MILLIS);
         }
 
         @Override
@@ -35,7 +35,7 @@
             return OptionalLong.of(FAULT_END_MILLIS);
         }
     },
-    /** The last region asks for more than it has and is cut off from the others for a minute. */
+    /** The load of the last region exceeds its capacity, and it is partitioned from the others for a minute. */
     CUT_OFF {
         @Override
         double load(int region, long atMillis) {
@@ -43,8 +43,8 @@
         }
 
         @Override
-        void plan(Simulation run) {
-            run.faults().cutOff(2, FAULT_MILLIS, FAULT_END_MILLIS);
+        void scheduleFaults(Simulation simulation) {
+            simulation.faults().partition(2, FAULT_START_MILLIS, FAULT_END_MILLIS);
         }
 
         @Override
@@ -52,14 +52,14 @@
             return OptionalLong.of(FAULT_END_MILLIS);
         }
     },
-    /** Load reports come five seconds late. */
+    /** Load reports are delayed by five seconds. */
     LATE_REPORTS {
         @Override
         long reportLagMillis() {
             return 5_000;
         }
     },
-    /** One account sends half of all requests, and together they are more than the targets can take. */
+    /** One client account sends half of all requests, and the total load exceeds the capacity. */
     ONE_HEAVY_ACCOUNT {
         @Override
         double load(int region, long atMillis) {
@@ -67,11 +67,11 @@
         }
 
         @Override
-        double heavyPart() {
+        double heavyAccountShare() {
             return 0.5;
         }
     },
-    /** The first region loses half of its targets for twenty seconds, and callers without an answer repeat at once. */
+    /** Half of the targets of the first region fail for twenty seconds, and callers retry failed requests at once. */
     RETRY_STORM {
         @Override
         double load(int region, long atMillis) {
@@ -79,28 +79,28 @@
         }
 
         @Override
-        void plan(Simulation run) {
-            run.faults().loseHalf(0, FAULT_MILLIS, FAULT_MILLIS + 20_000);
+        void scheduleFaults(Simulation simulation) {
+            simulation.faults().failHalf(0, FAULT_START_MILLIS, FAULT_START_MILLIS + 20_000);
         }
 
         @Override
         OptionalLong faultEndMillis() {
-            return OptionalLong.of(FAULT_MILLIS + 20_000);
+            return OptionalLong.of(FAULT_START_MILLIS + 20_000);
         }
 
         @Override
-        int repeatsByCaller() {
+        int maxRetriesPerCaller() {
             return 5;
         }
     };
 
-    /** How long callers ask in one run. */
+    /** The time during which callers send requests. */
     static final long RUN_MILLIS = 240_000;
 
-    private static final long FAULT_MILLIS = 80_000;
+    private static final long FAULT_START_MILLIS = 80_000;
     private static final long FAULT_END_MILLIS = 140_000;
 
-    /** The offered load of a region, relative to what its targets can take at the nominal run time. */
+    /** Returns the offered load of a region, relative to the capacity of its targets at the nominal service time. */
     double load(int region, long atMillis) {
         return 0.65;
     }
@@ -113,15 +113,15 @@
         return 200;
     }
 
-    double heavyPart() {
+    double heavyAccountShare() {
         return 0;
     }
 
-    int repeatsByCaller() {
+    int maxRetriesPerCaller() {
         return 0;
     }
 
-    void plan(Simulation run) {}
+    void scheduleFaults(Simulation simulation) {}
 
     OptionalLong faultEndMillis() {
         return OptionalLong.empty();
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
@@ -20,29 +20,29 @@
 import org.rattanplank.core.route.TargetLoad;
 
 /**
- * One run of one policy in one scenario: the product's routers, driven in virtual time with stand-in targets.
+ * Simulates one policy in one scenario: runs the product's routers in virtual time with stand-in targets.
  *
- * <p>Invariant: the same deployment, scenario, policy and seed give the same results. Confined to one thread.
+ * <p>Invariant: the same deployment, scenario, policy and seed yield the same results. Confined to one thread.
  */
 final class Simulation {
     static final String ANYWHERE = "anywhere";
     static final long LINK_TIMEOUT_MILLIS = 1_000;
 
-    private static final int HOSTS_BY_REGION = 2;
-    private static final long POLL_MILLIS = 500;
+    private static final int HOSTS_PER_REGION = 2;
+    private static final long POLL_INTERVAL_MILLIS = 500;
     private static final long CACHE_LAG_MILLIS = 500;
-    private static final double CACHE_EVENTS_LOST = 0.05;
-    private static final long MISSED_MILLIS = 200;
+    private static final double CACHE_EVENT_LOSS_RATIO = 0.05;
+    private static final long MISSED_REPORT_DELAY_MILLIS = 200;
     private static final long DRAIN_MILLIS = 100_000;
 
     private final Deployment deployment;
     private final Scenario scenario;
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualScheduler scheduler = new VirtualScheduler();
     private final Results results = new Results();
     private final List<Host> hosts = new ArrayList<>();
     private final Map<String, Host> hostsByName = new HashMap<>();
     private final Map<String, StandInTarget> targets = new TreeMap<>();
-    private final Set<Integer> cut = new TreeSet<>();
+    private final Set<Integer> partitionedRegions = new TreeSet<>();
     private final SplittableRandom random;
 
     private Simulation(Deployment deployment, Scenario scenario, Policy policy, long seed) {
@@ -60,18 +60,18 @@
         Simulation run = new Simulation(deployment, scenario, policy, seed);
         List<Arrival> arrivals = Arrivals.of(deployment, scenario, seed);
         run.configure(arrivals);
-        run.startReports();
-        scenario.plan(run);
+        run.scheduleReports();
+        scenario.scheduleFaults(run);
         for (Arrival arrival : arrivals) {
-            run.time.after(arrival.atMillis(), new Caller(run, arrival, scenario.repeatsByCaller())::ask);
+            run.scheduler.schedule(arrival.atMillis(), new Caller(run, arrival, scenario.maxRetriesPerCaller())::send);
         }
-        run.time.runUntil(Scenario.RUN_MILLIS + DRAIN_MILLIS);
-        run.results.end(arrivals, run.targets.values(), deployment.crossingMillis, scenario);
+        run.scheduler.runUntil(Scenario.RUN_MILLIS + DRAIN_MILLIS);
+        run.results.computeMetrics(arrivals, run.targets.values(), deployment.interRegionDelayMillis, scenario);
         return run.results;
     }
 
-    VirtualTime time() {
-        return time;
+    VirtualScheduler scheduler() {
+        return scheduler;
     }
 
     Results results() {
@@ -86,8 +86,8 @@
         return new Faults(this);
     }
 
-    long crossingMillis() {
-        return deployment.crossingMillis;
+    long interRegionDelayMillis() {
+        return deployment.interRegionDelayMillis;
     }
 
     String regionName(int region) {
@@ -103,65 +103,65 @@
     }
 
     Host entryHost(Arrival arrival) {
-        return hosts.get(arrival.region() * HOSTS_BY_REGION + arrival.host());
+        return hosts.get(arrival.region() * HOSTS_PER_REGION + arrival.host());
     }
 
     StandInTarget target(String name) {
         return targets.get(name);
     }
 
-    List<StandInTarget> targets(int region, ServiceShape service) {
+    List<StandInTarget> targets(int region, ServiceProfile service) {
         return targets.values().stream()
                 .filter(target -> target.region == region)
                 .filter(target -> target.listed.service().equals(service.name()))
                 .toList();
     }
 
-    boolean isCut(int from, int to) {
-        return from != to && (cut.contains(from) || cut.contains(to));
+    boolean isPartitioned(int from, int to) {
+        return from != to && (partitionedRegions.contains(from) || partitionedRegions.contains(to));
     }
 
-    void cut(int region, boolean isCut) {
-        if (isCut) {
-            cut.add(region);
+    void setPartitioned(int region, boolean isPartitioned) {
+        if (isPartitioned) {
+            partitionedRegions.add(region);
         } else {
-            cut.remove(region);
+            partitionedRegions.remove(region);
         }
     }
 
-    void loseLinks(int region) {
+    void disconnectLinks(int region) {
         for (Host host : hosts) {
             for (int other = 0; other < deployment.regions.size(); other++) {
                 if (other != host.region && (other == region || host.region == region)) {
-                    host.loses(other, time.nowMillis());
+                    host.disconnect(other, scheduler.nowMillis());
                 }
             }
         }
     }
 
-    /** Gives a region's hosts the platform's list, which holds the targets that are up. */
-    void list(int region) {
+    /** Sends the platform's host list, with the targets that are up, to the hosts of a region. */
+    void publishHostList(int region) {
         List<ListedHost> listed = targets.values().stream()
                 .filter(target -> target.region == region && target.isUp())
                 .map(target -> target.listed)
                 .toList();
-        hostsOf(region).forEach(host -> host.router.targets(listed, time.nowMillis()));
+        hostsOf(region).forEach(host -> host.router.targets(listed, scheduler.nowMillis()));
     }
 
     private List<Host> hostsOf(int region) {
-        return hosts.subList(region * HOSTS_BY_REGION, (region + 1) * HOSTS_BY_REGION);
+        return hosts.subList(region * HOSTS_PER_REGION, (region + 1) * HOSTS_PER_REGION);
     }
 
-    private void addTargets(int region, ServiceShape service) {
-        for (int i = 0; i < service.targetsByRegion()[region]; i++) {
+    private void addTargets(int region, ServiceProfile service) {
+        for (int i = 0; i < service.targetsPerRegion()[region]; i++) {
             String name = service.name() + "-" + regionName(region) + "-" + i;
             int factor = scenario.capacityFactor(region);
-            targets.put(name, new StandInTarget(name, place(region), region, service, factor, time));
+            targets.put(name, new StandInTarget(name, place(region), region, service, factor, scheduler));
         }
     }
 
     private void addHosts(int region, Policy policy, long seed) {
-        for (int i = 0; i < HOSTS_BY_REGION; i++) {
+        for (int i = 0; i < HOSTS_PER_REGION; i++) {
             String name = regionName(region) + "-" + i;
             Host host = new Host(name, region, place(region), policy, seed * 31 + hosts.size());
             hosts.add(host);
@@ -175,8 +175,10 @@
 
     private void configure(List<Arrival> arrivals) {
         Map<String, Service> services = new HashMap<>();
-        for (ServiceShape shape : List.of(deployment.model, deployment.plain)) {
-            services.put(shape.name(), new Service(shape.name(), shape.model(), "", shape.model(), true));
+        for (ServiceProfile profile : List.of(deployment.model, deployment.plain)) {
+            services.put(
+                    profile.name(),
+                    new Service(profile.name(), profile.hasModelEngines(), "", profile.hasModelEngines(), true));
         }
         Map<String, Account> accounts = new HashMap<>();
         for (Arrival arrival : arrivals) {
@@ -187,51 +189,54 @@
         Configuration configuration = new Configuration(1, "", services, accounts, residencies, Map.of(), Set.of());
         hosts.forEach(host -> host.router.configured(configuration, 0));
         for (int region = 0; region < deployment.regions.size(); region++) {
-            list(region);
-            summarize(region);
+            publishHostList(region);
+            sendSummary(region);
         }
     }
 
-    private void startReports() {
+    private void scheduleReports() {
         for (int region = 0; region < deployment.regions.size(); region++) {
             int from = region;
-            time.every(POLL_MILLIS, () -> summarize(from));
+            scheduler.scheduleEvery(POLL_INTERVAL_MILLIS, () -> sendSummary(from));
         }
         for (StandInTarget target : targets.values()) {
             hostsOf(target.region)
-                    .forEach(host -> time.after(
-                            random.nextLong(POLL_MILLIS), () -> time.every(POLL_MILLIS, () -> poll(host, target))));
-            time.every(POLL_MILLIS, () -> publishCache(target));
+                    .forEach(host -> scheduler.schedule(
+                            random.nextLong(POLL_INTERVAL_MILLIS),
+                            () -> scheduler.scheduleEvery(POLL_INTERVAL_MILLIS, () -> pollLoad(host, target))));
+            scheduler.scheduleEvery(POLL_INTERVAL_MILLIS, () -> publishCacheEvent(target));
         }
     }
 
-    private void poll(Host host, StandInTarget target) {
+    private void pollLoad(Host host, StandInTarget target) {
         if (!target.isUp()) {
             String name = target.listed.name();
-            time.after(MISSED_MILLIS, () -> host.router.missed(name, time.nowMillis()));
+            scheduler.schedule(MISSED_REPORT_DELAY_MILLIS, () -> host.router.missed(name, scheduler.nowMillis()));
             return;
         }
         TargetLoad load = target.load();
-        time.after(scenario.reportLagMillis(), () -> host.router.reported(load, time.nowMillis()));
+        scheduler.schedule(scenario.reportLagMillis(), () -> host.router.reported(load, scheduler.nowMillis()));
     }
 
-    private void publishCache(StandInTarget target) {
-        CacheEvent event = target.cacheEvent();
+    private void publishCacheEvent(StandInTarget target) {
+        CacheEvent event = target.nextCacheEvent();
         for (Host host : hostsOf(target.region)) {
-            if (random.nextDouble() >= CACHE_EVENTS_LOST) {
-                time.after(CACHE_LAG_MILLIS, () -> host.router.cached(List.of(event), time.nowMillis()));
+            if (random.nextDouble() >= CACHE_EVENT_LOSS_RATIO) {
+                scheduler.schedule(CACHE_LAG_MILLIS, () -> host.router.cached(List.of(event), scheduler.nowMillis()));
             }
         }
     }
 
-    private void summarize(int region) {
+    private void sendSummary(int region) {
         Map<String, RemoteRegion.ServiceLoad> loads =
-                hostsOf(region).get(0).router.summary(time.nowMillis());
+                hostsOf(region).get(0).router.summary(scheduler.nowMillis());
         List<String> names = hostsOf(region).stream().map(host -> host.name).toList();
         RemoteRegion summary = new RemoteRegion(regionName(region), names, loads);
         for (Host host : hosts) {
-            if (host.region != region && !isCut(region, host.region)) {
-                time.after(deployment.crossingMillis, () -> host.hears(region, summary, time.nowMillis()));
+            if (host.region != region && !isPartitioned(region, host.region)) {
+                scheduler.schedule(
+                        deployment.interRegionDelayMillis,
+                        () -> host.receiveSummary(region, summary, scheduler.nowMillis()));
             }
         }
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
@@ -16,60 +16,67 @@
 import org.rattanplank.core.route.TargetLoad;
 
 /**
- * Stands in for a target: it batches up to its slots, queues by priority, and caches prompt prefixes in bounded memory.
+ * Simulates a target that batches up to its number of slots, queues by priority, and caches prompt prefixes up to a
+ * fixed number of tokens.
  *
- * <p>Invariant: every job that it takes ends once, by its end, its failure or its cancellation. Confined to one thread.
+ * <p>Invariant: every submitted job ends once: it completes, fails or is cancelled. Confined to one thread.
  */
 final class StandInTarget {
     private static final double FULL_BATCH_SLOWDOWN = 0.3;
 
     final ListedHost listed;
     final int region;
-    private final ServiceShape service;
+    private final ServiceProfile service;
     private final int slots;
-    private final VirtualTime time;
+    private final VirtualScheduler scheduler;
     private final PriorityQueue<Job> queue = new PriorityQueue<>(
             Comparator.<Job>comparingInt(job -> job.priority).thenComparingLong(job -> job.number));
     private final Set<Job> running = new HashSet<>();
-    private final LinkedHashMap<Long, Integer> cache = new LinkedHashMap<>(16, 0.75f, true);
-    private final List<Long> stored = new ArrayList<>();
-    private final List<Long> removed = new ArrayList<>();
+    private final LinkedHashMap<Long, Integer> prefixCache = new LinkedHashMap<>(16, 0.75f, true);
+    private final List<Long> storedPrefixes = new ArrayList<>();
+    private final List<Long> removedPrefixes = new ArrayList<>();
     private long cachedTokens;
-    private long sequence;
-    private long jobs;
+    private long cacheEventSequence;
+    private long submittedJobs;
     private boolean up = true;
-    private double slotMillis;
+    private double usedSlotMillis;
     private long promptTokens;
-    private long hitTokens;
-
-    StandInTarget(String name, Place place, int region, ServiceShape service, int capacityFactor, VirtualTime time) {
+    private long cachedPromptTokens;
+
+    StandInTarget(
+            String name,
+            Place place,
+            int region,
+            ServiceProfile service,
+            int capacityFactor,
+            VirtualScheduler scheduler) {
         this.listed = new ListedHost(name, HostRole.TARGET, place, "127.0.0.1", 1, 0, service.name(), false);
         this.region = region;
         this.service = service;
         this.slots = service.slots() * capacityFactor;
-        this.time = time;
+        this.scheduler = scheduler;
     }
 
     boolean isUp() {
         return up;
     }
 
-    /** Slot time used, in units of a target of usual size that is busy in all its slots. */
+    /** Returns the used slot time, in milliseconds of a target of nominal size that is busy in all its slots. */
     double busyMillis() {
-        return slotMillis / service.slots();
+        return usedSlotMillis / service.slots();
     }
 
     long promptTokens() {
         return promptTokens;
     }
 
-    long hitTokens() {
-        return hitTokens;
+    long cachedPromptTokens() {
+        return cachedPromptTokens;
     }
 
     TargetLoad load() {
-        double rate = service.model() ? Deployment.TOKENS_PER_SECOND : 0;
-        long cacheTokens = service.model() ? Deployment.CACHE_TOKENS : 0;
+        double rate = service.hasModelEngines() ? Deployment.TOKENS_PER_SECOND : 0;
+        long cacheTokens = service.hasModelEngines() ? Deployment.CACHE_TOKENS : 0;
         return new TargetLoad(
                 listed.name(),
                 service.name(),
@@ -80,21 +87,21 @@
                 rate,
                 cacheTokens,
                 false,
-                time.nowMillis());
+                scheduler.nowMillis());
     }
 
-    /** Takes the cache changes since the last call as one event. */
-    CacheEvent cacheEvent() {
-        CacheEvent event = new CacheEvent(listed.name(), ++sequence, stored, removed);
-        stored.clear();
-        removed.clear();
+    /** Returns the changes of the prefix cache since the previous call as one event. */
+    CacheEvent nextCacheEvent() {
+        CacheEvent event = new CacheEvent(listed.name(), ++cacheEventSequence, storedPrefixes, removedPrefixes);
+        storedPrefixes.clear();
+        removedPrefixes.clear();
         return event;
     }
 
-    Job take(Arrival arrival, JobEnd end) {
-        Job job = new Job(jobs++, arrival, end);
+    Job submit(Arrival arrival, JobListener listener) {
+        Job job = new Job(submittedJobs++, arrival, listener);
         queue.add(job);
-        startNext();
+        startQueued();
         return job;
     }
 
@@ -103,104 +110,105 @@
             return;
         }
         if (running.remove(job)) {
-            slotMillis += time.nowMillis() - job.startedMillis;
-            startNext();
+            usedSlotMillis += scheduler.nowMillis() - job.startedMillis;
+            startQueued();
         }
     }
 
     void fail() {
         up = false;
-        List<Job> lost = new ArrayList<>(running);
-        lost.addAll(queue);
-        lost.sort(Comparator.comparingLong(job -> job.number));
-        running.forEach(job -> slotMillis += time.nowMillis() - job.startedMillis);
+        List<Job> failed = new ArrayList<>(running);
+        failed.addAll(queue);
+        failed.sort(Comparator.comparingLong(job -> job.number));
+        running.forEach(job -> usedSlotMillis += scheduler.nowMillis() - job.startedMillis);
         running.clear();
         queue.clear();
-        cache.clear();
+        prefixCache.clear();
         cachedTokens = 0;
-        lost.forEach(job -> job.end.lost());
+        failed.forEach(job -> job.listener.failed());
     }
 
     void restore() {
         up = true;
-        sequence = 0;
-        stored.clear();
-        removed.clear();
+        cacheEventSequence = 0;
+        storedPrefixes.clear();
+        removedPrefixes.clear();
     }
 
-    private void startNext() {
+    private void startQueued() {
         while (running.size() < slots && !queue.isEmpty()) {
             start(queue.poll());
         }
     }
 
     private void start(Job job) {
-        job.startedMillis = time.nowMillis();
+        job.startedMillis = scheduler.nowMillis();
         running.add(job);
         double slowdown = 1 + FULL_BATCH_SLOWDOWN * (running.size() - 1) / slots;
-        double firstMillis = service.model() ? prefillMillis(job.arrival) : service.nominalRunMillis();
-        double runMillis = firstMillis + 1_000 * job.arrival.outputTokens() / Deployment.TOKENS_PER_SECOND;
-        long firstAt = Math.round(slowdown * firstMillis);
-        time.after(Math.round(slowdown * runMillis), () -> finish(job, firstAt));
+        double firstTokenMillis =
+                service.hasModelEngines() ? prefillMillis(job.arrival) : service.nominalServiceMillis();
+        double runMillis = firstTokenMillis + 1_000 * job.arrival.outputTokens() / Deployment.TOKENS_PER_SECOND;
+        long firstTokenAfterMillis = Math.round(slowdown * firstTokenMillis);
+        scheduler.schedule(Math.round(slowdown * runMillis), () -> finish(job, firstTokenAfterMillis));
     }
 
-    private void finish(Job job, long firstAfterMillis) {
+    private void finish(Job job, long firstTokenAfterMillis) {
         if (running.remove(job)) {
-            slotMillis += time.nowMillis() - job.startedMillis;
-            job.end.answered(job.startedMillis + firstAfterMillis);
-            startNext();
+            usedSlotMillis += scheduler.nowMillis() - job.startedMillis;
+            job.listener.completed(job.startedMillis + firstTokenAfterMillis);
+            startQueued();
         }
     }
 
     private double prefillMillis(Arrival arrival) {
         List<Long> prefixes = arrival.prefixes();
-        int block = arrival.promptTokens() / prefixes.size();
-        int hits = 0;
-        while (hits < prefixes.size() && cache.containsKey(prefixes.get(hits))) {
-            hits++;
+        int blockTokens = arrival.promptTokens() / prefixes.size();
+        int cachedBlocks = 0;
+        while (cachedBlocks < prefixes.size() && prefixCache.containsKey(prefixes.get(cachedBlocks))) {
+            cachedBlocks++;
         }
         for (int i = prefixes.size() - 1; i >= 0; i--) {
-            if (cache.put(prefixes.get(i), block) == null) {
-                cachedTokens += block;
-                stored.add(prefixes.get(i));
+            if (prefixCache.put(prefixes.get(i), blockTokens) == null) {
+                cachedTokens += blockTokens;
+                storedPrefixes.add(prefixes.get(i));
             }
         }
         evict();
         promptTokens += arrival.promptTokens();
-        hitTokens += (long) hits * block;
-        return 1_000.0 * (arrival.promptTokens() - hits * block) / Deployment.PREFILL_TOKENS_PER_SECOND;
+        cachedPromptTokens += (long) cachedBlocks * blockTokens;
+        return 1_000.0 * (arrival.promptTokens() - cachedBlocks * blockTokens) / Deployment.PREFILL_TOKENS_PER_SECOND;
     }
 
     private void evict() {
-        var eldest = cache.entrySet().iterator();
+        var eldest = prefixCache.entrySet().iterator();
         while (cachedTokens > Deployment.CACHE_TOKENS && eldest.hasNext()) {
             Map.Entry<Long, Integer> entry = eldest.next();
             cachedTokens -= entry.getValue();
-            removed.add(entry.getKey());
+            removedPrefixes.add(entry.getKey());
             eldest.remove();
         }
     }
 
-    /** How a job ends for whoever sent it. */
-    interface JobEnd {
-        void answered(long firstTokenMillis);
+    /** Receives the result of a job. */
+    interface JobListener {
+        void completed(long firstTokenMillis);
 
-        void lost();
+        void failed();
     }
 
-    /** A request that waits or runs at the target. Confined to one thread. */
+    /** A queued or running request. Confined to one thread. */
     static final class Job {
         private final long number;
         private final Arrival arrival;
         private final int priority;
-        private final JobEnd end;
+        private final JobListener listener;
         private long startedMillis;
 
-        private Job(long number, Arrival arrival, JobEnd end) {
+        private Job(long number, Arrival arrival, JobListener listener) {
             this.number = number;
             this.arrival = arrival;
             this.priority = arrival.workClass().enginePriority();
-            this.end = end;
+            this.listener = listener;
         }
     }
 }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/Calls.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/Calls.java
@@ -11,12 +11,12 @@
 import org.rattanplank.standins.caller.Caller;
 import org.rattanplank.standins.caller.Keys;
 
-/** Calls of one client to a fleet, each under a name of its own. Thread safe. */
+/** Sends calls of one client account to a fleet, each with a unique reference. Thread safe. */
 final class Calls {
-    private static final AtomicInteger NUMBER = new AtomicInteger();
+    private static final AtomicInteger LAST_NUMBER = new AtomicInteger();
     private static final Random RANDOM = new Random(7);
-    private static final Duration LONG = Duration.ofMinutes(3);
-    private static final long BOUND_SECONDS = 60;
+    private static final Duration CALL_TIMEOUT = Duration.ofMinutes(3);
+    private static final long WAIT_TIMEOUT_SECONDS = 60;
 
     private final Fleet fleet;
     private final Caller caller;
@@ -31,25 +31,25 @@
     }
 
     CallRequest newBooking() {
-        String reference = "booking-" + NUMBER.incrementAndGet();
+        String reference = "booking-" + LAST_NUMBER.incrementAndGet();
         String key = Keys.version7(System.currentTimeMillis(), RANDOM);
         return CallRequest.booking(reference, fleet.deployment().plainService(), key)
-                .within(LONG);
+                .within(CALL_TIMEOUT);
     }
 
-    CallRequest newDraft(int parts) {
-        String reference = "draft-" + NUMBER.incrementAndGet();
-        return CallRequest.draft(reference, fleet.deployment().modelService(), "a line manual", parts)
-                .within(LONG);
+    CallRequest newDraft(int maxTokens) {
+        String reference = "draft-" + LAST_NUMBER.incrementAndGet();
+        return CallRequest.draft(reference, fleet.deployment().modelService(), "a line manual", maxTokens)
+                .within(CALL_TIMEOUT);
     }
 
     CompletableFuture<CallResult> start(Host host, CallRequest call) {
         return caller.start(host.callers(), call);
     }
 
-    /** Waits far less than the call's own deadline, so that an outcome that only comes with the deadline fails. */
+    /** Waits much less than the call's deadline, so that an outcome that only the deadline brings about fails. */
     static CallResult await(CompletableFuture<CallResult> result) {
-        return result.orTimeout(BOUND_SECONDS, TimeUnit.SECONDS).join();
+        return result.orTimeout(WAIT_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
     CallResult send(Host host, CallRequest call) {
@@ -63,14 +63,15 @@
     }
 
     void awaitRunning(CallRequest call) {
-        Poll.until(call.reference() + " runs", BOUND_SECONDS * 1_000, () -> runs(call) > 0);
+        Poll.until(call.reference() + " is running", WAIT_TIMEOUT_SECONDS * 1_000, () -> runs(call) > 0);
     }
 
-    /** Waits until nothing of a call runs any more, and tells how often it ran. */
+    /** Waits until no run of a call is in progress, and returns the number of its runs. */
     long settledRuns(CallRequest call) {
-        Poll.until(call.reference() + " has ended", BOUND_SECONDS * 1_000, () -> fleet.ledger().stream()
-                .noneMatch(run ->
-                        run.reference().equals(call.reference()) && run.state().equals("running")));
+        Poll.until(
+                call.reference() + " is no longer running", WAIT_TIMEOUT_SECONDS * 1_000, () -> fleet.ledger().stream()
+                        .noneMatch(run -> run.reference().equals(call.reference())
+                                && run.state().equals("running")));
         return runs(call);
     }
 }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/ThinPathTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/EndToEndTest.java
@@ -8,10 +8,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The whole path through separate processes. */
-class ThinPathTest {
+/** Sends calls end to end through separate processes. */
+class EndToEndTest {
     @Test
-    void shouldAnswerOnceAndWholeWhenAllIsWell() {
+    void shouldRunOnceAndRespondCompletelyWhenNothingFails() {
         try (Fleet fleet = Fleet.start(FleetOptions.of(Deployment.BRAZOS))) {
             Calls calls = Calls.of(fleet, "hou-brokers");
             CallResult draft = calls.send(fleet.host("hou-1"), calls.newDraft(20));
@@ -20,10 +20,10 @@
 
             CallRequest quote = calls.newBooking();
             CallResult first = calls.send(fleet.host("hou-1"), quote);
-            CallResult repeated = calls.send(fleet.host("hou-2"), quote);
+            CallResult retried = calls.send(fleet.host("hou-2"), quote);
             assertEquals(CallOutcome.ANSWERED, first.outcome(), first.toString());
             assertTrue(first.own(), first.body());
-            assertEquals(first.body(), repeated.body());
+            assertEquals(first.body(), retried.body());
             assertEquals(1, calls.settledRuns(quote));
         }
     }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/HostLossTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/HostLossTest.java
@@ -15,9 +15,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
-/** Bookings while entry hosts are killed and frozen. */
+/** Runs bookings while entry hosts are killed and suspended. */
 class HostLossTest {
-    private static final long BOUND_MILLIS = 60_000;
+    private static final long TIMEOUT_MILLIS = 60_000;
     private static Fleet fleet;
 
     private final Calls calls = Calls.of(fleet, "suva-floor");
@@ -38,44 +38,45 @@
     void heal() {
         fleet.platformFaults(Json.object().put("storeDown", false));
         fleet.hosts().stream().filter(host -> !host.child().isAlive()).forEach(Host::restart);
-        fleet.awaitServing(BOUND_MILLIS);
-        // A view formed after all members were lost does not vouch for keys made before it or about then.
+        fleet.awaitServing(TIMEOUT_MILLIS);
+        // A view formed after the loss of all members gives no definite outcome for keys created before or about that
+        // time.
         for (Host host : List.of(first, second)) {
             Poll.until(
-                    "new bookings are answered",
-                    BOUND_MILLIS,
+                    "a new booking is answered",
+                    TIMEOUT_MILLIS,
                     () -> calls.send(host, calls.newBooking()).outcome() == CallOutcome.ANSWERED);
         }
     }
 
-    // Symptom: seals are ordered twice. Sequence: an entry host hands a booking to its target and is killed; the fitter
-    // repeats the key at the other host. Cause: the other host does not know of the claim.
+    // Guards against a booking that runs twice: an entry host forwards it to a target and is killed, and the caller
+    // retries with the same key at the other host, which has no record of the claim.
     @Test
-    void shouldRunBookingOnceWhenItsHostIsKilledAndKeyIsRepeated() {
+    void shouldRunBookingOnceWhenItsHostIsKilledAndKeyIsRetried() {
         CallRequest booking = calls.newBooking();
         CompletableFuture<CallResult> lost = calls.start(first, booking);
         calls.awaitRunning(booking);
         first.child().kill();
         assertEquals(CallOutcome.BROKEN, Calls.await(lost).outcome());
-        CallResult repeated = calls.send(second, booking);
-        assertNotEquals(CallOutcome.NOT_RUN, repeated.outcome(), repeated.toString());
+        CallResult retried = calls.send(second, booking);
+        assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: seals are ordered twice. Sequence: a booking is answered by a host that is then killed; the fitter, who
-    // did not see the answer, repeats the key at the other host. Cause: the other host forgot the claim with the first.
+    // Guards against a booking that runs twice: a host answers it and is killed, and a caller that did not receive the
+    // response retries with the same key at the other host, which dropped the claim together with the first host.
     @Test
-    void shouldRunBookingOnceWhenHostIsKilledAfterItsAnswer() {
+    void shouldRunBookingOnceWhenHostIsKilledAfterItsResponse() {
         CallRequest booking = calls.newBooking();
         assertEquals(CallOutcome.ANSWERED, calls.send(first, booking).outcome());
         first.child().kill();
-        CallResult repeated = calls.send(second, booking);
-        assertNotEquals(CallOutcome.NOT_RUN, repeated.outcome(), repeated.toString());
+        CallResult retried = calls.send(second, booking);
+        assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: seals are ordered twice. Sequence: both hosts of a data centre are killed while a booking runs, new ones
-    // start, and the key is repeated. Cause: nobody is left who knows of the claim, and the new hosts start afresh.
+    // Guards against a booking that runs twice: both hosts of a data centre are killed while it runs and are restarted
+    // without state, so no host has a record of the claim when the key is retried.
     @Test
     void shouldRunBookingOnceWhenBothHostsAreLost() {
         CallRequest booking = calls.newBooking();
@@ -84,43 +85,44 @@
         List.of(first, second).forEach(host -> host.child().kill());
         Calls.await(lost);
         List.of(first, second).forEach(Host::restart);
-        fleet.awaitServing(BOUND_MILLIS);
-        CallResult repeated = calls.send(second, booking);
-        assertEquals(CallOutcome.UNKNOWN, repeated.outcome(), repeated.toString());
+        fleet.awaitServing(TIMEOUT_MILLIS);
+        CallResult retried = calls.send(second, booking);
+        assertEquals(CallOutcome.UNKNOWN, retried.outcome(), retried.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: seals are ordered twice. Sequence: a host freezes with a booking half-way, the others form a view
-    // without
-    // it, the key is repeated, the host wakes. Cause: the woken host acts on a view that is gone.
+    // Guards against a booking that runs twice: a host is suspended while its booking runs, the others form a view
+    // without it, the key is retried, and the resumed host acts on the outdated view.
     @Test
-    void shouldRunBookingOnceWhenItsHostFreezesAndWakes() {
+    void shouldRunBookingOnceWhenItsHostIsSuspendedAndResumed() {
         CallRequest booking = calls.newBooking();
-        CompletableFuture<CallResult> frozen = calls.start(first, booking);
+        CompletableFuture<CallResult> suspended = calls.start(first, booking);
         calls.awaitRunning(booking);
         long view = viewNumber(second);
         first.child().freeze();
-        Poll.until("the other host leaves the frozen one out", BOUND_MILLIS, () -> viewNumber(second) > view);
-        CallResult repeated = calls.send(second, booking);
-        assertNotEquals(CallOutcome.NOT_RUN, repeated.outcome(), repeated.toString());
+        Poll.until(
+                "the other host has a view without the suspended host",
+                TIMEOUT_MILLIS,
+                () -> viewNumber(second) > view);
+        CallResult retried = calls.send(second, booking);
+        assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
         first.child().resume();
-        assertNotEquals(CallOutcome.NOT_RUN, Calls.await(frozen).outcome());
+        assertNotEquals(CallOutcome.NOT_RUN, Calls.await(suspended).outcome());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: seals are ordered twice, or a caller hears that nothing ran while it ran. Sequence: the store is out, a
-    // host is killed with a booking in flight, the key is repeated. Cause: the view cannot change while the store is
-    // out.
+    // Guards against a booking that runs twice, or is reported as not run although it ran: the store is down, so the
+    // view cannot change, when a host is killed with the booking in flight and the key is retried.
     @Test
-    void shouldRunBookingOnceWhenStoreIsOutAndHostIsKilled() {
+    void shouldRunBookingOnceWhenStoreIsDownAndHostIsKilled() {
         fleet.platformFaults(Json.object().put("storeDown", true));
         CallRequest booking = calls.newBooking();
         CompletableFuture<CallResult> lost = calls.start(first, booking);
         calls.awaitRunning(booking);
         first.child().kill();
         Calls.await(lost);
-        CallResult repeated = calls.send(second, booking);
-        assertNotEquals(CallOutcome.NOT_RUN, repeated.outcome(), repeated.toString());
+        CallResult retried = calls.send(second, booking);
+        assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PartitionTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PartitionTest.java
@@ -16,9 +16,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Labasa alone: cut from all others and from the platform. */
+/** Serves callers in a data centre that is partitioned from all other data centres and from the platform. */
 class PartitionTest {
-    private static final long BOUND_MILLIS = 60_000;
+    private static final long TIMEOUT_MILLIS = 60_000;
     private static Fleet fleet;
 
     private final Calls calls = Calls.of(fleet, "labasa-floor");
@@ -36,27 +36,25 @@
     @BeforeEach
     void heal() {
         fleet.links().heal();
-        fleet.awaitServing(BOUND_MILLIS);
+        fleet.awaitServing(TIMEOUT_MILLIS);
     }
 
-    // Symptom: a filler line in Labasa stands still, or its logs are served elsewhere. Sequence: Labasa is cut from all
-    // others and from the platform; its fitters call on, and one repeats a key at Suva. Cause: serving, or claiming,
-    // depends on something beyond the partition.
+    // Guards against serving or claiming that depends on anything outside the partition: callers in Labasa would get no
+    // response, or their data would be served in another region. A key of Labasa is also retried at Suva meanwhile.
     @Test
-    void shouldServeItsOwnCallersWhenLabasaIsCutOff() {
+    void shouldServeLocalCallersWhenLabasaIsPartitioned() {
         fleet.links().around("labasa-hall", LinkState.cutOff());
-        answerOwnCallers();
+        assertLocalCallersServed();
     }
 
-    // Symptom: as above, but connections hang instead of breaking. Sequence: as above with silent links. Cause: as
-    // above.
+    // Guards against the same failure where the links become unresponsive, so that connections hang instead of closing.
     @Test
-    void shouldServeItsOwnCallersWhenLinksAroundLabasaGoSilent() {
+    void shouldServeLocalCallersWhenLinksAroundLabasaBecomeUnresponsive() {
         fleet.links().around("labasa-hall", LinkState.silent());
-        answerOwnCallers();
+        assertLocalCallersServed();
     }
 
-    private void answerOwnCallers() {
+    private void assertLocalCallersServed() {
         CallRequest booking = calls.newBooking();
         CallResult first = calls.send(fleet.host("labasa-1"), booking);
         assertEquals(CallOutcome.ANSWERED, first.outcome(), first.toString());
@@ -65,8 +63,8 @@
 
         CallResult elsewhere = calls.send(fleet.host("suva-1"), booking);
         assertNotEquals(CallOutcome.ANSWERED, elsewhere.outcome(), elsewhere.toString());
-        CallResult again = calls.send(fleet.host("labasa-2"), booking);
-        assertEquals(first.body(), again.body());
+        CallResult retried = calls.send(fleet.host("labasa-2"), booking);
+        assertEquals(first.body(), retried.body());
         assertEquals(1, calls.settledRuns(booking));
         assertEquals(Set.of("labasa"), regions(booking, draft));
     }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PlannedStopTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PlannedStopTest.java
@@ -13,34 +13,33 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Graceful stops under load. */
+/** Stops entry hosts gracefully under load. */
 class PlannedStopTest {
-    private static final long BOUND_MILLIS = 60_000;
-    private static final int CALLS_BETWEEN = 40;
+    private static final long TIMEOUT_MILLIS = 60_000;
+    private static final int CALLS_BETWEEN_STOPS = 40;
 
-    // Symptom: a draft ends half-way, or a booking's outcome is unknown, whenever a host is replaced. Sequence: each
-    // host in turn is asked to stop while calls arrive. Cause: the process ends before its requests, or its claims,
-    // have.
+    // Guards against truncated drafts and unknown outcomes of bookings when a host is replaced: each host in turn is
+    // stopped while calls arrive, and its process would exit before its requests and claims are finished.
     @Test
-    void shouldCutNoRequestWhenEachHostStopsInTurnUnderLoad() {
+    void shouldInterruptNoRequestWhenEachHostStopsInTurnUnderLoad() {
         try (Fleet fleet = Fleet.start(FleetOptions.of(Deployment.KORO));
                 CallLoad load = new CallLoad(fleet, 11, Duration.ofSeconds(20), 6)) {
             for (Host host : fleet.hosts()) {
-                int reached = load.endedCalls() + CALLS_BETWEEN;
-                Poll.until("calls go on", BOUND_MILLIS, () -> load.endedCalls() >= reached);
+                int requiredCalls = load.endedCalls() + CALLS_BETWEEN_STOPS;
+                Poll.until("calls are still completed", TIMEOUT_MILLIS, () -> load.endedCalls() >= requiredCalls);
                 host.child().terminate();
                 assertEquals(0, host.child().awaitEnd(), host.name());
                 host.restart();
-                fleet.awaitServing(BOUND_MILLIS);
+                fleet.awaitServing(TIMEOUT_MILLIS);
             }
             List<CallRecord> records = load.finish();
             OutcomeAudit audit = OutcomeAudit.of(records, fleet.ledger());
             assertTrue(audit.isClean(), audit.toString());
-            assertEquals(List.of(), cut(records));
+            assertEquals(List.of(), interrupted(records));
         }
     }
 
-    private static List<CallResult> cut(List<CallRecord> records) {
+    private static List<CallResult> interrupted(List<CallRecord> records) {
         return records.stream()
                 .flatMap(record -> record.results().stream())
                 .filter(result -> result.outcome() == CallOutcome.BROKEN || result.outcome() == CallOutcome.UNKNOWN)
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/TargetFaultTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/TargetFaultTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Targets that lose, double, cross, cut and withhold answers. */
+/** Calls targets that lose, duplicate, mix up, truncate and withhold responses. */
 class TargetFaultTest {
     private static Fleet fleet;
 
@@ -31,22 +31,22 @@
         fleet.close();
     }
 
-    // Symptom: an order is doubled, or a caller hears that it did not run. Sequence: the target runs a booking, then
-    // resets the connection instead of answering. Cause: a lost answer looks like a call that never arrived.
+    // Guards against a booking that runs twice, or is reported as not run: the target runs it and resets the connection
+    // instead of responding, which looks like a request that never arrived.
     @Test
-    void shouldSayUnknownAndRunOnceWhenTargetLosesAnswer() {
-        plan("crew-desk", "lose-answer", 0);
+    void shouldReportUnknownAndRunOnceWhenTargetLosesResponse() {
+        configureFault("crew-desk", "lose-answer", 0);
         CallRequest booking = calls.newBooking();
         assertEquals(CallOutcome.UNKNOWN, calls.send(host, booking).outcome());
         assertEquals(CallOutcome.UNKNOWN, calls.send(host, booking).outcome());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: a caller gets another caller's booking. Sequence: the target answers with another request's identifier.
-    // Cause: answers crossed at the target.
+    // Guards against delivering the booking of another caller: the target mixes up responses and responds with the ID
+    // of another request.
     @Test
-    void shouldNotPassOnAnswerWhenItNamesAnotherRequest() {
-        plan("crew-desk", "wrong-id", 0);
+    void shouldNotDeliverResponseWhenItHasAnotherRequestId() {
+        configureFault("crew-desk", "wrong-id", 0);
         CallRequest booking = calls.newBooking();
         CallResult result = calls.send(host, booking);
         assertEquals(CallOutcome.UNKNOWN, result.outcome(), result.toString());
@@ -54,11 +54,11 @@
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: the next caller gets the previous one's booking. Sequence: the target answers twice on one connection,
-    // which is used again. Cause: the second answer is taken for that of the next request.
+    // Guards against delivering the booking of the previous caller: the target responds twice on one connection, and
+    // the second response is taken for that of the next request on the reused connection.
     @Test
-    void shouldGiveEachCallerItsOwnAnswerWhenTargetAnswersTwice() {
-        plan("crew-desk", "answer-twice", 0);
+    void shouldDeliverEachCallerItsOwnResponseWhenTargetRespondsTwice() {
+        configureFault("crew-desk", "answer-twice", 0);
         for (int i = 0; i < 5; i++) {
             CallRequest booking = calls.newBooking();
             CallResult result = calls.send(host, booking);
@@ -67,63 +67,61 @@
         }
     }
 
-    // Symptom: a caller takes half an answer for the whole. Sequence: the target sends half of the body and resets the
-    // connection. Cause: the length is not checked before the first byte goes to the caller.
+    // Guards against a truncated response that looks complete: the target sends half of the body and resets the
+    // connection, and the length is not checked before the first byte is sent to the caller.
     @Test
-    void shouldNotPassOnHalfAnswerWhenTargetCutsBody() {
-        plan("crew-desk", "cut-body", 0);
+    void shouldNotDeliverTruncatedResponseWhenTargetTruncatesBody() {
+        configureFault("crew-desk", "cut-body", 0);
         CallRequest booking = calls.newBooking();
         CallResult result = calls.send(host, booking);
         assertEquals(CallOutcome.UNKNOWN, result.outcome(), result.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: a quote hangs until the caller gives up. Sequence: the target runs a booking and never answers, while
-    // new
-    // connections to it work. Cause: something in between has lost track of the connection.
+    // Guards against a call that hangs until the caller times out: the target runs a booking and never responds, while
+    // new connections to it work, as when a network device has dropped the state of the connection.
     @Test
-    void shouldSettleBeforeDeadlineWhenTargetGoesSilent() {
-        plan("crew-desk", "silent", 0);
+    void shouldSettleBeforeDeadlineWhenTargetIsUnresponsive() {
+        configureFault("crew-desk", "silent", 0);
         CallRequest booking = calls.newBooking();
         CallResult result = calls.send(host, booking);
         assertEquals(CallOutcome.UNKNOWN, result.outcome(), result.toString());
         assertEquals(1, calls.settledRuns(booking));
     }
 
-    // Symptom: a draft stops half-way. Sequence: the connection of a stream is reset after some parts. Cause: the
-    // network; the engine still has the stream and can resume it.
+    // Guards against a truncated stream: the network resets the connection after some stream events, while the engine
+    // still has the stream and can resume it.
     @Test
-    void shouldResumeStreamWhenItsConnectionIsCut() {
-        plan("plank-serve", "cut-stream", 3);
+    void shouldResumeStreamWhenItsConnectionIsReset() {
+        configureFault("plank-serve", "cut-stream", 3);
         CallResult result = calls.send(host, calls.newDraft(30));
         assertEquals(CallOutcome.ANSWERED, result.outcome(), result.toString());
         assertTrue(result.own(), result.body());
     }
 
-    // Symptom: a draft hangs half-way. Sequence: after some parts nothing comes on the open connection, while new ones
-    // work. Cause: something in between has lost track of the connection.
+    // Guards against a stream that hangs: after some stream events the open connection delivers nothing, while new
+    // connections work, as when a network device has dropped the state of the connection.
     @Test
-    void shouldResumeStreamWhenItsConnectionGoesSilent() {
-        plan("plank-serve", "silent", 3);
+    void shouldResumeStreamWhenItsConnectionIsUnresponsive() {
+        configureFault("plank-serve", "silent", 3);
         CallResult result = calls.send(host, calls.newDraft(30));
         assertEquals(CallOutcome.ANSWERED, result.outcome(), result.toString());
         assertTrue(result.own(), result.body());
     }
 
-    // Symptom: a caller hears that its booking did not run, and it did. Sequence: the target refuses a booking before
-    // it
-    // runs it. Cause: none; this is the one answer of a target that proves that nothing ran.
+    // Guards against a booking that is reported as not run although it ran. A rejection before the run is the only
+    // response of a target that proves that nothing ran.
     @Test
-    void shouldRunNothingWhenTargetRefuses() {
-        plan("crew-desk", "refuse", 0);
+    void shouldReportDefiniteOutcomeWhenTargetRejects() {
+        configureFault("crew-desk", "refuse", 0);
         CallRequest booking = calls.newBooking();
         CallResult result = calls.send(host, booking);
         assertNotEquals(CallOutcome.UNKNOWN, result.outcome(), result.toString());
         assertEquals(result.outcome() == CallOutcome.ANSWERED ? 1 : 0, calls.settledRuns(booking));
     }
 
-    /** Plans the fault in all data centres, as a target that failed before may be avoided. */
-    private static void plan(String service, String fault, int afterParts) {
+    /** Configures the fault in all data centres, because the router may avoid a target that failed before. */
+    private static void configureFault(String service, String fault, int afterEvents) {
         for (Site site : fleet.deployment().sites()) {
             fleet.planTargetFaults(
                     site.dataCentre(),
@@ -131,7 +129,7 @@
                             .put("forget", true)
                             .put("service", service)
                             .put("fault", fault)
-                            .put("afterParts", afterParts));
+                            .put("afterParts", afterEvents));
         }
     }
 }
