--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/BookingLoad.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/BookingLoad.java
@@ -99,7 +99,7 @@
     }
 
     private void ended(ClaimKey key, int ask, ClaimDecision decision) {
-        if (decision instanceof ClaimDecision.Kept) {
+        if (decision instanceof ClaimDecision.Replay) {
             answered.add(key);
         } else if (decision instanceof ClaimDecision.Unknown) {
             unknown.add(key);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/StoreWay.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/StoreWay.java
@@ -51,7 +51,7 @@
         }
         if (reply instanceof StoreReply.Conflicted conflicted) {
             return conflicted.current().exists(entry -> entry.value().equals(DONE))
-                    ? new ClaimDecision.Kept(BookingLoad.ANSWER)
+                    ? new ClaimDecision.Replay(BookingLoad.ANSWER)
                     : new ClaimDecision.Unknown(Failure.of(Step.CLAIM, "store", "the key is claimed"));
         }
         return new ClaimDecision.NotRun(Failure.of(Step.CLAIM, "store", "the store is out"), RETRY_AFTER_MILLIS);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllWay.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllWay.java
@@ -8,10 +8,10 @@
 import java.util.function.Function;
 
 import org.rattanplank.core.NodeIdentity;
+import org.rattanplank.core.claim.ClaimAction;
 import org.rattanplank.core.claim.ClaimDecision;
 import org.rattanplank.core.claim.ClaimKey;
 import org.rattanplank.core.claim.ClaimResult;
-import org.rattanplank.core.claim.ClaimStep;
 import org.rattanplank.core.claim.Claims;
 import org.rattanplank.core.host.Place;
 
@@ -82,7 +82,7 @@
     public void kill(String host) {
         processes.remove(host);
         for (String other : processes.keySet()) {
-            travel(() -> at(other, claims -> claims.lost(host, true, time.nowMillis())));
+            travel(() -> at(other, claims -> claims.disconnected(host, true, time.nowMillis())));
         }
     }
 
@@ -93,26 +93,26 @@
         }
     }
 
-    private void at(String host, Function<Claims, List<ClaimStep>> event) {
+    private void at(String host, Function<Claims, List<ClaimAction>> event) {
         Claims claims = processes.get(host);
         if (claims == null) {
             return;
         }
         long startNanos = System.nanoTime();
-        List<ClaimStep> steps = event.apply(claims);
+        List<ClaimAction> steps = event.apply(claims);
         coreNanos += System.nanoTime() - startNanos;
         steps.forEach(step -> take(host, step));
     }
 
-    private void take(String host, ClaimStep step) {
-        if (step instanceof ClaimStep.Send send) {
+    private void take(String host, ClaimAction step) {
+        if (step instanceof ClaimAction.Send send) {
             messages++;
             travel(() -> at(send.host(), claims -> claims.receive(host, 1, send.message(), time.nowMillis())));
-        } else if (step instanceof ClaimStep.CallStore call) {
+        } else if (step instanceof ClaimAction.CallStore call) {
             store.call(
                     call.command(),
                     reply -> at(host, claims -> claims.storeReplied(call.callId(), reply, time.nowMillis())));
-        } else if (step instanceof ClaimStep.Decide decide) {
+        } else if (step instanceof ClaimAction.Decide decide) {
             waiting.remove(decide.requestId()).accept(decide.decision());
         }
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -12,7 +12,7 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.route.Eligibility;
 import org.rattanplank.core.route.Route;
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 
 /**
  * Processes one request at one entry host and calls the router as the product's request flow does.
@@ -45,7 +45,7 @@
     }
 
     void start() {
-        Option<Routing.Refuse> rejection = host.router.admit(request, now());
+        Option<RoutingDecision.Reject> rejection = host.router.admit(request, now());
         if (rejection.isDefined()) {
             done = true;
             listener.notRun(rejection.get().retryAfterMillis());
@@ -81,16 +81,16 @@
     private void finish() {
         done = true;
         host.removeForwarded(this);
-        host.router.finished(request, now());
+        host.router.recordFinish(request, now());
     }
 
     private void chooseRoute() {
         Set<String> allowed = arrival.allRegionsAllowed() ? simulation.regionNames() : Set.of(request.homeRegion());
-        Routing routing =
+        RoutingDecision routing =
                 host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), triedPeers), now());
-        if (routing instanceof Routing.Go go) {
+        if (routing instanceof RoutingDecision.Dispatch go) {
             startAttempt(go.route());
-        } else if (routing instanceof Routing.Refuse refuse) {
+        } else if (routing instanceof RoutingDecision.Reject refuse) {
             finish();
             listener.notRun(refuse.retryAfterMillis());
         }
@@ -102,7 +102,7 @@
         attemptAtMillis = now();
         route = Option.some(next);
         triedPeers.add(next.peer());
-        host.router.started(request, next, now());
+        host.router.recordStart(request, next, now());
         if (next instanceof Route.ToHost) {
             forward(next.peer(), currentAttempt);
         } else {
@@ -179,7 +179,7 @@
             return;
         }
         long elapsedMillis = now() - attemptAtMillis;
-        host.router.ended(
+        host.router.recordEnd(
                 request, route.get(), new AttemptResult.Whole(EMPTY_RESPONSE, List.of()), elapsedMillis, now());
         finish();
         listener.answered(region, firstTokenMillis);
@@ -191,7 +191,7 @@
         }
         host.removeForwarded(this);
         cancelAttempt = () -> {};
-        host.router.ended(request, route.get(), result, now() - attemptAtMillis, now());
+        host.router.recordEnd(request, route.get(), result, now() - attemptAtMillis, now());
         boolean isSafeToRetry = result instanceof AttemptResult.NotRun || request.repeatable();
         if (isSafeToRetry && host.router.mayRetry(request, currentAttempt, now())) {
             chooseRoute();
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
@@ -36,7 +36,7 @@
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.route.RemoteRegion;
 import org.rattanplank.core.route.Router;
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 import org.rattanplank.core.route.TargetLoad;
 
 /**
@@ -106,17 +106,17 @@
         for (int i = 0; i < targets; i++) {
             listed.add(new ListedHost("t-" + i, HostRole.TARGET, place, "127.0.0.1", 1, 0, SERVICE, false));
         }
-        router.targets(listed, 0);
+        router.updateTargets(listed, 0);
         Map<String, Account> accounts = new HashMap<>();
         for (int i = 0; i < ACCOUNTS; i++) {
             accounts.put("a-" + i, new Account("a-" + i, "", "suva", "suva-hall", "", 1));
         }
         Service service = new Service(SERVICE, true, "", true, true);
-        router.configured(
+        router.applyConfiguration(
                 new Configuration(1, "", Map.of(SERVICE, service), accounts, Map.of(), Map.of(), Set.of()), 0);
-        listed.forEach(target -> router.reported(
+        listed.forEach(target -> router.recordLoadReport(
                 new TargetLoad(target.name(), SERVICE, List.of(), random.nextInt(9), 0, 8, 40, 45_000, false, 0), 0));
-        router.regions(regions(), 0);
+        router.updateRegions(regions(), 0);
         requests = new Request[REQUESTS];
         for (int i = 0; i < REQUESTS; i++) {
             requests[i] = request(i, random);
@@ -132,15 +132,15 @@
      * @return the routing decision
      */
     @Benchmark
-    public Routing decide() {
+    public RoutingDecision decide() {
         nowMillis++;
         Request request = requests[nextRequest++ & (REQUESTS - 1)];
         router.admit(request, nowMillis);
-        Routing routing = router.choose(request, eligibility, nowMillis);
-        if (routing instanceof Routing.Go go) {
-            router.started(request, go.route(), nowMillis);
+        RoutingDecision routing = router.choose(request, eligibility, nowMillis);
+        if (routing instanceof RoutingDecision.Dispatch go) {
+            router.recordStart(request, go.route(), nowMillis);
         }
-        router.finished(request, nowMillis);
+        router.recordFinish(request, nowMillis);
         return routing;
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
@@ -27,13 +27,13 @@
 
     void receiveSummary(int otherRegion, RemoteRegion summary, long nowMillis) {
         remoteRegions.put(otherRegion, summary);
-        router.regions(List.copyOf(remoteRegions.values()), nowMillis);
+        router.updateRegions(List.copyOf(remoteRegions.values()), nowMillis);
     }
 
     /** Handles the loss of the links to a region: the attempts that were forwarded there fail. */
     void disconnect(int otherRegion, long nowMillis) {
         remoteRegions.remove(otherRegion);
-        router.regions(List.copyOf(remoteRegions.values()), nowMillis);
+        router.updateRegions(List.copyOf(remoteRegions.values()), nowMillis);
         List.copyOf(forwardedCalls).forEach(call -> call.linkDisconnected(otherRegion));
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
@@ -145,7 +145,7 @@
                 .filter(target -> target.region == region && target.isUp())
                 .map(target -> target.listed)
                 .toList();
-        hostsOf(region).forEach(host -> host.router.targets(listed, scheduler.nowMillis()));
+        hostsOf(region).forEach(host -> host.router.updateTargets(listed, scheduler.nowMillis()));
     }
 
     private List<Host> hostsOf(int region) {
@@ -187,7 +187,7 @@
         }
         Map<String, Set<String>> residencies = Map.of(ANYWHERE, regionNames());
         Configuration configuration = new Configuration(1, "", services, accounts, residencies, Map.of(), Set.of());
-        hosts.forEach(host -> host.router.configured(configuration, 0));
+        hosts.forEach(host -> host.router.applyConfiguration(configuration, 0));
         for (int region = 0; region < deployment.regions.size(); region++) {
             publishHostList(region);
             sendSummary(region);
@@ -211,18 +211,20 @@
     private void pollLoad(Host host, StandInTarget target) {
         if (!target.isUp()) {
             String name = target.listed.name();
-            scheduler.schedule(MISSED_REPORT_DELAY_MILLIS, () -> host.router.missed(name, scheduler.nowMillis()));
+            scheduler.schedule(
+                    MISSED_REPORT_DELAY_MILLIS, () -> host.router.recordMissedReport(name, scheduler.nowMillis()));
             return;
         }
         TargetLoad load = target.load();
-        scheduler.schedule(scenario.reportLagMillis(), () -> host.router.reported(load, scheduler.nowMillis()));
+        scheduler.schedule(scenario.reportLagMillis(), () -> host.router.recordLoadReport(load, scheduler.nowMillis()));
     }
 
     private void publishCacheEvent(StandInTarget target) {
         CacheEvent event = target.nextCacheEvent();
         for (Host host : hostsOf(target.region)) {
             if (random.nextDouble() >= CACHE_EVENT_LOSS_RATIO) {
-                scheduler.schedule(CACHE_LAG_MILLIS, () -> host.router.cached(List.of(event), scheduler.nowMillis()));
+                scheduler.schedule(
+                        CACHE_LAG_MILLIS, () -> host.router.recordCacheEvents(List.of(event), scheduler.nowMillis()));
             }
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
@@ -19,11 +19,11 @@
      * @param attempt the attempt's number, from one
      * @param route the destination
      * @param request the request as the other side receives it
-     * @param resumeAtPart how many stream events of the answer the caller already has; zero starts from the beginning
+     * @param resumeAtStreamEvent how many stream events of the answer the caller already has; zero starts from the beginning
      * @param timeoutMillis when to abandon the attempt, on this host's clock
      */
     record StartAttempt(
-            String requestId, int attempt, Route route, Request request, long resumeAtPart, long timeoutMillis)
+            String requestId, int attempt, Route route, Request request, long resumeAtStreamEvent, long timeoutMillis)
             implements Action {
         public StartAttempt {
             Objects.requireNonNull(route, "route");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 
-import org.rattanplank.core.claim.ClaimStep;
+import org.rattanplank.core.claim.ClaimAction;
 import org.rattanplank.core.store.StoreOwner;
 
 /**
@@ -15,13 +15,13 @@
  */
 final class Effects {
     private final List<Action> actions = new ArrayList<>();
-    private final Deque<ClaimStep.Decide> decisions = new ArrayDeque<>();
+    private final Deque<ClaimAction.Decide> decisions = new ArrayDeque<>();
 
     List<Action> actions() {
         return List.copyOf(actions);
     }
 
-    Deque<ClaimStep.Decide> decisions() {
+    Deque<ClaimAction.Decide> decisions() {
         return decisions;
     }
 
@@ -29,13 +29,13 @@
         actions.add(action);
     }
 
-    void addClaimSteps(List<ClaimStep> steps) {
-        for (ClaimStep step : steps) {
-            if (step instanceof ClaimStep.Send send) {
+    void addClaimSteps(List<ClaimAction> steps) {
+        for (ClaimAction step : steps) {
+            if (step instanceof ClaimAction.Send send) {
                 actions.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof ClaimStep.CallStore call) {
+            } else if (step instanceof ClaimAction.CallStore call) {
                 actions.add(new Action.CallStore(StoreOwner.CLAIM, call.callId(), call.command()));
-            } else if (step instanceof ClaimStep.Decide decide) {
+            } else if (step instanceof ClaimAction.Decide decide) {
                 decisions.add(decide);
             }
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
@@ -21,8 +21,8 @@
      *
      * @param request the request, which no host has forwarded yet
      */
-    record CallerAsked(Request request) implements Event {
-        public CallerAsked {
+    record CallerRequestReceived(Request request) implements Event {
+        public CallerRequestReceived {
             Objects.requireNonNull(request, "request");
         }
     }
@@ -34,8 +34,8 @@
      * @param attempt the other host's attempt number, which the answer repeats
      * @param request the request with the hosts that have forwarded it
      */
-    record PeerAsked(String host, long attempt, Request request) implements Event {
-        public PeerAsked {
+    record PeerRequestReceived(String host, long attempt, Request request) implements Event {
+        public PeerRequestReceived {
             Objects.requireNonNull(host, "host");
             Objects.requireNonNull(request, "request");
         }
@@ -46,7 +46,7 @@
      *
      * @param requestId the request
      */
-    record AskerLeft(String requestId) implements Event {}
+    record RequesterLeft(String requestId) implements Event {}
 
     /**
      * A stream event was delivered to the requester; from now on the request cannot be restarted without the requester
@@ -54,9 +54,9 @@
      *
      * @param requestId the request
      * @param attempt the attempt that produced it
-     * @param parts how many stream events have been delivered so far
+     * @param streamEvents how many stream events have been delivered so far
      */
-    record StreamProgressed(String requestId, int attempt, long parts) implements Event {}
+    record StreamProgressed(String requestId, int attempt, long streamEvents) implements Event {}
 
     /**
      * An attempt ended.
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 
 /**
  * The routing decisions and the outcome of a request. Immutable and thread safe.
@@ -13,14 +13,14 @@
  * @param routings the routing decisions of its attempts, oldest first
  * @param outcome the outcome's label, empty while the request is in flight
  */
-public record Explanation(String requestId, String service, List<Routing> routings, String outcome) {
+public record Explanation(String requestId, String service, List<RoutingDecision> routings, String outcome) {
     public Explanation {
         Objects.requireNonNull(requestId, "requestId");
         routings = List.copyOf(routings);
         outcome = Objects.requireNonNullElse(outcome, "");
     }
 
-    Explanation withRouting(Routing routing) {
+    Explanation withRouting(RoutingDecision routing) {
         return new Explanation(
                 requestId,
                 service,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
@@ -7,7 +7,7 @@
 import io.vavr.control.Option;
 import org.rattanplank.core.request.Outcome;
 import org.rattanplank.core.request.Request;
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 
 /**
  * Stores the explanations of the most recent requests.
@@ -37,7 +37,7 @@
         }
     }
 
-    void recordRouting(Request request, Routing routing) {
+    void recordRouting(Request request, RoutingDecision routing) {
         lock.lock();
         try {
             explanationsByRequest.put(request.id(), current(request).withRouting(routing));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
@@ -5,7 +5,7 @@
 import io.vavr.control.Option;
 import org.rattanplank.core.claim.ClaimLimits;
 import org.rattanplank.core.claim.Claims;
-import org.rattanplank.core.control.ControlStep;
+import org.rattanplank.core.control.ControlAction;
 import org.rattanplank.core.control.Controller;
 import org.rattanplank.core.host.ListedHost;
 import org.rattanplank.core.host.Place;
@@ -161,11 +161,11 @@
     }
 
     private void apply(Event event, long nowMillis, Effects effects) {
-        if (event instanceof Event.CallerAsked requested) {
+        if (event instanceof Event.CallerRequestReceived requested) {
             requests.receive(requested.request(), nowMillis, effects);
-        } else if (event instanceof Event.PeerAsked requested) {
+        } else if (event instanceof Event.PeerRequestReceived requested) {
             requests.receive(requested.request(), nowMillis, effects);
-        } else if (event instanceof Event.AskerLeft left) {
+        } else if (event instanceof Event.RequesterLeft left) {
             requests.requesterLeft(left.requestId(), nowMillis, effects);
         } else if (event instanceof Event.StreamProgressed progressed) {
             requests.streamProgressed(progressed);
@@ -174,11 +174,11 @@
         } else if (event instanceof Event.LoadReported reported) {
             recordLoadReport(reported, nowMillis);
         } else if (event instanceof Event.LoadMissed missed) {
-            router.missed(missed.target(), nowMillis);
+            router.recordMissedReport(missed.target(), nowMillis);
         } else if (event instanceof Event.CacheReported cached) {
-            router.cached(cached.events(), nowMillis);
+            router.recordCacheEvents(cached.events(), nowMillis);
         } else if (event instanceof Event.OrderAnswered answered) {
-            addControlSteps(controller.answered(answered.orderId(), answered.result(), nowMillis), effects);
+            addControlSteps(controller.orderAnswered(answered.orderId(), answered.result(), nowMillis), effects);
         } else if (event instanceof Event.DrainAsked) {
             requests.drain();
         } else if (event instanceof Event.Ticked) {
@@ -193,14 +193,14 @@
             peerConnected(connected, nowMillis, effects);
         } else if (event instanceof Event.PeerLost lost) {
             addMemberSteps(members.lost(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
-            effects.addClaimSteps(claims.lost(lost.host(), lost.refused(), nowMillis));
-            router.regions(members.remoteRegions(), nowMillis);
+            effects.addClaimSteps(claims.disconnected(lost.host(), lost.refused(), nowMillis));
+            router.updateRegions(members.remoteRegions(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             receive(received.host(), received.incarnation(), received.message(), nowMillis, effects);
         } else if (event instanceof Event.HostsListed listed) {
             addMemberSteps(members.listed(listed.list(), nowMillis), nowMillis, effects);
             configurations.peers(members.peerView(), nowMillis);
-            effects.addClaimSteps(claims.listed(listed.list(), nowMillis));
+            effects.addClaimSteps(claims.hostListUpdated(listed.list(), nowMillis));
             refreshTargets(nowMillis);
         } else if (event instanceof Event.StoreReplied replied) {
             storeReplied(replied, nowMillis, effects);
@@ -217,7 +217,7 @@
         if (place.dataCentre().equals(self.place().dataCentre())) {
             effects.addClaimSteps(claims.connected(peer.host(), peer.incarnation(), nowMillis));
         }
-        router.regions(members.remoteRegions(), nowMillis);
+        router.updateRegions(members.remoteRegions(), nowMillis);
     }
 
     private void receive(String host, long incarnation, PeerMessage message, long nowMillis, Effects effects) {
@@ -228,7 +228,7 @@
         } else if (message instanceof MemberMessage member) {
             addMemberSteps(members.receive(host, incarnation, member, nowMillis), nowMillis, effects);
             if (member instanceof RegionSummary) {
-                router.regions(members.remoteRegions(), nowMillis);
+                router.updateRegions(members.remoteRegions(), nowMillis);
             }
         }
     }
@@ -238,8 +238,8 @@
             members.leaving(reported.load().target(), nowMillis);
             refreshTargets(nowMillis);
         }
-        router.reported(reported.load(), nowMillis);
-        controller.reported(reported.load(), nowMillis);
+        router.recordLoadReport(reported.load(), nowMillis);
+        controller.targetReported(reported.load(), nowMillis);
     }
 
     private void storeReplied(Event.StoreReplied replied, long nowMillis, Effects effects) {
@@ -267,7 +267,7 @@
         effects.addClaimSteps(claims.tick(nowMillis));
         configurations.peers(members.peerView(), nowMillis);
         addConfigurationSteps(configurations.tick(nowMillis), nowMillis, effects);
-        controller.candidate(members.isControllerCandidate());
+        controller.candidateChanged(members.isControllerCandidate());
         addControlSteps(controller.tick(nowMillis), effects);
         SelfReport report = new SelfReport(
                 configurations.current().generation(),
@@ -276,7 +276,7 @@
                 router.summary(nowMillis),
                 configurations.isStoreReachable(nowMillis));
         addMemberSteps(members.tick(report, nowMillis), nowMillis, effects);
-        router.regions(members.remoteRegions(), nowMillis);
+        router.updateRegions(members.remoteRegions(), nowMillis);
         refreshTargets(nowMillis);
         drain(nowMillis, effects);
     }
@@ -297,8 +297,8 @@
 
     private void refreshTargets(long nowMillis) {
         List<ListedHost> targets = members.targetsTakingWork();
-        router.targets(targets, nowMillis);
-        controller.targets(targets, nowMillis);
+        router.updateTargets(targets, nowMillis);
+        controller.targetsUpdated(targets, nowMillis);
     }
 
     private void addMemberSteps(List<MemberStep> steps, long nowMillis, Effects effects) {
@@ -328,16 +328,16 @@
 
     private void applyConfiguration(Configuration configuration, long nowMillis) {
         members.retiring(configuration.retiring(), nowMillis);
-        router.configured(configuration, nowMillis);
-        controller.configured(configuration, nowMillis);
+        router.applyConfiguration(configuration, nowMillis);
+        controller.configurationUpdated(configuration, nowMillis);
         refreshTargets(nowMillis);
     }
 
-    private void addControlSteps(List<ControlStep> steps, Effects effects) {
-        for (ControlStep step : steps) {
-            if (step instanceof ControlStep.CallStore call) {
+    private void addControlSteps(List<ControlAction> steps, Effects effects) {
+        for (ControlAction step : steps) {
+            if (step instanceof ControlAction.CallStore call) {
                 effects.add(new Action.CallStore(StoreOwner.CONTROL, call.callId(), call.command()));
-            } else if (step instanceof ControlStep.Order order) {
+            } else if (step instanceof ControlAction.Order order) {
                 effects.add(new Action.OrderTarget(
                         order.orderId(), order.target(), order.fencingNumber(), order.verb(), order.subject()));
             }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 import io.vavr.control.Option;
+import org.rattanplank.core.claim.ClaimAction;
 import org.rattanplank.core.claim.ClaimDecision;
 import org.rattanplank.core.claim.ClaimKey;
 import org.rattanplank.core.claim.ClaimResult;
-import org.rattanplank.core.claim.ClaimStep;
 import org.rattanplank.core.claim.Claims;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
@@ -24,7 +24,7 @@
 import org.rattanplank.core.route.Eligibility;
 import org.rattanplank.core.route.Route;
 import org.rattanplank.core.route.Router;
-import org.rattanplank.core.route.Routing;
+import org.rattanplank.core.route.RoutingDecision;
 
 /**
  * Drives each request from its claim and route through its attempts to its outcome.
@@ -91,7 +91,7 @@
         }
     }
 
-    void claimDecided(ClaimStep.Decide decide, long nowMillis, Effects effects) {
+    void claimDecided(ClaimAction.Decide decide, long nowMillis, Effects effects) {
         Lock lock = lockOf(decide.requestId());
         lock.lock();
         try {
@@ -112,7 +112,7 @@
         try {
             InFlightRequest request = requestsInFlight.get(event.requestId());
             if (request != null && request.attempt == event.attempt()) {
-                request.deliveredStreamEvents = Math.max(request.deliveredStreamEvents, event.parts());
+                request.deliveredStreamEvents = Math.max(request.deliveredStreamEvents, event.streamEvents());
             }
         } finally {
             lock.unlock();
@@ -131,7 +131,7 @@
             }
             Route route = request.route.get();
             long durationMillis = nowMillis - request.attemptStartedMillis;
-            router.ended(request.request, route, event.result(), durationMillis, nowMillis);
+            router.recordEnd(request.request, route, event.result(), durationMillis, nowMillis);
             if (event.result() instanceof AttemptResult.Whole whole) {
                 answered(request, whole, nowMillis, effects);
             } else if (event.result() instanceof AttemptResult.NotRun notRun) {
@@ -191,9 +191,9 @@
             reject(request, rejection.get(), effects);
             return;
         }
-        Option<Routing.Refuse> rejected = router.admit(request, nowMillis);
+        Option<RoutingDecision.Reject> rejected = router.admit(request, nowMillis);
         if (rejected.isDefined()) {
-            Routing.Refuse reject = rejected.get();
+            RoutingDecision.Reject reject = rejected.get();
             effects.add(
                     new Action.Finish(request.id(), new Outcome.NotRun(reject.failure(), reject.retryAfterMillis())));
             return;
@@ -242,7 +242,7 @@
         startAttempt(request, new Route.ToHost(host.get(), region), 0, nowMillis, effects);
     }
 
-    private void releaseClaim(ClaimStep.Decide decide, long nowMillis, Effects effects) {
+    private void releaseClaim(ClaimAction.Decide decide, long nowMillis, Effects effects) {
         if (decide.decision() instanceof ClaimDecision.Run) {
             effects.addClaimSteps(claims.settle(decide.key(), decide.requestId(), new ClaimResult.NotRun(), nowMillis));
         }
@@ -251,7 +251,7 @@
     private void applyDecision(ClaimDecision decision, InFlightRequest request, long nowMillis, Effects effects) {
         if (decision instanceof ClaimDecision.Run) {
             chooseRoute(request, nowMillis, effects);
-        } else if (decision instanceof ClaimDecision.Kept kept) {
+        } else if (decision instanceof ClaimDecision.Replay kept) {
             finish(request, new Outcome.Answered(kept.answer(), List.of(self.host())), nowMillis, effects);
         } else if (decision instanceof ClaimDecision.Unknown unknown) {
             finish(request, new Outcome.Unknown(unknown.failure()), nowMillis, effects);
@@ -263,11 +263,11 @@
     private void chooseRoute(InFlightRequest request, long nowMillis, Effects effects) {
         boolean mayLeaveRegion = !request.request.isForwarded();
         Eligibility eligibility = new Eligibility(request.allowedRegions, mayLeaveRegion, request.triedPeers);
-        Routing routing = router.choose(request.request, eligibility, nowMillis);
+        RoutingDecision routing = router.choose(request.request, eligibility, nowMillis);
         explanations.recordRouting(request.request, routing);
-        if (routing instanceof Routing.Go dispatch) {
+        if (routing instanceof RoutingDecision.Dispatch dispatch) {
             startAttempt(request, dispatch.route(), 0, nowMillis, effects);
-        } else if (routing instanceof Routing.Refuse reject) {
+        } else if (routing instanceof RoutingDecision.Reject reject) {
             endWithoutAnswer(request, reject.failure(), reject.retryAfterMillis(), nowMillis, effects);
         }
     }
@@ -296,7 +296,7 @@
                 ? request.request.passedBy(self.host(), request.claim.isDefined())
                 : request.request;
         long timeoutMillis = request.request.deadlineMillis() + (request.claim.isDefined() ? CLAIM_GRACE_MILLIS : 0);
-        router.started(request.request, route, nowMillis);
+        router.recordStart(request.request, route, nowMillis);
         effects.add(new Action.StartAttempt(
                 request.request.id(), request.attempt, route, outgoing, resumeAtStreamEvent, timeoutMillis));
     }
@@ -422,7 +422,7 @@
 
     private void removeRequest(InFlightRequest request, long nowMillis) {
         requestsInFlight.remove(request.request.id());
-        router.finished(request.request, nowMillis);
+        router.recordFinish(request.request, nowMillis);
     }
 
     private void reject(Request request, Failure failure, Effects effects) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ActionList.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ActionList.java
@@ -8,21 +8,21 @@
 
 /** Collects the actions that one event leads to. Confined to one thread. */
 final class ActionList {
-    private final List<ClaimStep> actions = new ArrayList<>();
+    private final List<ClaimAction> actions = new ArrayList<>();
 
-    List<ClaimStep> toList() {
+    List<ClaimAction> toList() {
         return List.copyOf(actions);
     }
 
     void send(String host, ClaimMessage message) {
-        actions.add(new ClaimStep.Send(host, message));
+        actions.add(new ClaimAction.Send(host, message));
     }
 
     void callStore(long callId, StoreCommand command) {
-        actions.add(new ClaimStep.CallStore(callId, command));
+        actions.add(new ClaimAction.CallStore(callId, command));
     }
 
     void decide(String requestId, ClaimKey key, ClaimDecision decision) {
-        actions.add(new ClaimStep.Decide(requestId, key, decision));
+        actions.add(new ClaimAction.Decide(requestId, key, decision));
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimAction.java
@@ -6,7 +6,7 @@
 import org.rattanplank.schema.message.ClaimMessage;
 
 /** Action that {@link Claims} requests from the host. Immutable and thread safe. */
-public sealed interface ClaimStep {
+public sealed interface ClaimAction {
 
     /**
      * Sends a message to another entry host of the data centre.
@@ -14,7 +14,7 @@
      * @param host the receiver
      * @param message the message
      */
-    record Send(String host, ClaimMessage message) implements ClaimStep {
+    record Send(String host, ClaimMessage message) implements ClaimAction {
         public Send {
             Objects.requireNonNull(message, "message");
         }
@@ -26,7 +26,7 @@
      * @param callId the call, which its reply carries
      * @param command the command
      */
-    record CallStore(long callId, StoreCommand command) implements ClaimStep {
+    record CallStore(long callId, StoreCommand command) implements ClaimAction {
         public CallStore {
             Objects.requireNonNull(command, "command");
         }
@@ -39,7 +39,7 @@
      * @param key its idempotency key
      * @param decision the decision
      */
-    record Decide(String requestId, ClaimKey key, ClaimDecision decision) implements ClaimStep {
+    record Decide(String requestId, ClaimKey key, ClaimDecision decision) implements ClaimAction {
         public Decide {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(decision, "decision");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
@@ -193,7 +193,7 @@
 
     private Option<ClaimDecision> decisionFor(Claim claim) {
         return switch (claim.state()) {
-            case ANSWERED -> Option.some(new ClaimDecision.Kept(claim.answer().get()));
+            case ANSWERED -> Option.some(new ClaimDecision.Replay(claim.answer().get()));
             case LOST, UNKNOWN -> Option.some(new ClaimDecision.Unknown(claim.failure()));
             default -> Option.none();
         };
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimDecision.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimDecision.java
@@ -16,8 +16,8 @@
      *
      * @param answer the stored answer
      */
-    record Kept(Answer answer) implements ClaimDecision {
-        public Kept {
+    record Replay(Answer answer) implements ClaimDecision {
+        public Replay {
             Objects.requireNonNull(answer, "answer");
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimLimits.java
@@ -58,7 +58,7 @@
      * @param newClockMarginMillis the maximum difference between the clocks of hosts and callers
      * @return the changed limits
      */
-    public ClaimLimits withTimes(long newRetentionMillis, long newClockMarginMillis) {
+    public ClaimLimits withRetention(long newRetentionMillis, long newClockMarginMillis) {
         return with(newRetentionMillis, maxClaims, maxAnswerBytes, maxTotalAnswerBytes, newClockMarginMillis);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
@@ -120,7 +120,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> open(ClaimKey key, String requestId, long nowMillis) {
+    public List<ClaimAction> open(ClaimKey key, String requestId, long nowMillis) {
         return apply(nowMillis, out -> coordinator.open(key, requestIdQualifier.qualify(requestId), nowMillis, out));
     }
 
@@ -133,7 +133,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> settle(ClaimKey key, String requestId, ClaimResult result, long nowMillis) {
+    public List<ClaimAction> settle(ClaimKey key, String requestId, ClaimResult result, long nowMillis) {
         return apply(
                 nowMillis,
                 out -> coordinator.settle(key, requestIdQualifier.qualify(requestId), result, nowMillis, out));
@@ -165,7 +165,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> receive(String host, long incarnation, ClaimMessage message, long nowMillis) {
+    public List<ClaimAction> receive(String host, long incarnation, ClaimMessage message, long nowMillis) {
         return apply(nowMillis, out -> {
             viewManager.messageReceived(host, incarnation);
             dispatch(host, incarnation, message, nowMillis, out);
@@ -180,7 +180,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
+    public List<ClaimAction> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return apply(nowMillis, out -> viewManager.storeReplied(callId, reply, nowMillis, out));
     }
 
@@ -192,7 +192,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
+    public List<ClaimAction> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
         return apply(nowMillis, out -> viewManager.storeChanged(entries, nowMillis));
     }
 
@@ -204,7 +204,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> connected(String host, long incarnation, long nowMillis) {
+    public List<ClaimAction> connected(String host, long incarnation, long nowMillis) {
         return apply(nowMillis, out -> viewManager.connected(host, incarnation));
     }
 
@@ -216,7 +216,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> lost(String host, boolean refused, long nowMillis) {
+    public List<ClaimAction> disconnected(String host, boolean refused, long nowMillis) {
         return apply(nowMillis, out -> viewManager.disconnected(host, refused, nowMillis));
     }
 
@@ -227,7 +227,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> listed(HostList list, long nowMillis) {
+    public List<ClaimAction> hostListUpdated(HostList list, long nowMillis) {
         return apply(nowMillis, out -> viewManager.hostListUpdated(list, nowMillis));
     }
 
@@ -237,7 +237,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> leave(long nowMillis) {
+    public List<ClaimAction> leave(long nowMillis) {
         return apply(nowMillis, out -> viewManager.leave(nowMillis));
     }
 
@@ -275,7 +275,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ClaimStep> tick(long nowMillis) {
+    public List<ClaimAction> tick(long nowMillis) {
         return apply(nowMillis, out -> {
             viewManager.tick(coordinator.areResultsAcknowledged(), nowMillis, out);
             coordinator.followView(nowMillis, out);
@@ -284,7 +284,7 @@
         });
     }
 
-    private List<ClaimStep> apply(long nowMillis, Consumer<ActionList> change) {
+    private List<ClaimAction> apply(long nowMillis, Consumer<ActionList> change) {
         lock.lock();
         try {
             ActionList out = new ActionList();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/RequestIdQualifier.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/RequestIdQualifier.java
@@ -27,15 +27,15 @@
         return requestId + suffix;
     }
 
-    List<ClaimStep> unqualifyAll(List<ClaimStep> actions) {
+    List<ClaimAction> unqualifyAll(List<ClaimAction> actions) {
         return actions.stream().map(this::unqualify).toList();
     }
 
-    private ClaimStep unqualify(ClaimStep action) {
-        if (action instanceof ClaimStep.Decide decide && decide.requestId().endsWith(suffix)) {
+    private ClaimAction unqualify(ClaimAction action) {
+        if (action instanceof ClaimAction.Decide decide && decide.requestId().endsWith(suffix)) {
             String requestId =
                     decide.requestId().substring(0, decide.requestId().length() - suffix.length());
-            return new ClaimStep.Decide(requestId, decide.key(), decide.decision());
+            return new ClaimAction.Decide(requestId, decide.key(), decide.decision());
         }
         return action;
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/ControlStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/ControlAction.java
@@ -5,7 +5,7 @@
 import org.rattanplank.core.store.StoreCommand;
 
 /** Action that the controller of a region requests from the host. Immutable and thread safe. */
-public sealed interface ControlStep {
+public sealed interface ControlAction {
 
     /**
      * Calls the store.
@@ -13,7 +13,7 @@
      * @param callId the call, which its reply carries
      * @param command the command
      */
-    record CallStore(long callId, StoreCommand command) implements ControlStep {
+    record CallStore(long callId, StoreCommand command) implements ControlAction {
         public CallStore {
             Objects.requireNonNull(command, "command");
         }
@@ -28,5 +28,6 @@
      * @param verb the operation
      * @param subject the model with its version, the adapter or the role
      */
-    record Order(long orderId, String target, long fencingNumber, String verb, String subject) implements ControlStep {}
+    record Order(long orderId, String target, long fencingNumber, String verb, String subject)
+            implements ControlAction {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
@@ -73,7 +73,7 @@
      *
      * @param isCandidate whether this host is among the preferred hosts of its region
      */
-    public void candidate(boolean isCandidate) {
+    public void candidateChanged(boolean isCandidate) {
         locked(() -> leaseCandidate = isCandidate);
     }
 
@@ -83,7 +83,7 @@
      * @param newConfiguration the configuration in force
      * @param nowMillis the current time
      */
-    public void configured(Configuration newConfiguration, long nowMillis) {
+    public void configurationUpdated(Configuration newConfiguration, long nowMillis) {
         locked(() -> {
             configuration = newConfiguration;
             updateRollouts();
@@ -97,7 +97,7 @@
      * @param newTargets the targets that accept requests
      * @param nowMillis the current time
      */
-    public void targets(List<ListedHost> newTargets, long nowMillis) {
+    public void targetsUpdated(List<ListedHost> newTargets, long nowMillis) {
         locked(() -> {
             if (!newTargets.equals(regionTargets)) {
                 regionTargets = List.copyOf(newTargets);
@@ -137,7 +137,7 @@
      * @param load the report
      * @param nowMillis the current time
      */
-    public void reported(TargetLoad load, long nowMillis) {
+    public void targetReported(TargetLoad load, long nowMillis) {
         locked(() -> {
             reports.put(load.target(), load);
             Option.of(rollouts.get(load.service())).forEach(rollout -> rollout.targetReported(load));
@@ -162,7 +162,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ControlStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
+    public List<ControlAction> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return locked(() -> {
             lease.callReplied(callId, reply, nowMillis);
             return nextActions(nowMillis);
@@ -177,7 +177,7 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ControlStep> answered(long orderId, OrderResult result, long nowMillis) {
+    public List<ControlAction> orderAnswered(long orderId, OrderResult result, long nowMillis) {
         return locked(() -> {
             boolean ofThisLease = orderId / MAX_ORDERS_PER_LEASE == lease.fencingNumber();
             if (result == OrderResult.FENCED && ofThisLease) {
@@ -195,21 +195,21 @@
      * @param nowMillis the current time
      * @return the actions to perform
      */
-    public List<ControlStep> tick(long nowMillis) {
+    public List<ControlAction> tick(long nowMillis) {
         return locked(() -> nextActions(nowMillis));
     }
 
-    private List<ControlStep> nextActions(long nowMillis) {
-        List<ControlStep> actions = new ArrayList<>();
+    private List<ControlAction> nextActions(long nowMillis) {
+        List<ControlAction> actions = new ArrayList<>();
         lease.tick(leaseCandidate, nextCallId, nowMillis)
-                .forEach(command -> actions.add(new ControlStep.CallStore(nextCallId++, command)));
+                .forEach(command -> actions.add(new ControlAction.CallStore(nextCallId++, command)));
         if (lease.canSendOrder(nowMillis)) {
             addDueOrders(actions, nowMillis);
         }
         return actions;
     }
 
-    private void addDueOrders(List<ControlStep> actions, long nowMillis) {
+    private void addDueOrders(List<ControlAction> actions, long nowMillis) {
         if (ordersFencingNumber != lease.fencingNumber()) {
             ordersFencingNumber = lease.fencingNumber();
             orderCount = 0;
@@ -233,7 +233,8 @@
             for (String target : entry.getValue().selectDue(service, MAX_CONCURRENT_LOADS - loading, nowMillis)) {
                 long orderId = ordersFencingNumber * MAX_ORDERS_PER_LEASE + orderCount++;
                 entry.getValue().orderSent(target, orderId, nowMillis);
-                actions.add(new ControlStep.Order(orderId, target, ordersFencingNumber, LOAD, service.wantedVersion()));
+                actions.add(
+                        new ControlAction.Order(orderId, target, ordersFencingNumber, LOAD, service.wantedVersion()));
             }
             loading += entry.getValue().removeCompleted(service) - previouslyLoading;
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Admission.java
@@ -31,11 +31,11 @@
      * @param urgency its urgency; less urgent requests are rejected first
      * @return whether it would be late because of other requests
      */
-    public static boolean shouldRefuse(
+    public static boolean shouldReject(
             double queueWaitMillis, double expectedMillis, long objectiveMillis, Urgency urgency) {
         double ownMillis = expectedMillis - queueWaitMillis;
-        double allowedMillis =
-                Math.max(urgency.patience() * objectiveMillis - ownMillis, MIN_ALLOWED_WAIT_FRACTION * objectiveMillis);
+        double allowedMillis = Math.max(
+                urgency.tolerance() * objectiveMillis - ownMillis, MIN_ALLOWED_WAIT_FRACTION * objectiveMillis);
         return queueWaitMillis > allowedMillis && queueWaitMillis < Double.POSITIVE_INFINITY;
     }
 
@@ -52,7 +52,7 @@
     static boolean delaysTooMuch(
             double queueWaitMillis, double delayCostMillis, long objectiveMillis, Urgency urgency) {
         return delayCostMillis > 0
-                && queueWaitMillis + delayCostMillis > urgency.patience() * objectiveMillis
+                && queueWaitMillis + delayCostMillis > urgency.tolerance() * objectiveMillis
                 && queueWaitMillis < Double.POSITIVE_INFINITY;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerBounds.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerLimits.java
@@ -3,17 +3,17 @@
 /**
  * Limits on the requests and connections of callers. Immutable and thread safe.
  *
- * @param maxHeadBytes the maximum size of a request's header
+ * @param maxHeaderBytes the maximum size of a request's header
  * @param maxBodyBytes the maximum size of a request's body
- * @param headTimeoutMillis the maximum time for sending a header
+ * @param headerTimeoutMillis the maximum time for sending a header
  * @param idleTimeoutMillis how long a connection may be idle between two requests
  */
-public record CallerBounds(int maxHeadBytes, int maxBodyBytes, long headTimeoutMillis, long idleTimeoutMillis) {
+public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
     /** The limits until a configuration is known, equal to the defaults of its format. */
-    public static final CallerBounds DEFAULTS = new CallerBounds(16_384, 4_194_304, 3_000, 15_000);
+    public static final CallerLimits DEFAULTS = new CallerLimits(16_384, 4_194_304, 3_000, 15_000);
 
-    public CallerBounds {
-        if (maxHeadBytes <= 0 || maxBodyBytes < 0 || headTimeoutMillis <= 0 || idleTimeoutMillis <= 0) {
+    public CallerLimits {
+        if (maxHeaderBytes <= 0 || maxBodyBytes < 0 || headerTimeoutMillis <= 0 || idleTimeoutMillis <= 0) {
             throw new IllegalArgumentException("a caller limit is not positive");
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerPlace.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerLocation.java
@@ -11,8 +11,8 @@
  * @param homeRegions the regions that may serve some of its requests, best first; empty if all may serve all
  * @param commonHomes those of them that may serve all of its requests
  */
-public record CallerPlace(String region, String dataCentre, List<String> homeRegions, List<String> commonHomes) {
-    public CallerPlace {
+public record CallerLocation(String region, String dataCentre, List<String> homeRegions, List<String> commonHomes) {
+    public CallerLocation {
         Objects.requireNonNull(region, "region");
         Objects.requireNonNull(dataCentre, "dataCentre");
         homeRegions = List.copyOf(homeRegions);
@@ -26,7 +26,7 @@
      * @param dataCentre its data centre
      * @param homeRegions the regions that may serve its requests, best first; empty if all may serve all
      */
-    public CallerPlace(String region, String dataCentre, List<String> homeRegions) {
+    public CallerLocation(String region, String dataCentre, List<String> homeRegions) {
         this(region, dataCentre, homeRegions, homeRegions);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/HelpOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CatchUpOrder.java
@@ -12,13 +12,13 @@
  * would send it everything at the same moment, some 3 MB over a link that takes 2.4 s for them. Staggered, the first
  * live host sends it, and the others see from its next state report that it has caught up. Stateless and thread safe.
  */
-public final class HelpOrder {
+public final class CatchUpOrder {
     /**
      * A host that has caught up reports it within its next state report, at most half a second later in a large region.
      */
     static final long STAGGER_MILLIS = 300;
 
-    private HelpOrder() {}
+    private CatchUpOrder() {}
 
     /**
      * Returns how long a host waits before it sends.
@@ -28,7 +28,7 @@
      * @param other the host that lacks store contents
      * @return milliseconds; zero for the first host
      */
-    public static long waitMillis(Set<String> hosts, String self, String other) {
+    public static long delayMillis(Set<String> hosts, String self, String other) {
         Set<String> senders = new HashSet<>(hosts);
         senders.add(self);
         senders.remove(other);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
@@ -37,8 +37,8 @@
 
     private final ServiceRule service;
     private final double prefillMillisPerToken;
-    private final Map<GatewayTarget, StreamPace> statsByEngine = new IdentityHashMap<>();
-    private final StreamPace total;
+    private final Map<GatewayTarget, StreamStats> statsByEngine = new IdentityHashMap<>();
+    private final StreamStats total;
     private final double minInterTokenMillis;
     private final Set<GatewayTarget> reserved;
 
@@ -46,17 +46,17 @@
             List<GatewayTarget> engines, ServiceRule service, double prefillMillisPerToken, long nowMillis) {
         this.service = service;
         this.prefillMillisPerToken = prefillMillisPerToken;
-        StreamPace sum = StreamPace.NONE;
+        StreamStats sum = StreamStats.NONE;
         double minMillis = Double.MAX_VALUE;
         for (GatewayTarget engine : engines) {
-            StreamPace stats = engine.streams().all(nowMillis);
+            StreamStats stats = engine.streams().totalStats(nowMillis);
             statsByEngine.put(engine, stats);
             sum = sum.plus(stats);
-            minMillis = stats.isKnown() ? Math.min(minMillis, stats.millis()) : minMillis;
+            minMillis = stats.isKnown() ? Math.min(minMillis, stats.meanInterTokenMillis()) : minMillis;
         }
         total = sum;
         minInterTokenMillis = sum.isKnown() ? minMillis : 0;
-        reserved = total.behind() == 0 ? Set.of() : reserved(engines, service);
+        reserved = total.lagging() == 0 ? Set.of() : reserved(engines, service);
     }
 
     /**
@@ -75,15 +75,15 @@
 
     /** Returns the mean time between two events of a stream at an engine. */
     double interTokenMillis(GatewayTarget engine) {
-        StreamPace stats = statsByEngine.get(engine);
+        StreamStats stats = statsByEngine.get(engine);
         if (stats.isKnown()) {
-            return stats.millis();
+            return stats.meanInterTokenMillis();
         }
-        return isIdle(engine) ? minInterTokenMillis : total.millis();
+        return isIdle(engine) ? minInterTokenMillis : total.meanInterTokenMillis();
     }
 
     private static boolean isIdle(GatewayTarget engine) {
-        return engine.all().requests() == 0;
+        return engine.totalWork().requests() == 0;
     }
 
     /** Returns the mean time between two events at the best quarter of the engines; zero if none is known. */
@@ -97,7 +97,7 @@
 
     /** Returns the time that prefilling a token takes from lagging streams, at a mean engine. */
     double delayCostMillisPerToken() {
-        return statsByEngine.isEmpty() ? 0 : prefillMillisPerToken * total.behind() / statsByEngine.size();
+        return statsByEngine.isEmpty() ? 0 : prefillMillisPerToken * total.lagging() / statsByEngine.size();
     }
 
     /** Estimates by how much a stream would exceed its time at an engine. */
@@ -127,7 +127,7 @@
      * Returns the time that prefilling so many tokens takes from the lagging streams of an engine, summed over them.
      */
     double delayCostMillis(GatewayTarget engine, double tokens) {
-        return tokens * prefillMillisPerToken * statsByEngine.get(engine).behind();
+        return tokens * prefillMillisPerToken * statsByEngine.get(engine).lagging();
     }
 
     /**
@@ -138,7 +138,7 @@
         if (!reserved.contains(engine) || isIdle(engine)) {
             return 0;
         }
-        double pressure = Math.min(1, total.behind() / (MAX_LAGGING_PER_ENGINE * statsByEngine.size()));
+        double pressure = Math.min(1, total.lagging() / (MAX_LAGGING_PER_ENGINE * statsByEngine.size()));
         return RESERVED_COST_FACTOR * pressure * tokens * prefillMillisPerToken;
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryChange.java
@@ -8,15 +8,15 @@
  * The result of applying a target's entry. Immutable and thread safe.
  *
  * @param changed the target that is new or newly leaving, or none
- * @param ended the earlier incarnation that has terminated, or none
+ * @param terminated the earlier incarnation that has terminated, or none
  */
-public record EntryChange(Option<GatewayTarget> changed, Option<GatewayTarget> ended) {
+public record EntryChange(Option<GatewayTarget> changed, Option<GatewayTarget> terminated) {
     /** The entry changed neither. */
     static final EntryChange NONE = new EntryChange(Option.none(), Option.none());
 
     public EntryChange {
         Objects.requireNonNull(changed, "changed");
-        Objects.requireNonNull(ended, "ended");
+        Objects.requireNonNull(terminated, "ended");
     }
 
     static EntryChange of(GatewayTarget changed) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CallerDirectory.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryHostDirectory.java
@@ -17,7 +17,7 @@
  * serve all of its requests, and to any other only if those regions have had no host for a while. A host that is about
  * to shut down is listed only where no other may be. Confined to its owner's thread.
  */
-public final class CallerDirectory {
+public final class EntryHostDirectory {
     /** Maximum number of hosts that a caller receives. */
     static final int MAX_ADDRESSES = 64;
 
@@ -32,7 +32,7 @@
     private final Map<String, Long> regionSeenAtMillis = new HashMap<>();
     private final long startedAtMillis;
 
-    private CallerDirectory(long startedAtMillis) {
+    private EntryHostDirectory(long startedAtMillis) {
         this.startedAtMillis = startedAtMillis;
     }
 
@@ -42,8 +42,8 @@
      * @param nowMillis the time
      * @return the directory
      */
-    public static CallerDirectory of(long nowMillis) {
-        return new CallerDirectory(nowMillis);
+    public static EntryHostDirectory of(long nowMillis) {
+        return new EntryHostDirectory(nowMillis);
     }
 
     /**
@@ -53,9 +53,9 @@
      * @param hosts the hosts that accept work
      * @param nowMillis the time
      */
-    public void saw(Collection<GatewayHost> hosts, long nowMillis) {
+    public void recordHosts(Collection<GatewayHost> hosts, long nowMillis) {
         for (GatewayHost host : hosts) {
-            regionSeenAtMillis.put(host.place().region(), nowMillis);
+            regionSeenAtMillis.put(host.location().region(), nowMillis);
         }
     }
 
@@ -67,7 +67,7 @@
      * @param nowMillis the time
      * @return the addresses; empty if the caller should ask another host, or later
      */
-    public List<String> list(Collection<GatewayHost> hosts, Option<CallerPlace> location, long nowMillis) {
+    public List<String> list(Collection<GatewayHost> hosts, Option<CallerLocation> location, long nowMillis) {
         return list(hosts, List.of(), location, nowMillis);
     }
 
@@ -83,16 +83,16 @@
     public List<String> list(
             Collection<GatewayHost> hosts,
             Collection<GatewayHost> closing,
-            Option<CallerPlace> location,
+            Option<CallerLocation> location,
             long nowMillis) {
-        saw(hosts, nowMillis);
-        saw(closing, nowMillis);
+        recordHosts(hosts, nowMillis);
+        recordHosts(closing, nowMillis);
         if (location.isEmpty()) {
             // A host that has just started may know other hosts before it knows the configuration. Without its home
             // regions, every host would seem suitable for every caller.
             return List.of();
         }
-        CallerPlace caller = location.get();
+        CallerLocation caller = location.get();
         List<Predicate<GatewayHost>> suitable = suitableFor(caller);
         // A host that is about to shut down is worth a new connection only to callers whose data must not go elsewhere;
         // others keep their connections while no host accepts callers.
@@ -106,11 +106,11 @@
     }
 
     /** Returns which hosts may serve all requests of a caller, best first. */
-    private static List<Predicate<GatewayHost>> suitableFor(CallerPlace caller) {
+    private static List<Predicate<GatewayHost>> suitableFor(CallerLocation caller) {
         List<Predicate<GatewayHost>> choices = new ArrayList<>();
-        choices.add(host -> host.place().dataCentre().equals(caller.dataCentre())
-                && host.place().region().equals(caller.region()));
-        choices.add(host -> host.place().region().equals(caller.region()));
+        choices.add(host -> host.location().dataCentre().equals(caller.dataCentre())
+                && host.location().region().equals(caller.region()));
+        choices.add(host -> host.location().region().equals(caller.region()));
         choices.addAll(inRegions(caller.commonHomes()));
         if (caller.homeRegions().isEmpty()) {
             choices.add(host -> true);
@@ -121,11 +121,11 @@
     private static List<Predicate<GatewayHost>> inRegions(List<String> regions) {
         return regions.stream()
                 .<Predicate<GatewayHost>>map(
-                        home -> host -> host.place().region().equals(home))
+                        home -> host -> host.location().region().equals(home))
                 .toList();
     }
 
-    private boolean werePresentRecently(CallerPlace caller, long nowMillis) {
+    private boolean werePresentRecently(CallerLocation caller, long nowMillis) {
         return Stream.concat(Stream.of(caller.region()), caller.commonHomes().stream())
                 .anyMatch(region ->
                         nowMillis - regionSeenAtMillis.getOrDefault(region, startedAtMillis) < ABSENCE_TIMEOUT_MILLIS);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ForwardDelay.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ForwardDelay.java
@@ -21,7 +21,7 @@
      * @param roundTripMillis the usual network round trip
      * @return milliseconds beyond half of the usual round trip; never negative
      */
-    public static long millis(long nowMillis, long echoedMillis, long echoAgeMillis, double roundTripMillis) {
+    public static long delayMillis(long nowMillis, long echoedMillis, long echoAgeMillis, double roundTripMillis) {
         if (echoedMillis == 0) {
             return 0;
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayConfiguration.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayConfiguration.java
@@ -21,17 +21,17 @@
     private final long version;
     private final Map<String, List<RouteRule>> routesByHostName;
     private final Map<String, ServiceRule> services;
-    private final CallerBounds bounds;
+    private final CallerLimits callerLimits;
 
     private GatewayConfiguration(
             long version,
             Map<String, List<RouteRule>> routesByHostName,
             Map<String, ServiceRule> services,
-            CallerBounds limits) {
+            CallerLimits limits) {
         this.version = version;
         this.routesByHostName = routesByHostName;
         this.services = services;
-        this.bounds = limits;
+        this.callerLimits = limits;
     }
 
     /**
@@ -44,7 +44,7 @@
      * @return the configuration
      */
     public static GatewayConfiguration of(
-            long version, List<RouteRule> routes, List<ServiceRule> services, CallerBounds limits) {
+            long version, List<RouteRule> routes, List<ServiceRule> services, CallerLimits limits) {
         Map<String, List<RouteRule>> byHostName = new HashMap<>();
         for (RouteRule route : routes) {
             byHostName
@@ -65,23 +65,23 @@
      * @param residencies the regions that each rule allows
      * @return the configuration with the rules applied
      */
-    public GatewayConfiguration within(Map<String, Set<String>> residencies) {
+    public GatewayConfiguration restrictedTo(Map<String, Set<String>> residencies) {
         if (residencies.isEmpty()) {
             return this;
         }
         Map<String, List<RouteRule>> narrowed = new HashMap<>();
         routesByHostName.forEach((hostName, routes) -> narrowed.put(
                 hostName,
-                routes.stream().map(route -> within(route, residencies)).toList()));
-        return new GatewayConfiguration(version, narrowed, services, bounds);
+                routes.stream().map(route -> restrictedTo(route, residencies)).toList()));
+        return new GatewayConfiguration(version, narrowed, services, callerLimits);
     }
 
-    private static RouteRule within(RouteRule route, Map<String, Set<String>> residencies) {
+    private static RouteRule restrictedTo(RouteRule route, Map<String, Set<String>> residencies) {
         RouteRule narrowed =
-                residencies.containsKey(route.name()) ? route.within(residencies.get(route.name())) : route;
+                residencies.containsKey(route.name()) ? route.restrictedTo(residencies.get(route.name())) : route;
         for (WeightedService service : route.services()) {
             if (residencies.containsKey(service.service())) {
-                narrowed = narrowed.within(residencies.get(service.service()));
+                narrowed = narrowed.restrictedTo(residencies.get(service.service()));
             }
         }
         return narrowed;
@@ -101,8 +101,8 @@
      *
      * @return the limits
      */
-    public CallerBounds bounds() {
-        return bounds;
+    public CallerLimits callerLimits() {
+        return callerLimits;
     }
 
     /**
@@ -169,7 +169,7 @@
      *
      * @return the home regions by the routes' names
      */
-    public Map<String, Set<String>> homes() {
+    public Map<String, Set<String>> homeRegionsByRoute() {
         Map<String, Set<String>> homes = new TreeMap<>();
         routesByHostName.values().forEach(routes -> routes.stream()
                 .filter(route -> !route.homeRegions().isEmpty())
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
@@ -9,14 +9,14 @@
  *
  * @param name its name
  * @param incarnation the identifier of this incarnation of its process
- * @param place its location
+ * @param location its location
  * @param callerAddress the address for callers, IP:PORT
  * @param peerAddress the address for other hosts, IP:PORT
  */
-public record GatewayHost(String name, long incarnation, Place place, String callerAddress, String peerAddress) {
+public record GatewayHost(String name, long incarnation, Place location, String callerAddress, String peerAddress) {
     public GatewayHost {
         Objects.requireNonNull(name, "name");
-        Objects.requireNonNull(place, "place");
+        Objects.requireNonNull(location, "place");
         Objects.requireNonNull(callerAddress, "callerAddress");
         Objects.requireNonNull(peerAddress, "peerAddress");
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
@@ -28,14 +28,14 @@
 
     private static final long SECOND_MILLIS = 1_000;
 
-    private final TargetRun run;
-    private final String runText;
+    private final TargetIncarnation incarnation;
+    private final String incarnationText;
     private final long idHash;
     private final TargetHealth health = new TargetHealth();
     private final CachedPromptParts cachedParts = new CachedPromptParts();
     private final TargetStreams streams = new TargetStreams();
     private final SlidingWindowCounter coldSends = new SlidingWindowCounter(SECOND_MILLIS);
-    private final Map<String, SentWork> workByHost = new HashMap<>();
+    private final Map<String, InFlightWork> workByHost = new HashMap<>();
     private TargetEntry entry;
     private boolean leaving;
     private boolean terminated;
@@ -44,15 +44,15 @@
     private long missingSinceMillis = -1;
     private long lastActivityMillis;
     private long backOffUntilMillis;
-    private SentWork own = SentWork.NONE;
+    private InFlightWork ownWork = InFlightWork.NONE;
 
     /** The sum of all hosts' work, maintained incrementally as each choice reads it for each target. */
-    private SentWork all = SentWork.NONE;
+    private InFlightWork totalWork = InFlightWork.NONE;
 
     GatewayTarget(TargetEntry entry, long nowMillis) {
-        run = entry.run();
-        runText = run.text();
-        idHash = Rendezvous.hash(run.id());
+        incarnation = entry.incarnation();
+        incarnationText = incarnation.text();
+        idHash = Rendezvous.hash(incarnation.id());
         lastActivityMillis = nowMillis;
         update(entry, nowMillis);
     }
@@ -63,7 +63,7 @@
      * @return the identifier, which a later incarnation of the target may share
      */
     public String id() {
-        return run.id();
+        return incarnation.id();
     }
 
     /**
@@ -71,8 +71,8 @@
      *
      * @return which incarnation of the target this is
      */
-    public TargetRun run() {
-        return run;
+    public TargetIncarnation incarnation() {
+        return incarnation;
     }
 
     /**
@@ -80,8 +80,8 @@
      *
      * @return the text
      */
-    public String runText() {
-        return runText;
+    public String incarnationText() {
+        return incarnationText;
     }
 
     /**
@@ -98,8 +98,8 @@
      *
      * @return the work
      */
-    public SentWork own() {
-        return own;
+    public InFlightWork ownWork() {
+        return ownWork;
     }
 
     /**
@@ -107,8 +107,8 @@
      *
      * @return the work
      */
-    public SentWork all() {
-        return all;
+    public InFlightWork totalWork() {
+        return totalWork;
     }
 
     /**
@@ -130,7 +130,7 @@
     }
 
     /** Marks it as leaving, which is final. */
-    public void leave() {
+    public void markLeaving() {
         leaving = true;
     }
 
@@ -139,12 +139,12 @@
      *
      * @return whether it has
      */
-    public boolean hasEnded() {
+    public boolean isTerminated() {
         return terminated;
     }
 
     void markTerminated() {
-        leave();
+        markLeaving();
         terminated = true;
     }
 
@@ -198,7 +198,7 @@
     }
 
     boolean isHealthy(long nowMillis) {
-        return health.isHealthy(own.requests(), nowMillis);
+        return health.isHealthy(ownWork.requests(), nowMillis);
     }
 
     /**
@@ -207,7 +207,7 @@
      * @param nowMillis the time
      * @return whether it is unresponsive
      */
-    public boolean isSilent(long nowMillis) {
+    public boolean isUnresponsive(long nowMillis) {
         return nowMillis - lastActivityMillis > ACTIVITY_TIMEOUT_MILLIS;
     }
 
@@ -218,7 +218,7 @@
      * @return the tokens that are not assumed to be cached
      */
     public int uncachedTokens(Work work) {
-        return Math.max(0, work.promptTokens() - cachedParts.cachedTokens(work.parts()));
+        return Math.max(0, work.promptTokens() - cachedParts.cachedTokens(work.promptParts()));
     }
 
     /** Returns how many tokens of a prompt's shared parts are assumed to be cached. */
@@ -232,7 +232,7 @@
     }
 
     double kvCacheShortfallTokens(Work work, long kvCacheTokens) {
-        return all().memoryTokens() + work.ownTokens() - USABLE_KV_CACHE_FRACTION * kvCacheTokens;
+        return totalWork().kvCacheTokens() + work.exclusiveTokens() - USABLE_KV_CACHE_FRACTION * kvCacheTokens;
     }
 
     /**
@@ -243,17 +243,18 @@
      * @param nowMillis the time
      * @return the work to be passed to {@link #release}
      */
-    public SentWork reserve(Work work, long kvCacheTokens, long nowMillis) {
+    public InFlightWork reserve(Work work, long kvCacheTokens, long nowMillis) {
         return reserve(work, uncachedTokens(work), kvCacheTokens, nowMillis);
     }
 
-    SentWork reserve(Work work, int prefillTokens, long kvCacheTokens, long nowMillis) {
-        SentWork sent = new SentWork(1, WaitingTokens.of(work.urgency(), prefillTokens), work.ownTokens());
-        if (own.requests() == 0) {
+    InFlightWork reserve(Work work, int prefillTokens, long kvCacheTokens, long nowMillis) {
+        InFlightWork sent =
+                new InFlightWork(1, PrefillBacklog.of(work.urgency(), prefillTokens), work.exclusiveTokens());
+        if (ownWork.requests() == 0) {
             // An idle target sends nothing: it can be unresponsive only from the first request on.
             lastActivityMillis = Math.max(lastActivityMillis, nowMillis);
         }
-        cachedParts.recordSent(work.parts(), (long) (PREFIX_CACHE_FRACTION * kvCacheTokens));
+        cachedParts.recordSent(work.promptParts(), (long) (PREFIX_CACHE_FRACTION * kvCacheTokens));
         if (isCold(nowMillis)) {
             coldSends.add(nowMillis);
         }
@@ -267,8 +268,8 @@
      * @param sent the reserved work
      * @return the remaining work to be passed to {@link #release}
      */
-    public SentWork started(SentWork sent) {
-        SentWork left = new SentWork(sent.requests(), WaitingTokens.NONE, sent.memoryTokens());
+    public InFlightWork prefillCompleted(InFlightWork sent) {
+        InFlightWork left = new InFlightWork(sent.requests(), PrefillBacklog.NONE, sent.kvCacheTokens());
         release(sent);
         addOwnWork(left);
         return left;
@@ -279,14 +280,14 @@
      *
      * @param sent the reserved work that remains
      */
-    public void release(SentWork sent) {
-        own = own.minus(sent);
-        all = all.minus(sent);
+    public void release(InFlightWork sent) {
+        ownWork = ownWork.minus(sent);
+        totalWork = totalWork.minus(sent);
     }
 
-    private void addOwnWork(SentWork sent) {
-        own = own.plus(sent);
-        all = all.plus(sent);
+    private void addOwnWork(InFlightWork sent) {
+        ownWork = ownWork.plus(sent);
+        totalWork = totalWork.plus(sent);
     }
 
     /**
@@ -295,10 +296,10 @@
      * @param host the other host
      * @param sent its work in flight
      */
-    public void sentByOther(String host, SentWork sent) {
-        SentWork previous = sent.requests() == 0 ? workByHost.remove(host) : workByHost.put(host, sent);
-        SentWork current = sent.requests() == 0 ? SentWork.NONE : sent;
-        all = all.plus(current).minus(previous == null ? SentWork.NONE : previous);
+    public void updateWorkOfHost(String host, InFlightWork sent) {
+        InFlightWork previous = sent.requests() == 0 ? workByHost.remove(host) : workByHost.put(host, sent);
+        InFlightWork current = sent.requests() == 0 ? InFlightWork.NONE : sent;
+        totalWork = totalWork.plus(current).minus(previous == null ? InFlightWork.NONE : previous);
     }
 
     /**
@@ -308,9 +309,9 @@
      * @param sent its work in flight
      * @param stats the statistics of its streams
      */
-    public void toldByOther(String host, SentWork sent, StreamPace stats) {
-        sentByOther(host, sent);
-        streams.toldByOther(host, stats);
+    public void updateFromHost(String host, InFlightWork sent, StreamStats stats) {
+        updateWorkOfHost(host, sent);
+        streams.updateFromHost(host, stats);
     }
 
     /**
@@ -318,7 +319,7 @@
      *
      * @param nowMillis the time
      */
-    public void heard(long nowMillis) {
+    public void recordActivity(long nowMillis) {
         lastActivityMillis = nowMillis;
     }
 
@@ -328,7 +329,7 @@
      * @param millis the time
      * @param nowMillis the time of the second event
      */
-    public void eventAfter(double millis, long nowMillis) {
+    public void recordEventInterval(double millis, long nowMillis) {
         streams.recordEventInterval(millis, nowMillis);
     }
 
@@ -342,7 +343,7 @@
     }
 
     /** Records an answer that was not a failure of the target. */
-    public void succeeded() {
+    public void recordSuccess() {
         health.recordSuccess();
     }
 
@@ -351,7 +352,7 @@
      *
      * @param nowMillis the time
      */
-    public void failed(long nowMillis) {
+    public void recordFailure(long nowMillis) {
         health.recordFailure(nowMillis);
     }
 
@@ -360,7 +361,7 @@
      *
      * @param nowMillis the time
      */
-    public void unreachable(long nowMillis) {
+    public void recordUnreachable(long nowMillis) {
         health.recordUnreachable(nowMillis);
     }
 
@@ -370,7 +371,7 @@
      * @param backOffMillis how long this host sends it nothing
      * @param nowMillis the time
      */
-    public void full(long backOffMillis, long nowMillis) {
+    public void backOff(long backOffMillis, long nowMillis) {
         backOffUntilMillis = nowMillis + backOffMillis;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/SentRequest.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/InFlightRequest.java
@@ -5,7 +5,7 @@
  *
  * <p>Invariant: what it reserves at the target is released once. Confined to its owner's thread.
  */
-public final class SentRequest {
+public final class InFlightRequest {
     /**
      * Fraction of its time that a stream should not need: its last events and the network round trip take some of it.
      */
@@ -29,27 +29,28 @@
     private final double prefillMillis;
     private final double expectedTokens;
     private final double expectedCapacityWaitMillis;
-    private SentWork reserved;
+    private InFlightWork reserved;
     private boolean started;
     private long startedAtMillis;
     private long lastEventAtMillis;
     private int events;
     private boolean released;
 
-    private SentRequest(TargetChooser chooser, Choice choice, ServiceRule service, Work work, long nowMillis) {
+    private InFlightRequest(
+            TargetChooser chooser, TargetChoice choice, ServiceRule service, Work work, long nowMillis) {
         target = choice.target();
         this.service = service;
         this.work = work;
-        model = chooser.model(service.name());
+        model = chooser.latencyModel(service.name());
         sentAtMillis = nowMillis;
-        requestsAhead = target.all().requests();
-        prefillMillis = service.isModel() ? choice.readTokens() * model.readMillisPerToken(nowMillis) : 0;
+        requestsAhead = target.totalWork().requests();
+        prefillMillis = service.isModel() ? choice.prefillTokens() * model.prefillMillisPerToken(nowMillis) : 0;
         if (service.isModel()) {
-            model.promptSent(choice.readTokens(), work.urgency());
+            model.recordPromptSent(choice.prefillTokens(), work.urgency());
         }
-        expectedTokens = target.all().waiting().ahead(work.urgency()) + (double) choice.readTokens();
-        expectedCapacityWaitMillis = service.isModel() ? chooser.roomMillis(target, service, work) : 0;
-        reserved = target.reserve(work, choice.readTokens(), service.memoryTokens(), nowMillis);
+        expectedTokens = target.totalWork().prefillBacklog().ahead(work.urgency()) + (double) choice.prefillTokens();
+        expectedCapacityWaitMillis = service.isModel() ? chooser.capacityWaitMillis(target, service, work) : 0;
+        reserved = target.reserve(work, choice.prefillTokens(), service.kvCacheTokens(), nowMillis);
     }
 
     /**
@@ -62,8 +63,9 @@
      * @param nowMillis the time
      * @return the request in flight
      */
-    public static SentRequest of(TargetChooser chooser, Choice choice, ServiceRule service, Work work, long nowMillis) {
-        return new SentRequest(chooser, choice, service, work, nowMillis);
+    public static InFlightRequest of(
+            TargetChooser chooser, TargetChoice choice, ServiceRule service, Work work, long nowMillis) {
+        return new InFlightRequest(chooser, choice, service, work, nowMillis);
     }
 
     /**
@@ -71,7 +73,7 @@
      *
      * @return whether its prompt takes long to prefill
      */
-    public boolean isLarge() {
+    public boolean isLargePrefill() {
         return prefillMillis >= LARGE_PREFILL_MILLIS;
     }
 
@@ -81,9 +83,9 @@
      * @param success whether it belongs to a successful answer
      * @param nowMillis the time
      */
-    public void part(boolean success, long nowMillis) {
+    public void recordEvent(boolean success, long nowMillis) {
         if (started && service.isModel()) {
-            target.eventAfter(nowMillis - (double) lastEventAtMillis, nowMillis);
+            target.recordEventInterval(nowMillis - (double) lastEventAtMillis, nowMillis);
         }
         lastEventAtMillis = nowMillis;
         events++;
@@ -91,11 +93,11 @@
             return;
         }
         started = true;
-        reserved = target.started(reserved);
+        reserved = target.prefillCompleted(reserved);
         if (success && service.isModel()) {
             startedAtMillis = nowMillis;
             target.streams().add(this);
-            model.firstEventTook(
+            model.recordFirstEvent(
                     expectedTokens, work.urgency(), nowMillis - sentAtMillis - expectedCapacityWaitMillis, nowMillis);
         }
     }
@@ -106,11 +108,11 @@
      * @param success whether the answer is successful
      * @param nowMillis the time
      */
-    public void ended(boolean success, long nowMillis) {
+    public void recordEnd(boolean success, long nowMillis) {
         if (success && service.isModel()) {
-            model.generationTook(nowMillis - (double) startedAtMillis);
+            model.recordDecode(nowMillis - (double) startedAtMillis);
         } else if (success) {
-            model.answerTook(requestsAhead, target.slots(), nowMillis - (double) sentAtMillis);
+            model.recordAnswer(requestsAhead, target.slots(), nowMillis - (double) sentAtMillis);
         }
         release();
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LatencyModel.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LatencyModel.java
@@ -59,7 +59,7 @@
 
     private final Map<Urgency, Double> millisPerToken = new EnumMap<>(Urgency.class);
     private final Map<Urgency, Long> observedAtMillis = new EnumMap<>(Urgency.class);
-    private final Map<Urgency, Double> usualTokens = new EnumMap<>(Urgency.class);
+    private final Map<Urgency, Double> meanPrefillTokens = new EnumMap<>(Urgency.class);
     private double meanDecodeMillis = INITIAL_DECODE_MILLIS;
     private double meanAnswerMillis = INITIAL_ANSWER_MILLIS;
 
@@ -79,7 +79,8 @@
      * @param usedKvCacheTokens the KV cache tokens that running requests hold
      * @return milliseconds
      */
-    public double roomMillis(int missingSlots, int slots, double missingKvCacheTokens, double usedKvCacheTokens) {
+    public double capacityWaitMillis(
+            int missingSlots, int slots, double missingKvCacheTokens, double usedKvCacheTokens) {
         // Requests end evenly over their mean time, and each end frees a slot and its share of the memory.
         double slotMillis = Math.max(0, missingSlots) * meanDecodeMillis / Math.max(1, slots);
         double kvCacheMillis =
@@ -120,9 +121,9 @@
      * @param tokens the tokens to be prefilled
      * @param urgency its urgency
      */
-    public void promptSent(int tokens, Urgency urgency) {
-        double previous = usualTokens.getOrDefault(urgency, (double) tokens);
-        usualTokens.put(urgency, previous + SMOOTHING * (tokens - previous));
+    public void recordPromptSent(int tokens, Urgency urgency) {
+        double previous = meanPrefillTokens.getOrDefault(urgency, (double) tokens);
+        meanPrefillTokens.put(urgency, previous + SMOOTHING * (tokens - previous));
     }
 
     /**
@@ -131,8 +132,8 @@
      * @param urgency the urgency
      * @return tokens; unbounded if no prompt of the urgency has been sent
      */
-    public double usualTokens(Urgency urgency) {
-        return usualTokens.getOrDefault(urgency, Double.MAX_VALUE);
+    public double meanPrefillTokens(Urgency urgency) {
+        return meanPrefillTokens.getOrDefault(urgency, Double.MAX_VALUE);
     }
 
     /**
@@ -141,7 +142,7 @@
      * @param nowMillis the time
      * @return milliseconds, that of the least delayed urgency
      */
-    public double readMillisPerToken(long nowMillis) {
+    public double prefillMillisPerToken(long nowMillis) {
         double minMillis = Double.MAX_VALUE;
         for (Urgency urgency : Urgency.values()) {
             minMillis = Math.min(minMillis, millisPerToken(urgency, nowMillis));
@@ -170,7 +171,7 @@
      * @param nowMillis the time
      * @return milliseconds
      */
-    public double perUnitMillis(boolean isModel, Urgency urgency, int slots, long nowMillis) {
+    public double millisPerWorkUnit(boolean isModel, Urgency urgency, int slots, long nowMillis) {
         return isModel ? millisPerToken(urgency, nowMillis) : meanAnswerMillis / Math.max(1, slots);
     }
 
@@ -182,7 +183,7 @@
      * @param elapsedMillis the time to the event, less the expected wait for capacity
      * @param nowMillis the time
      */
-    public void firstEventTook(double tokens, Urgency urgency, double elapsedMillis, long nowMillis) {
+    public void recordFirstEvent(double tokens, Urgency urgency, double elapsedMillis, long nowMillis) {
         if (tokens < MIN_OBSERVED_TOKENS) {
             return;
         }
@@ -200,7 +201,7 @@
      *
      * @param elapsedMillis the time from its first event to its end
      */
-    public void generationTook(double elapsedMillis) {
+    public void recordDecode(double elapsedMillis) {
         meanDecodeMillis += SMOOTHING * (elapsedMillis - meanDecodeMillis);
     }
 
@@ -211,7 +212,7 @@
      * @param slots the requests that the target processes concurrently
      * @param elapsedMillis the time to the answer
      */
-    public void answerTook(int requestsAhead, int slots, double elapsedMillis) {
+    public void recordAnswer(int requestsAhead, int slots, double elapsedMillis) {
         if (requestsAhead < slots) {
             meanAnswerMillis += SMOOTHING * (elapsedMillis - meanAnswerMillis);
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkShare.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LinkRateLimiter.java
@@ -6,14 +6,14 @@
  * <p>Invariant: in any time span, no more bytes are counted than the share allows in it and {@link #BURST_MILLIS}, plus
  * one count. Confined to one thread.
  */
-public final class LinkShare {
+public final class LinkRateLimiter {
     /** Interval between transfer steps; each step transfers the bytes of the time until the next one. */
     static final long BURST_MILLIS = 50;
 
     private final double bytesPerMilli;
     private double freeAtMillis = Double.NEGATIVE_INFINITY;
 
-    private LinkShare(double bytesPerMilli) {
+    private LinkRateLimiter(double bytesPerMilli) {
         this.bytesPerMilli = bytesPerMilli;
     }
 
@@ -24,12 +24,12 @@
      * @param share the fraction of it, above 0 and at most 1
      * @return the limiter
      */
-    public static LinkShare of(double linkBytesPerMilli, double share) {
+    public static LinkRateLimiter of(double linkBytesPerMilli, double share) {
         if (!(linkBytesPerMilli > 0) || !(share > 0) || share > 1) {
             throw new IllegalArgumentException(
                     "invalid link share " + share + " of " + linkBytesPerMilli + " bytes/ms");
         }
-        return new LinkShare(linkBytesPerMilli * share);
+        return new LinkRateLimiter(linkBytesPerMilli * share);
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/LongestTimes.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/MaxDurations.java
@@ -10,7 +10,7 @@
  * duration is not sufficient where an answer must not be interrupted: streams beside many prompts take several times as
  * long. Confined to its owner's thread.
  */
-public final class LongestTimes {
+public final class MaxDurations {
     /** Longer than a burst or a restart of targets; a kind that is in use at all is observed within it. */
     static final long WINDOW_MILLIS = 5_000;
 
@@ -23,7 +23,7 @@
      * @param millis its duration, so far if it is still in flight
      * @param nowMillis the time
      */
-    public void took(String kind, long millis, long nowMillis) {
+    public void record(String kind, long millis, long nowMillis) {
         Window window = windowsByKind.computeIfAbsent(kind, each -> new Window(nowMillis));
         window.advance(nowMillis);
         window.currentMaxMillis = Math.max(window.currentMaxMillis, millis);
@@ -36,7 +36,7 @@
      * @param nowMillis the time
      * @return milliseconds, or none if none has ended in that time
      */
-    public Option<Long> longestMillis(String kind, long nowMillis) {
+    public Option<Long> maxMillis(String kind, long nowMillis) {
         return Option.of(windowsByKind.get(kind))
                 .peek(window -> window.advance(nowMillis))
                 .map(window -> Math.max(window.currentMaxMillis, window.previousMaxMillis))
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanisms.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanisms.java
@@ -5,14 +5,14 @@
 /**
  * The mechanisms in use. Immutable and thread safe.
  *
- * @param without the mechanisms that are switched off
+ * @param disabled the mechanisms that are switched off
  */
-public record Mechanisms(Set<Mechanism> without) {
+public record Mechanisms(Set<Mechanism> disabled) {
     /** All mechanisms, the default. */
     public static final Mechanisms ALL = new Mechanisms(Set.of());
 
     public Mechanisms {
-        without = Set.copyOf(without);
+        disabled = Set.copyOf(disabled);
     }
 
     /**
@@ -21,7 +21,7 @@
      * @param mechanism the mechanism
      * @return whether it is
      */
-    public boolean uses(Mechanism mechanism) {
-        return !without.contains(mechanism);
+    public boolean isEnabled(Mechanism mechanism) {
+        return !disabled.contains(mechanism);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/OtherHosts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PeerAvailability.java
@@ -1,9 +1,9 @@
 package org.rattanplank.core.gateway;
 
 /** The availability of the other hosts of a region while one of them shuts down. Immutable and thread safe. */
-public enum OtherHosts {
+public enum PeerAvailability {
     /** One accepts work, or will for longer than the host that shuts down could. */
-    TAKE {
+    ACCEPTING {
         @Override
         long acceptUntilMillis(long closeMillis) {
             return 0;
@@ -11,7 +11,7 @@
     },
 
     /** None accepts work, but there are some, and the first that is back will. */
-    AWAY {
+    UNAVAILABLE {
         @Override
         long acceptUntilMillis(long closeMillis) {
             return closeMillis - MIN_REMAINING_MILLIS;
@@ -22,7 +22,7 @@
     NONE {
         @Override
         long acceptUntilMillis(long closeMillis) {
-            return StopPlan.MIN_SERVE_MILLIS;
+            return ShutdownPlan.MIN_SERVE_MILLIS;
         }
     };
 
@@ -45,12 +45,12 @@
      * @param ownAcceptMillis the time for which this host could
      * @return the availability
      */
-    public static OtherHosts of(
+    public static PeerAvailability of(
             boolean hasPeers, boolean peerAcceptsCallers, long maxPeerAcceptMillis, long ownAcceptMillis) {
         if (peerAcceptsCallers || maxPeerAcceptMillis > ownAcceptMillis + COMPARISON_MARGIN_MILLIS) {
-            return TAKE;
+            return ACCEPTING;
         }
-        return hasPeers ? AWAY : NONE;
+        return hasPeers ? UNAVAILABLE : NONE;
     }
 
     /** Returns until when after the start of a shutdown the host accepts work in place of the others. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Placement.java
@@ -12,16 +12,16 @@
  * share is one only if no other is left. Confined to its owner's thread.
  */
 public final class Placement {
-    private final Demand request;
+    private final PlacementRequest request;
     private final String ownRegion;
     private final Mechanisms mechanisms;
-    private final Option<Choice> local;
-    private final double localMillis;
-    private final Map<String, Outlook> remoteEstimates = new HashMap<>();
+    private final Option<TargetChoice> localChoice;
+    private final double localCostMillis;
+    private final Map<String, ServiceEstimate> remoteEstimates = new HashMap<>();
 
     private Placement(
-            Demand request,
-            Surroundings clusterView,
+            PlacementRequest request,
+            ClusterView clusterView,
             TargetChooser chooser,
             RegionLoads loads,
             Mechanisms mechanisms,
@@ -29,18 +29,18 @@
         this.request = request;
         this.mechanisms = mechanisms;
         ownRegion = clusterView.ownRegion();
-        local = request.route().allows(ownRegion)
-                ? chooser.choose(request, clusterView.hosts(), nowMillis)
+        localChoice = request.route().allows(ownRegion)
+                ? chooser.choose(request, clusterView.regionView(), nowMillis)
                 : Option.none();
-        localMillis = clusterView.beyondShare().contains(ownRegion)
+        localCostMillis = clusterView.overShare().contains(ownRegion)
                 ? Double.POSITIVE_INFINITY
-                : local.map(choice -> choice.outlook().costMillis()).getOrElse(Double.POSITIVE_INFINITY);
-        clusterView.wayMillis().forEach((region, roundTripMillis) -> {
+                : localChoice.map(choice -> choice.estimate().costMillis()).getOrElse(Double.POSITIVE_INFINITY);
+        clusterView.roundTripMillis().forEach((region, roundTripMillis) -> {
             boolean mayServe = request.route().allows(region)
-                    && !request.tried().contains(region)
-                    && !clusterView.beyondShare().contains(region);
+                    && !request.excluded().contains(region)
+                    && !clusterView.overShare().contains(region);
             if (mayServe) {
-                remoteEstimates.put(region, outlook(region, roundTripMillis, chooser, loads, nowMillis));
+                remoteEstimates.put(region, estimate(region, roundTripMillis, chooser, loads, nowMillis));
             }
         });
     }
@@ -57,8 +57,8 @@
      * @return the candidates
      */
     public static Placement of(
-            Demand request,
-            Surroundings clusterView,
+            PlacementRequest request,
+            ClusterView clusterView,
             TargetChooser chooser,
             RegionLoads loads,
             Mechanisms mechanisms,
@@ -72,7 +72,7 @@
      * @param work the work of the request
      * @return the tokens of its prompt, or one if it has none
      */
-    public static int units(Work work) {
+    public static int workUnits(Work work) {
         return Math.max(1, work.promptTokens());
     }
 
@@ -81,8 +81,8 @@
      *
      * @return the choice, or none if no target may accept the request
      */
-    public Option<Choice> local() {
-        return local;
+    public Option<TargetChoice> localChoice() {
+        return localChoice;
     }
 
     /**
@@ -90,8 +90,8 @@
      *
      * @return milliseconds; infinite if the region can't serve the request or is over its share
      */
-    public double localMillis() {
-        return localMillis;
+    public double localCostMillis() {
+        return localCostMillis;
     }
 
     /**
@@ -99,8 +99,8 @@
      *
      * @return whether a target or another region may accept it
      */
-    public boolean isPossible() {
-        return local.isDefined()
+    public boolean hasCandidate() {
+        return localChoice.isDefined()
                 || remoteEstimates.values().stream().anyMatch(each -> Double.isFinite(each.expectedMillis()));
     }
 
@@ -109,10 +109,11 @@
      *
      * @return the region, or none to serve it locally
      */
-    public Option<String> region() {
+    public Option<String> forwardRegion() {
         Map<String, Double> expectedMillis = new HashMap<>();
         remoteEstimates.forEach((region, estimate) -> expectedMillis.put(region, estimate.costMillis()));
-        return RegionChooser.choose(localMillis, expectedMillis, request.route().objectiveMillis());
+        return RegionChooser.choose(
+                localCostMillis, expectedMillis, request.route().objectiveMillis());
     }
 
     /**
@@ -121,12 +122,12 @@
      *
      * @return whether its caller should be rejected
      */
-    public boolean shouldRefuse() {
-        if (!request.service().isModel() || !mechanisms.uses(Mechanism.REFUSE_LATE)) {
+    public boolean shouldReject() {
+        if (!request.service().isModel() || !mechanisms.isEnabled(Mechanism.REFUSE_LATE)) {
             return false;
         }
-        return outlook()
-                .shouldRefuse(request.route().objectiveMillis(), request.work().urgency());
+        return estimate()
+                .shouldReject(request.route().objectiveMillis(), request.work().urgency());
     }
 
     /**
@@ -134,9 +135,9 @@
      *
      * @return the estimate
      */
-    public Outlook outlook() {
-        Outlook best = localOutlook();
-        for (Outlook remoteEstimate : remoteEstimates.values()) {
+    public ServiceEstimate estimate() {
+        ServiceEstimate best = localEstimate();
+        for (ServiceEstimate remoteEstimate : remoteEstimates.values()) {
             best = best.earlierOf(remoteEstimate);
         }
         return best;
@@ -147,8 +148,8 @@
      *
      * @return the estimate
      */
-    public Outlook localOutlook() {
-        return local.map(choice -> choice.outlook().inRegion(ownRegion)).getOrElse(Outlook.NONE);
+    public ServiceEstimate localEstimate() {
+        return localChoice.map(choice -> choice.estimate().inRegion(ownRegion)).getOrElse(ServiceEstimate.NONE);
     }
 
     /**
@@ -157,25 +158,25 @@
      * @param region the region
      * @return the estimate
      */
-    public Outlook outlook(String region) {
-        return remoteEstimates.getOrDefault(region, Outlook.NONE);
+    public ServiceEstimate estimate(String region) {
+        return remoteEstimates.getOrDefault(region, ServiceEstimate.NONE);
     }
 
-    private Outlook outlook(
+    private ServiceEstimate estimate(
             String region, double roundTripMillis, TargetChooser chooser, RegionLoads loads, long nowMillis) {
         String service = request.service().name();
         Work work = request.work();
         double queueWaitMillis = loads.expectedMillis(region, service, work.urgency(), 0, nowMillis);
-        double expectedMillis = loads.expectedMillis(region, service, work.urgency(), units(work), nowMillis);
-        RegionStreams streamStats = loads.streams(region, service);
+        double expectedMillis = loads.expectedMillis(region, service, work.urgency(), workUnits(work), nowMillis);
+        RegionStreamStats streamStats = loads.streamStats(region, service);
         double overrunMillis = EngineStreamCosts.overrunMillis(
-                request.service(), work, roundTripMillis + expectedMillis, streamStats.paceMillis());
-        return new Outlook(
+                request.service(), work, roundTripMillis + expectedMillis, streamStats.interTokenMillis());
+        return new ServiceEstimate(
                 region,
                 roundTripMillis + queueWaitMillis,
                 roundTripMillis + expectedMillis,
                 chooser.chargedTokens(request.service(), work.urgency(), work.promptTokens())
                         * streamStats.delayCostMillisPerToken(),
-                mechanisms.uses(Mechanism.END_IN_TIME) ? overrunMillis : 0);
+                mechanisms.isEnabled(Mechanism.END_IN_TIME) ? overrunMillis : 0);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Demand.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PlacementRequest.java
@@ -10,13 +10,13 @@
  * @param route its route
  * @param service the service that its route chose for it
  * @param work the work that it brings to a target
- * @param tried the target incarnations and the regions that must not get it
+ * @param excluded the target incarnations and the regions that must not get it
  */
-public record Demand(RouteRule route, ServiceRule service, Work work, Set<String> tried) {
-    public Demand {
+public record PlacementRequest(RouteRule route, ServiceRule service, Work work, Set<String> excluded) {
+    public PlacementRequest {
         Objects.requireNonNull(route, "route");
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(work, "work");
-        Objects.requireNonNull(tried, "tried");
+        Objects.requireNonNull(excluded, "tried");
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/WaitingTokens.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PrefillBacklog.java
@@ -8,9 +8,9 @@
  * @param middle the tokens of the next
  * @param last the tokens of the others
  */
-public record WaitingTokens(long first, long middle, long last) {
+public record PrefillBacklog(long first, long middle, long last) {
     /** No pending prefill. */
-    public static final WaitingTokens NONE = new WaitingTokens(0, 0, 0);
+    public static final PrefillBacklog NONE = new PrefillBacklog(0, 0, 0);
 
     /**
      * Returns the pending prefill of one request.
@@ -19,11 +19,11 @@
      * @param tokens its tokens
      * @return the pending prefill
      */
-    public static WaitingTokens of(Urgency urgency, long tokens) {
+    public static PrefillBacklog of(Urgency urgency, long tokens) {
         return switch (urgency) {
-            case FIRST -> new WaitingTokens(tokens, 0, 0);
-            case MIDDLE -> new WaitingTokens(0, tokens, 0);
-            case LAST -> new WaitingTokens(0, 0, tokens);
+            case FIRST -> new PrefillBacklog(tokens, 0, 0);
+            case MIDDLE -> new PrefillBacklog(0, tokens, 0);
+            case LAST -> new PrefillBacklog(0, 0, tokens);
         };
     }
 
@@ -41,11 +41,11 @@
         };
     }
 
-    WaitingTokens plus(WaitingTokens other) {
-        return new WaitingTokens(first + other.first, middle + other.middle, last + other.last);
+    PrefillBacklog plus(PrefillBacklog other) {
+        return new PrefillBacklog(first + other.first, middle + other.middle, last + other.last);
     }
 
-    WaitingTokens negated() {
-        return new WaitingTokens(-first, -middle, -last);
+    PrefillBacklog negated() {
+        return new PrefillBacklog(-first, -middle, -last);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RegionLoads.java
@@ -12,10 +12,10 @@
  */
 public final class RegionLoads {
     /** Time without a report, beyond the interval between reports, after which a region is considered unreachable. */
-    public static final long REPORT_MILLIS = 3_000;
+    public static final long REPORT_TIMEOUT_MILLIS = 3_000;
 
     private final Map<String, Map<String, EnumMap<Urgency, Load>>> byRegion = new HashMap<>();
-    private final Map<String, Map<String, RegionStreams>> streamStatsByRegion = new HashMap<>();
+    private final Map<String, Map<String, RegionStreamStats>> streamStatsByRegion = new HashMap<>();
 
     /**
      * Updates the load of a region from a report.
@@ -27,7 +27,7 @@
      * @param perTokenMillis the time that each further token of a prompt adds, spread over its targets
      * @param untilMillis when the report expires
      */
-    public void reported(
+    public void update(
             String region,
             String service,
             Urgency urgency,
@@ -46,7 +46,7 @@
      * @param service the service
      * @param streamStats the statistics of its streams
      */
-    public void reported(String region, String service, RegionStreams streamStats) {
+    public void update(String region, String service, RegionStreamStats streamStats) {
         streamStatsByRegion.computeIfAbsent(region, name -> new HashMap<>()).put(service, streamStats);
     }
 
@@ -57,8 +57,8 @@
      * @param service their service
      * @return the statistics that it reported last
      */
-    public RegionStreams streams(String region, String service) {
-        return streamStatsByRegion.getOrDefault(region, Map.of()).getOrDefault(service, RegionStreams.NONE);
+    public RegionStreamStats streamStats(String region, String service) {
+        return streamStatsByRegion.getOrDefault(region, Map.of()).getOrDefault(service, RegionStreamStats.NONE);
     }
 
     /**
@@ -91,7 +91,7 @@
      * @param tokens the tokens of its prompt
      * @param hosts the number of hosts of this host's region, itself included
      */
-    public void sent(String region, String service, Urgency urgency, int tokens, int hosts) {
+    public void recordSent(String region, String service, Urgency urgency, int tokens, int hosts) {
         loads(region, service).forEach((other, load) -> {
             if (other.compareTo(urgency) >= 0) {
                 load.addedMillis += Math.max(1, tokens) * load.perTokenMillis * Math.max(1, hosts);
@@ -107,7 +107,7 @@
      * @param service the service
      * @param urgency the urgency of the request; more urgent ones may still be accepted
      */
-    public void refused(String region, String service, Urgency urgency) {
+    public void recordRejected(String region, String service, Urgency urgency) {
         loads(region, service).forEach((each, load) -> {
             if (each.compareTo(urgency) >= 0) {
                 load.addedMillis = Double.POSITIVE_INFINITY;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ReturnQueue.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryAfterQueue.java
@@ -15,7 +15,7 @@
  * 0.4 %. Invariant: the time is never longer than is of use to the caller, and never shorter than {@link
  * #MIN_RETRY_AFTER_MILLIS}. Confined to its owner's thread.
  */
-public final class ReturnQueue {
+public final class RetryAfterQueue {
     /**
      * Long enough for an engine to prefill some prompts; after a shorter time callers would meet the same load again.
      */
@@ -40,7 +40,7 @@
      * @param nowMillis the time
      * @return the time, in milliseconds
      */
-    public long returnAfter(
+    public long retryAfterMillis(
             String service, Urgency urgency, double costMillis, long remainingMillis, double draw, long nowMillis) {
         EnumMap<Urgency, Double> byUrgency =
                 nextReturnMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RepeatAllowance.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryBudget.java
@@ -11,7 +11,7 @@
  * the sum over all hosts keeps the bound as long as each of them knows at least four fifths of the others, or there are
  * no more hosts than the minimum that the slack is divided by. Confined to its owner's thread.
  */
-public final class RepeatAllowance {
+public final class RetryBudget {
     /** Fraction of the ratio that is used, as the window of the bound and this host's don't start together. */
     static final double RATIO_SAFETY_FACTOR = 0.8;
 
@@ -25,7 +25,7 @@
     private final Map<String, SlidingWindowCounter> firstAttempts = new HashMap<>();
     private final Map<String, SlidingWindowCounter> retries = new HashMap<>();
 
-    private RepeatAllowance(double ratio, double slack, int hosts, long windowMillis) {
+    private RetryBudget(double ratio, double slack, int hosts, long windowMillis) {
         this.ratio = ratio;
         this.slack = slack;
         this.hosts = hosts;
@@ -41,8 +41,8 @@
      * @param windowMillis the window in which both are counted
      * @return the budget
      */
-    public static RepeatAllowance of(double ratio, double slack, int hosts, long windowMillis) {
-        return new RepeatAllowance(ratio * RATIO_SAFETY_FACTOR, slack, Math.max(1, hosts), windowMillis);
+    public static RetryBudget of(double ratio, double slack, int hosts, long windowMillis) {
+        return new RetryBudget(ratio * RATIO_SAFETY_FACTOR, slack, Math.max(1, hosts), windowMillis);
     }
 
     /**
@@ -52,7 +52,7 @@
      *
      * @param knownHosts the number of known hosts, this one included
      */
-    public void hostsKnown(int knownHosts) {
+    public void updateKnownHosts(int knownHosts) {
         hosts = Math.max(hosts, (int) Math.ceil(knownHosts * UNKNOWN_HOSTS_FACTOR));
     }
 
@@ -62,7 +62,7 @@
      * @param service the service that it goes to
      * @param nowMillis the time
      */
-    public void first(String service, long nowMillis) {
+    public void recordFirstAttempt(String service, long nowMillis) {
         firstAttempts
                 .computeIfAbsent(service, name -> new SlidingWindowCounter(windowMillis))
                 .add(nowMillis);
@@ -75,7 +75,7 @@
      * @param nowMillis the time
      * @return the retries that would be granted now
      */
-    public int left(String service, long nowMillis) {
+    public int remaining(String service, long nowMillis) {
         int attempts = count(firstAttempts, service, nowMillis);
         return (int) (Math.floor(ratio * attempts + Math.floor(slack / hosts)) - count(retries, service, nowMillis));
     }
@@ -87,10 +87,10 @@
      * @param nowMillis the time
      * @return whether the request may be sent once more
      */
-    public boolean spend(String service, long nowMillis) {
+    public boolean trySpend(String service, long nowMillis) {
         // When a fault fails everything, each failed attempt would start another and overload the remaining targets;
         // symptom: arrivals grow while answers do not.
-        if (left(service, nowMillis) < 1) {
+        if (remaining(service, nowMillis) < 1) {
             return false;
         }
         retries.computeIfAbsent(service, name -> new SlidingWindowCounter(windowMillis))
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RouteRule.java
@@ -17,7 +17,7 @@
  * @param maxAttempts the maximum number of targets that one request may be sent to
  * @param timeoutMillis the maximum time until its final answer
  * @param objectiveMillis the latency objective: the time to the answer, of a stream to the first event
- * @param gapMillis the objective for the longest pause between events, zero if it isn't a stream
+ * @param gapObjectiveMillis the objective for the longest pause between events, zero if it isn't a stream
  * @param rank its rank among the routes, 0 first
  * @param homeRegions the only regions that may serve it; empty if all may
  */
@@ -31,7 +31,7 @@
         int maxAttempts,
         long timeoutMillis,
         long objectiveMillis,
-        long gapMillis,
+        long gapObjectiveMillis,
         int rank,
         Set<String> homeRegions) {
     /** The name of no region: the home of a route that no region may serve. */
@@ -77,7 +77,7 @@
      * @param regions the regions that a further rule allows
      * @return the route with both rules applied; if no region satisfies both, none may serve it
      */
-    public RouteRule within(Set<String> regions) {
+    public RouteRule restrictedTo(Set<String> regions) {
         Set<String> common = new HashSet<>(homeRegions.isEmpty() ? regions : homeRegions);
         common.retainAll(regions);
         return new RouteRule(
@@ -90,7 +90,7 @@
                 maxAttempts,
                 timeoutMillis,
                 objectiveMillis,
-                gapMillis,
+                gapObjectiveMillis,
                 rank,
                 common.isEmpty() ? Set.of(NO_REGION) : common);
     }
@@ -101,7 +101,7 @@
      * @param draw a number from 0 up to, but not including, 1
      * @return the service
      */
-    public String service(double draw) {
+    public String pickService(double draw) {
         long total = services.stream().mapToLong(WeightedService::weight).sum();
         double remaining = draw * total;
         for (WeightedService each : services) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Outlook.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceEstimate.java
@@ -6,18 +6,19 @@
  * The estimate for a request at one candidate, and its cost to other requests there. Immutable and thread safe.
  *
  * @param region the region of the candidate, empty if there is none or it is not named
- * @param waitMillis the part of the time that is due to other requests; infinite if there is no candidate
+ * @param queueWaitMillis the part of the time that is due to other requests; infinite if there is no candidate
  * @param expectedMillis the time to the first event or answer, network round trip included; infinite if there is no
  *     candidate
  * @param delayCostMillis the time that its prefill takes from lagging streams there
  * @param overrunMillis by how much it would exceed its time
  */
-public record Outlook(
-        String region, double waitMillis, double expectedMillis, double delayCostMillis, double overrunMillis) {
+public record ServiceEstimate(
+        String region, double queueWaitMillis, double expectedMillis, double delayCostMillis, double overrunMillis) {
     /** There is no candidate. */
-    public static final Outlook NONE = new Outlook("", Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0);
+    public static final ServiceEstimate NONE =
+            new ServiceEstimate("", Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 0, 0);
 
-    public Outlook {
+    public ServiceEstimate {
         Objects.requireNonNull(region, "region");
     }
 
@@ -27,8 +28,8 @@
      * @param name its name
      * @return the same estimate for that region
      */
-    Outlook inRegion(String name) {
-        return new Outlook(name, waitMillis, expectedMillis, delayCostMillis, overrunMillis);
+    ServiceEstimate inRegion(String name) {
+        return new ServiceEstimate(name, queueWaitMillis, expectedMillis, delayCostMillis, overrunMillis);
     }
 
     /**
@@ -47,9 +48,9 @@
      * @param urgency its urgency
      * @return whether it would be late, or make others late
      */
-    public boolean shouldRefuse(long objectiveMillis, Urgency urgency) {
-        return Admission.shouldRefuse(waitMillis, expectedMillis, objectiveMillis, urgency)
-                || Admission.delaysTooMuch(waitMillis, delayCostMillis, objectiveMillis, urgency);
+    public boolean shouldReject(long objectiveMillis, Urgency urgency) {
+        return Admission.shouldReject(queueWaitMillis, expectedMillis, objectiveMillis, urgency)
+                || Admission.delaysTooMuch(queueWaitMillis, delayCostMillis, objectiveMillis, urgency);
     }
 
     /**
@@ -58,7 +59,7 @@
      * @param other the estimate of another candidate
      * @return the earlier one; this one if both are equal
      */
-    Outlook earlierOf(Outlook other) {
+    ServiceEstimate earlierOf(ServiceEstimate other) {
         return other.expectedMillis + other.delayCostMillis < expectedMillis + delayCostMillis ? other : this;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceRule.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceRule.java
@@ -8,19 +8,19 @@
  * @param name its name
  * @param maxConnections the connections that one of its targets accepts from all hosts together
  * @param coldStartMillis how long a target is cold after its start
- * @param coldPerSecond the requests a second that a cold target sustains
+ * @param coldRequestsPerSecond the requests a second that a cold target sustains
  * @param slots the requests that one target processes concurrently; zero if not configured
  * @param eventTokens the tokens in one event of a stream; zero if not configured
- * @param memoryTokens the capacity of one engine's KV cache, in tokens; zero if it is no model engine
+ * @param kvCacheTokens the capacity of one engine's KV cache, in tokens; zero if it is no model engine
  */
 public record ServiceRule(
         String name,
         int maxConnections,
         long coldStartMillis,
-        double coldPerSecond,
+        double coldRequestsPerSecond,
         int slots,
         int eventTokens,
-        long memoryTokens) {
+        long kvCacheTokens) {
     public ServiceRule {
         Objects.requireNonNull(name, "name");
     }
@@ -31,6 +31,6 @@
      * @return whether they are
      */
     public boolean isModel() {
-        return memoryTokens > 0;
+        return kvCacheTokens > 0;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StopPlan.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ShutdownPlan.java
@@ -13,7 +13,7 @@
  * host's own requests; late in a shutdown no request begins that would not definitely end before its connection is
  * closed. Immutable and thread safe.
  */
-public final class StopPlan {
+public final class ShutdownPlan {
     /**
      * Time before which idle connections are not closed: callers with an outdated list of hosts still connect, nearly
      * all of them within one lifetime of the list. With a longer time the shutdowns of hosts that are stopped in turn
@@ -35,7 +35,7 @@
 
     private final long graceMillis;
 
-    private StopPlan(long graceMillis) {
+    private ShutdownPlan(long graceMillis) {
         this.graceMillis = graceMillis;
     }
 
@@ -45,8 +45,8 @@
      * @param graceMillis how long the shutdown may take
      * @return the plan
      */
-    public static StopPlan within(long graceMillis) {
-        return new StopPlan(graceMillis);
+    public static ShutdownPlan within(long graceMillis) {
+        return new ShutdownPlan(graceMillis);
     }
 
     /**
@@ -56,8 +56,8 @@
      * @param peers the availability of the other hosts of its region
      * @return milliseconds, zero if they should send none
      */
-    public long workMillis(long stoppingMillis, OtherHosts peers) {
-        return Math.max(0, peers.acceptUntilMillis(cutMillis()) - stoppingMillis);
+    public long acceptMillis(long stoppingMillis, PeerAvailability peers) {
+        return Math.max(0, peers.acceptUntilMillis(closeMillis()) - stoppingMillis);
     }
 
     /**
@@ -68,12 +68,12 @@
      * @param maxMillis the recent maximum duration of requests of its kind, if any have ended
      * @return whether it may
      */
-    public boolean mayBegin(long stoppingMillis, OtherHosts peers, Option<Long> maxMillis) {
-        long remainingMillis = cutMillis() - stoppingMillis;
+    public boolean mayAccept(long stoppingMillis, PeerAvailability peers, Option<Long> maxMillis) {
+        long remainingMillis = closeMillis() - stoppingMillis;
         if (stoppingMillis < ACCEPT_ALL_MILLIS) {
             return maxMillis.forAll(max -> max <= remainingMillis);
         }
-        return workMillis(stoppingMillis, peers) > 0
+        return acceptMillis(stoppingMillis, peers) > 0
                 && maxMillis.exists(max -> DURATION_SAFETY_FACTOR * max <= remainingMillis);
     }
 
@@ -85,8 +85,8 @@
      * @param hasWork whether a request is in flight
      * @return whether the host may begin to close connections
      */
-    public boolean mayEnd(long stoppingMillis, OtherHosts peers, boolean hasWork) {
-        if (workMillis(stoppingMillis, peers) > 0) {
+    public boolean mayClose(long stoppingMillis, PeerAvailability peers, boolean hasWork) {
+        if (acceptMillis(stoppingMillis, peers) > 0) {
             return false;
         }
         return stoppingMillis >= ACCEPT_ALL_MILLIS || stoppingMillis >= MIN_SERVE_MILLIS && !hasWork;
@@ -97,7 +97,7 @@
      *
      * @return milliseconds since the shutdown began
      */
-    public long cutMillis() {
+    public long closeMillis() {
         return graceMillis - CLOSE_MARGIN_MILLIS;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreFollowers.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreWatchers.java
@@ -17,19 +17,19 @@
  * each other host has one relay, and relays get as many of them as their links can serve. Hosts with the same view
  * choose alike. Immutable and thread safe.
  */
-public final class StoreFollowers {
+public final class StoreWatchers {
     /** Two watchers may be lost at once. */
-    public static final int FEWEST = 3;
+    public static final int MIN_WATCHERS = 3;
 
     /** One watcher for so many hosts, so that what a watcher relays doesn't grow with the region. */
-    public static final int HOSTS_PER_FOLLOWER = 10;
+    public static final int HOSTS_PER_WATCHER = 10;
 
     private static final String KEY = "store";
 
     private final List<String> watchers;
     private final Map<String, String> relays;
 
-    private StoreFollowers(List<String> watchers, Map<String, String> relays) {
+    private StoreWatchers(List<String> watchers, Map<String, String> relays) {
         this.watchers = List.copyOf(watchers);
         this.relays = Map.copyOf(relays);
     }
@@ -40,12 +40,12 @@
      * @param candidates the hosts of a region that are connected, each once
      * @return the choice
      */
-    public static StoreFollowers of(Collection<Candidate> candidates) {
+    public static StoreWatchers of(Collection<Candidate> candidates) {
         List<Candidate> ranked = rank(candidates);
         int count = Math.min(ranked.size(), count(ranked.size()));
         List<Candidate> watchers = ranked.subList(0, count);
         Map<String, String> relays = relays(watchers, ranked.subList(count, ranked.size()));
-        return new StoreFollowers(watchers.stream().map(Candidate::name).toList(), relays);
+        return new StoreWatchers(watchers.stream().map(Candidate::name).toList(), relays);
     }
 
     /**
@@ -55,7 +55,7 @@
      * @return the number, which may exceed that of the hosts
      */
     static int count(int hosts) {
-        return Math.max(FEWEST, (hosts + HOSTS_PER_FOLLOWER - 1) / HOSTS_PER_FOLLOWER);
+        return Math.max(MIN_WATCHERS, (hosts + HOSTS_PER_WATCHER - 1) / HOSTS_PER_WATCHER);
     }
 
     /**
@@ -64,7 +64,7 @@
      * @param host its name
      * @return whether it does
      */
-    public boolean follows(String host) {
+    public boolean isWatcher(String host) {
         return watchers.contains(host);
     }
 
@@ -84,7 +84,7 @@
      * @param watcher the name of the watcher
      * @return the number; that of all watchers if it is none
      */
-    public int turn(String watcher) {
+    public int position(String watcher) {
         int index = watchers.indexOf(watcher);
         return index < 0 ? watchers.size() : index;
     }
@@ -94,7 +94,7 @@
         Map<String, Integer> order = new HashMap<>();
         Rendezvous.rank(names, KEY).forEach(name -> order.put(name, order.size()));
         List<Candidate> ranked = new ArrayList<>(candidates);
-        ranked.sort(Comparator.comparing(Candidate::answeredByStore)
+        ranked.sort(Comparator.comparing(Candidate::storeReachable)
                 .thenComparing(Candidate::linkBytesPerMilli)
                 .reversed()
                 .thenComparing(candidate -> order.get(candidate.name())));
@@ -126,10 +126,10 @@
      * A host that could watch the store. Immutable and thread safe.
      *
      * @param name its name
-     * @param answeredByStore whether the store answers it
+     * @param storeReachable whether the store answers it
      * @param linkBytesPerMilli the bandwidth of its link, zero if not reported
      */
-    public record Candidate(String name, boolean answeredByStore, long linkBytesPerMilli) {
+    public record Candidate(String name, boolean storeReachable, long linkBytesPerMilli) {
         public Candidate {
             if (linkBytesPerMilli < 0) {
                 throw new IllegalArgumentException("negative link rate: " + linkBytesPerMilli + " bytes/ms");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
@@ -87,7 +87,7 @@
      * @param service the service
      * @return its model
      */
-    public LatencyModel model(String service) {
+    public LatencyModel latencyModel(String service) {
         return models.computeIfAbsent(service, name -> new LatencyModel());
     }
 
@@ -101,13 +101,14 @@
      * @param nowMillis the time
      * @return the choice, or none if no target may accept the request
      */
-    public Option<Choice> choose(
+    public Option<TargetChoice> choose(
             ServiceRule service, Work work, Set<String> excluded, RegionView regionView, long nowMillis) {
         List<GatewayTarget> eligible = healthyOrAll(eligible(service, excluded, regionView, nowMillis), nowMillis);
         List<PromptPart> shared = work.sharedParts();
         int sharedTokens = work.sharedTokens();
-        GatewayTarget affinityTarget = mechanisms.uses(Mechanism.KEEPER) ? affinityTarget(eligible, shared) : null;
-        double recomputeMillisPerToken = mechanisms.uses(Mechanism.READ_AGAIN) ? RECOMPUTE_COST_MILLIS_PER_TOKEN : 0;
+        GatewayTarget affinityTarget = mechanisms.isEnabled(Mechanism.KEEPER) ? affinityTarget(eligible, shared) : null;
+        double recomputeMillisPerToken =
+                mechanisms.isEnabled(Mechanism.READ_AGAIN) ? RECOMPUTE_COST_MILLIS_PER_TOKEN : 0;
         EngineStreamCosts streamCosts = streamCosts(eligible, service, nowMillis);
         GatewayTarget best = null;
         double bestMillis = Double.MAX_VALUE;
@@ -131,7 +132,7 @@
         }
         int prefillTokens = prefillTokens(best, work, affinityTarget);
         double firstEventMillis = expectedMillis(best, service, work, prefillTokens, nowMillis);
-        Outlook estimate = new Outlook(
+        ServiceEstimate estimate = new ServiceEstimate(
                 "",
                 queueWaitMillis(best, service, work, nowMillis),
                 firstEventMillis,
@@ -139,7 +140,7 @@
                         ? 0
                         : streamCosts.delayCostMillis(best, chargedTokens(service, work.urgency(), prefillTokens)),
                 overrunMillis(streamCosts, best, work, firstEventMillis));
-        return Option.some(new Choice(
+        return Option.some(new TargetChoice(
                 best,
                 estimate,
                 prefillTokens,
@@ -150,13 +151,13 @@
     /** Estimates the time to a target's first event or answer. */
     private double expectedMillis(
             GatewayTarget target, ServiceRule service, Work work, int prefillTokens, long nowMillis) {
-        LatencyModel model = model(service.name());
-        int requests = target.all().requests();
+        LatencyModel model = latencyModel(service.name());
+        int requests = target.totalWork().requests();
         if (!service.isModel()) {
             return model.answerMillis(requests, target.slots());
         }
-        double tokens = target.all().waiting().ahead(work.urgency()) + (double) prefillTokens;
-        return roomMillis(target, service, work)
+        double tokens = target.totalWork().prefillBacklog().ahead(work.urgency()) + (double) prefillTokens;
+        return capacityWaitMillis(target, service, work)
                 + model.firstEventMillis(tokens, work.urgency(), nowMillis)
                 + MILLIS_PER_RUNNING_REQUEST * Math.min(requests, target.slots());
     }
@@ -166,8 +167,8 @@
      * other one.
      */
     private static boolean hasSpareCapacity(GatewayTarget target, Work work) {
-        return target.all().waiting().ahead(work.urgency()) <= 0
-                && 2 * target.all().requests() < target.slots();
+        return target.totalWork().prefillBacklog().ahead(work.urgency()) <= 0
+                && 2 * target.totalWork().requests() < target.slots();
     }
 
     /**
@@ -191,23 +192,23 @@
      * @param nowMillis the time
      * @return the choice, or none if no target may accept the request
      */
-    public Option<Choice> choose(Demand request, RegionView regionView, long nowMillis) {
-        Option<Choice> best = choose(request, request.work(), regionView, nowMillis);
+    public Option<TargetChoice> choose(PlacementRequest request, RegionView regionView, long nowMillis) {
+        Option<TargetChoice> best = choose(request, request.work(), regionView, nowMillis);
         if (!request.service().isModel() || !best.exists(choice -> isRejected(choice, request))) {
             return best;
         }
-        return choose(request, request.work().within(0), regionView, nowMillis)
+        return choose(request, request.work().withRemainingMillis(0), regionView, nowMillis)
                 .filter(choice -> !isRejected(choice, request))
                 .orElse(best);
     }
 
-    private Option<Choice> choose(Demand request, Work work, RegionView regionView, long nowMillis) {
-        return choose(request.service(), work, request.tried(), regionView, nowMillis);
+    private Option<TargetChoice> choose(PlacementRequest request, Work work, RegionView regionView, long nowMillis) {
+        return choose(request.service(), work, request.excluded(), regionView, nowMillis);
     }
 
-    private static boolean isRejected(Choice choice, Demand request) {
-        return choice.outlook()
-                .shouldRefuse(request.route().objectiveMillis(), request.work().urgency());
+    private static boolean isRejected(TargetChoice choice, PlacementRequest request) {
+        return choice.estimate()
+                .shouldReject(request.route().objectiveMillis(), request.work().urgency());
     }
 
     /**
@@ -218,10 +219,10 @@
      * @param nowMillis the time
      * @return the statistics
      */
-    public RegionStreams streams(ServiceRule service, RegionView regionView, long nowMillis) {
+    public RegionStreamStats streamStats(ServiceRule service, RegionView regionView, long nowMillis) {
         EngineStreamCosts streamCosts =
                 streamCosts(eligible(service, Set.of(), regionView, nowMillis), service, nowMillis);
-        return new RegionStreams(streamCosts.bestInterTokenMillis(), streamCosts.delayCostMillisPerToken());
+        return new RegionStreamStats(streamCosts.bestInterTokenMillis(), streamCosts.delayCostMillisPerToken());
     }
 
     /**
@@ -236,13 +237,13 @@
      */
     double chargedTokens(ServiceRule service, Urgency urgency, int prefillTokens) {
         return DELAY_COST_FRACTION
-                * Math.min(prefillTokens, model(service.name()).usualTokens(urgency));
+                * Math.min(prefillTokens, latencyModel(service.name()).meanPrefillTokens(urgency));
     }
 
     private EngineStreamCosts streamCosts(List<GatewayTarget> eligible, ServiceRule service, long nowMillis) {
-        return mechanisms.uses(Mechanism.SPARE_STREAMS)
+        return mechanisms.isEnabled(Mechanism.SPARE_STREAMS)
                 ? EngineStreamCosts.of(
-                        eligible, service, model(service.name()).readMillisPerToken(nowMillis), nowMillis)
+                        eligible, service, latencyModel(service.name()).prefillMillisPerToken(nowMillis), nowMillis)
                 : EngineStreamCosts.of(eligible, service, 0, nowMillis);
     }
 
@@ -253,7 +254,9 @@
      */
     private double overrunMillis(
             EngineStreamCosts streamCosts, GatewayTarget target, Work work, double firstEventMillis) {
-        return mechanisms.uses(Mechanism.END_IN_TIME) ? streamCosts.overrunMillis(target, work, firstEventMillis) : 0;
+        return mechanisms.isEnabled(Mechanism.END_IN_TIME)
+                ? streamCosts.overrunMillis(target, work, firstEventMillis)
+                : 0;
     }
 
     /**
@@ -261,7 +264,7 @@
      * the capacity of those that would have answered. Symptom: rejected requests while targets are idle.
      */
     private List<GatewayTarget> healthyOrAll(List<GatewayTarget> eligible, long nowMillis) {
-        if (!mechanisms.uses(Mechanism.LEAVE_OUT_FAILING)) {
+        if (!mechanisms.isEnabled(Mechanism.LEAVE_OUT_FAILING)) {
             return eligible;
         }
         List<GatewayTarget> healthy = new ArrayList<>(eligible.size());
@@ -301,7 +304,7 @@
             GatewayTarget chosen, GatewayTarget affinityTarget, List<PromptPart> shared, int sharedTokens) {
         boolean lacksPrefix =
                 affinityTarget != null && affinityTarget != chosen && chosen.cachedTokens(shared) < sharedTokens;
-        return lacksPrefix && mechanisms.uses(Mechanism.COPY_PARTS) ? Option.some(affinityTarget) : Option.none();
+        return lacksPrefix && mechanisms.isEnabled(Mechanism.COPY_PARTS) ? Option.some(affinityTarget) : Option.none();
     }
 
     private double queueWaitMillis(GatewayTarget target, ServiceRule service, Work work, long nowMillis) {
@@ -309,11 +312,12 @@
             return Math.max(
                     0,
                     expectedMillis(target, service, work, 0, nowMillis)
-                            - model(service.name()).answerMillis(0, 1));
+                            - latencyModel(service.name()).answerMillis(0, 1));
         }
-        double tokens = target.all().waiting().ahead(work.urgency());
-        double millisPerToken = model(service.name()).perUnitMillis(true, work.urgency(), target.slots(), nowMillis);
-        return roomMillis(target, service, work) + tokens * millisPerToken;
+        double tokens = target.totalWork().prefillBacklog().ahead(work.urgency());
+        double millisPerToken =
+                latencyModel(service.name()).millisPerWorkUnit(true, work.urgency(), target.slots(), nowMillis);
+        return capacityWaitMillis(target, service, work) + tokens * millisPerToken;
     }
 
     /**
@@ -324,16 +328,16 @@
      * @param work the work of the request
      * @return milliseconds
      */
-    public double roomMillis(GatewayTarget target, ServiceRule service, Work work) {
-        if (!mechanisms.uses(Mechanism.ROOM)) {
+    public double capacityWaitMillis(GatewayTarget target, ServiceRule service, Work work) {
+        if (!mechanisms.isEnabled(Mechanism.ROOM)) {
             return 0;
         }
-        return model(service.name())
-                .roomMillis(
-                        target.all().requests() + 1 - target.slots(),
+        return latencyModel(service.name())
+                .capacityWaitMillis(
+                        target.totalWork().requests() + 1 - target.slots(),
                         target.slots(),
-                        target.kvCacheShortfallTokens(work, service.memoryTokens()),
-                        target.all().memoryTokens());
+                        target.kvCacheShortfallTokens(work, service.kvCacheTokens()),
+                        target.totalWork().kvCacheTokens());
     }
 
     private List<GatewayTarget> eligible(
@@ -349,13 +353,14 @@
 
     private boolean isEligible(
             GatewayTarget target, ServiceRule service, Set<String> excluded, RegionView regionView, long nowMillis) {
-        if (!target.entry().service().equals(service.name()) || excluded.contains(target.runText())) {
+        if (!target.entry().service().equals(service.name()) || excluded.contains(target.incarnationText())) {
             return false;
         }
         if (!pool.isUsable(target, nowMillis)) {
             return false;
         }
-        if (service.maxConnections() > 0 && target.all().requests() >= CONNECTION_FRACTION * service.maxConnections()) {
+        if (service.maxConnections() > 0
+                && target.totalWork().requests() >= CONNECTION_FRACTION * service.maxConnections()) {
             return false;
         }
         return !target.isCold(nowMillis) || mayWarmUp(target, service, regionView, nowMillis);
@@ -368,11 +373,11 @@
      * has to serve the request.
      */
     private boolean mayWarmUp(GatewayTarget target, ServiceRule service, RegionView regionView, long nowMillis) {
-        if (!regionView.certain()
+        if (!regionView.complete()
                 || !Rendezvous.rank(regionView.hosts(), target.id()).get(0).equals(self)) {
             return false;
         }
-        int maxPerSecond = Math.max(1, (int) Math.floor(service.coldPerSecond()));
+        int maxPerSecond = Math.max(1, (int) Math.floor(service.coldRequestsPerSecond()));
         return target.hasColdCapacity(maxPerSecond, nowMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetEntry.java
@@ -5,7 +5,7 @@
 /**
  * The entry that a target writes about itself. Immutable and thread safe.
  *
- * @param run the incarnation that wrote it
+ * @param incarnation the incarnation that wrote it
  * @param service the service that it belongs to
  * @param ip its IP address
  * @param port its port
@@ -15,7 +15,7 @@
  * @param coldMillis how long it stays cold, counted from the time of writing
  */
 public record TargetEntry(
-        TargetRun run,
+        TargetIncarnation incarnation,
         String service,
         String ip,
         int port,
@@ -24,7 +24,7 @@
         boolean leaving,
         long coldMillis) {
     public TargetEntry {
-        Objects.requireNonNull(run, "run");
+        Objects.requireNonNull(incarnation, "run");
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(ip, "ip");
         Objects.requireNonNull(dataCentre, "dataCentre");
@@ -36,6 +36,6 @@
      * @return the identifier, which a later incarnation may share
      */
     public String id() {
-        return run.id();
+        return incarnation.id();
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetRun.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetIncarnation.java
@@ -7,14 +7,14 @@
  * then holds no earlier state, and only its start time distinguishes the two incarnations. Immutable and thread safe.
  *
  * @param id the target's identifier
- * @param bornMillis the start time by its own clock, in milliseconds since 1970; 0 if not reported
+ * @param startedAtMillis the start time by its own clock, in milliseconds since 1970; 0 if not reported
  */
-public record TargetRun(String id, long bornMillis) {
+public record TargetIncarnation(String id, long startedAtMillis) {
     private static final char SEPARATOR = '@';
 
-    public TargetRun {
+    public TargetIncarnation {
         Objects.requireNonNull(id, "id");
-        if (bornMillis < 0) {
+        if (startedAtMillis < 0) {
             throw new IllegalArgumentException("target start time is before 1970");
         }
     }
@@ -27,8 +27,8 @@
      * @param other the other incarnation
      * @return whether it did
      */
-    public boolean isBefore(TargetRun other) {
-        return bornMillis < other.bornMillis;
+    public boolean isBefore(TargetIncarnation other) {
+        return startedAtMillis < other.startedAtMillis;
     }
 
     /**
@@ -37,7 +37,7 @@
      * @return the identifier, followed by the start time if it is known
      */
     public String text() {
-        return bornMillis == 0 ? id : id + SEPARATOR + bornMillis;
+        return startedAtMillis == 0 ? id : id + SEPARATOR + startedAtMillis;
     }
 
     /** Returns the identifier of the target in a text that ends with a start time. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetPool.java
@@ -82,9 +82,10 @@
      * @return the target, or none if this is not its current incarnation; a host of an earlier version sends no
      *     incarnation, so that its reports count only where targets report none
      */
-    public Option<GatewayTarget> findRun(String text) {
-        return find(text).orElse(() -> find(TargetRun.idFromText(text))).filter(target -> target.runText()
-                .equals(text));
+    public Option<GatewayTarget> findIncarnation(String text) {
+        return find(text)
+                .orElse(() -> find(TargetIncarnation.idFromText(text)))
+                .filter(target -> target.incarnationText().equals(text));
     }
 
     /**
@@ -94,13 +95,13 @@
      * @param nowMillis the time
      * @return the resulting change
      */
-    public EntryChange entered(TargetEntry entry, long nowMillis) {
-        incarnationsReported |= entry.run().bornMillis() > 0;
+    public EntryChange register(TargetEntry entry, long nowMillis) {
+        incarnationsReported |= entry.incarnation().startedAtMillis() > 0;
         GatewayTarget current = targets.get(entry.id());
-        if (current != null && entry.run().isBefore(current.run())) {
+        if (current != null && entry.incarnation().isBefore(current.incarnation())) {
             return EntryChange.NONE;
         }
-        if (current != null && current.run().equals(entry.run())) {
+        if (current != null && current.incarnation().equals(entry.incarnation())) {
             return current.update(entry, nowMillis) ? EntryChange.of(current) : EntryChange.NONE;
         }
         if (current != null) {
@@ -108,10 +109,10 @@
             // retained, the target would be passed over for as long as it lives, or overloaded while it is cold.
             targets.remove(entry.id());
             current.markTerminated();
-            departed.put(entry.id(), new Departed(current.run(), nowMillis));
+            departed.put(entry.id(), new Departed(current.incarnation(), nowMillis));
         }
         Departed previous = departed.get(entry.id());
-        boolean isNewer = previous == null || previous.incarnation().isBefore(entry.run());
+        boolean isNewer = previous == null || previous.incarnation().isBefore(entry.incarnation());
         if (isNewer && dataCentres.contains(entry.dataCentre())) {
             GatewayTarget started = new GatewayTarget(entry, nowMillis);
             targets.put(entry.id(), started);
@@ -126,7 +127,7 @@
      *
      * @param id its identifier
      */
-    public void unreadable(String id) {
+    public void markUnreadable(String id) {
         find(id).forEach(GatewayTarget::entryUnreadable);
     }
 
@@ -135,7 +136,7 @@
      *
      * @param nowMillis the time
      */
-    public void storeReturned(long nowMillis) {
+    public void recordStoreRecovery(long nowMillis) {
         removalGraceUntilMillis = nowMillis + REMOVAL_GRACE_MILLIS;
     }
 
@@ -145,7 +146,7 @@
      * @param nowMillis the time
      * @return milliseconds, zero if removals take effect at once
      */
-    public long lenientMillis(long nowMillis) {
+    public long removalGraceMillis(long nowMillis) {
         return Math.max(0, removalGraceUntilMillis - nowMillis);
     }
 
@@ -155,7 +156,7 @@
      * @param millis the time from now
      * @param nowMillis the time
      */
-    public void beLenient(long millis, long nowMillis) {
+    public void extendRemovalGrace(long millis, long nowMillis) {
         removalGraceUntilMillis = Math.max(removalGraceUntilMillis, nowMillis + millis);
     }
 
@@ -165,7 +166,7 @@
      * @param id its identifier
      * @param nowMillis the time
      */
-    public void removed(String id, long nowMillis) {
+    public void remove(String id, long nowMillis) {
         GatewayTarget target = targets.get(id);
         if (target == null) {
             return;
@@ -230,17 +231,17 @@
     boolean isUsable(GatewayTarget target, long nowMillis) {
         return !evacuated.contains(target.entry().dataCentre())
                 && target.mayAccept(nowMillis)
-                && !(incarnationsReported && target.run().bornMillis() == 0);
+                && !(incarnationsReported && target.incarnation().startedAtMillis() == 0);
     }
 
     private void drop(String id, long nowMillis) {
         GatewayTarget target = targets.remove(id);
         if (target != null) {
-            target.leave();
-            departed.put(id, new Departed(target.run(), nowMillis));
+            target.markLeaving();
+            departed.put(id, new Departed(target.incarnation(), nowMillis));
         }
     }
 
     /** The last incarnation of a target that left, and when that was noticed. */
-    private record Departed(TargetRun incarnation, long departedAtMillis) {}
+    private record Departed(TargetIncarnation incarnation, long departedAtMillis) {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetStreams.java
@@ -20,19 +20,19 @@
      */
     private static final double SMOOTHING = 0.05;
 
-    private final Set<SentRequest> running = new LinkedHashSet<>();
-    private final Map<String, StreamPace> statsByHost = new HashMap<>();
+    private final Set<InFlightRequest> running = new LinkedHashSet<>();
+    private final Map<String, StreamStats> statsByHost = new HashMap<>();
     private double interTokenMillis;
     private long intervalAtMillis = Long.MIN_VALUE / 2;
 
     /** The sum of what other hosts reported, maintained incrementally as each choice reads it for each target. */
-    private StreamPace otherHostsStats = StreamPace.NONE;
+    private StreamStats otherHostsStats = StreamStats.NONE;
 
-    void add(SentRequest stream) {
+    void add(InFlightRequest stream) {
         running.add(stream);
     }
 
-    void remove(SentRequest stream) {
+    void remove(InFlightRequest stream) {
         running.remove(stream);
     }
 
@@ -48,20 +48,20 @@
      * @param nowMillis the time
      * @return the statistics
      */
-    public StreamPace own(long nowMillis) {
+    public StreamStats ownStats(long nowMillis) {
         if (!hasRecentInterval(nowMillis)) {
-            return StreamPace.NONE;
+            return StreamStats.NONE;
         }
         int streams = Math.max(1, running.size());
-        StreamPace observed = new StreamPace(streams, streams * interTokenMillis, 0);
-        double totalMillis = otherHostsStats.plus(observed).millis();
+        StreamStats observed = new StreamStats(streams, streams * interTokenMillis, 0);
+        double totalMillis = otherHostsStats.plus(observed).meanInterTokenMillis();
         int lagging = 0;
-        for (SentRequest stream : running) {
+        for (InFlightRequest stream : running) {
             if (stream.isLagging(totalMillis, nowMillis)) {
                 lagging++;
             }
         }
-        return new StreamPace(streams, observed.totalMillis(), lagging);
+        return new StreamStats(streams, observed.totalInterTokenMillis(), lagging);
     }
 
     /**
@@ -70,8 +70,8 @@
      * @param nowMillis the time
      * @return the statistics
      */
-    public StreamPace all(long nowMillis) {
-        return otherHostsStats.plus(own(nowMillis));
+    public StreamStats totalStats(long nowMillis) {
+        return otherHostsStats.plus(ownStats(nowMillis));
     }
 
     /**
@@ -80,13 +80,13 @@
      * @param host the other host
      * @param stats the statistics of its streams
      */
-    public void toldByOther(String host, StreamPace stats) {
-        StreamPace previous = stats.isKnown() ? statsByHost.put(host, stats) : statsByHost.remove(host);
+    public void updateFromHost(String host, StreamStats stats) {
+        StreamStats previous = stats.isKnown() ? statsByHost.put(host, stats) : statsByHost.remove(host);
         if (previous == null && !stats.isKnown()) {
             return;
         }
-        StreamPace sum = StreamPace.NONE;
-        for (StreamPace each : statsByHost.values()) {
+        StreamStats sum = StreamStats.NONE;
+        for (StreamStats each : statsByHost.values()) {
             sum = sum.plus(each);
         }
         otherHostsStats = sum;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
@@ -10,11 +10,11 @@
     LAST(5, 0.8);
 
     private final int level;
-    private final double patience;
+    private final double tolerance;
 
     Urgency(int level, double patience) {
         this.level = level;
-        this.patience = patience;
+        this.tolerance = patience;
     }
 
     /**
@@ -42,7 +42,7 @@
      *
      * @return the factor
      */
-    public double patience() {
-        return patience;
+    public double tolerance() {
+        return tolerance;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Work.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Work.java
@@ -8,16 +8,17 @@
  *
  * @param promptTokens the tokens of the prompt; zero if the request generates no tokens
  * @param outputTokens the tokens that it is expected to generate
- * @param parts the parts of its prompt, in order; the last is the request's own
+ * @param promptParts the parts of its prompt, in order; the last is the request's own
  * @param urgency its urgency
  * @param remainingMillis the time left for its whole answer; zero if not known
  */
-public record Work(int promptTokens, int outputTokens, List<PromptPart> parts, Urgency urgency, long remainingMillis) {
+public record Work(
+        int promptTokens, int outputTokens, List<PromptPart> promptParts, Urgency urgency, long remainingMillis) {
     /** A request that generates no tokens. */
     public static final Work PLAIN = new Work(0, 0, List.of(), Urgency.FIRST, 0);
 
     public Work {
-        parts = List.copyOf(parts);
+        promptParts = List.copyOf(promptParts);
         Objects.requireNonNull(urgency, "urgency");
         if (promptTokens < 0 || outputTokens < 0) {
             throw new IllegalArgumentException("prompt or output tokens are negative");
@@ -30,8 +31,8 @@
      * @param newUrgency the urgency
      * @return the work
      */
-    public Work with(Urgency newUrgency) {
-        return new Work(promptTokens, outputTokens, parts, newUrgency, remainingMillis);
+    public Work withUrgency(Urgency newUrgency) {
+        return new Work(promptTokens, outputTokens, promptParts, newUrgency, remainingMillis);
     }
 
     /**
@@ -40,8 +41,8 @@
      * @param millis the time left for the answer
      * @return the work
      */
-    public Work within(long millis) {
-        return new Work(promptTokens, outputTokens, parts, urgency, millis);
+    public Work withRemainingMillis(long millis) {
+        return new Work(promptTokens, outputTokens, promptParts, urgency, millis);
     }
 
     /**
@@ -50,7 +51,7 @@
      * @return the parts
      */
     public List<PromptPart> sharedParts() {
-        return parts.size() < 2 ? List.of() : parts.subList(0, parts.size() - 1);
+        return promptParts.size() < 2 ? List.of() : promptParts.subList(0, promptParts.size() - 1);
     }
 
     /**
@@ -67,7 +68,7 @@
      *
      * @return tokens
      */
-    public int ownTokens() {
+    public int exclusiveTokens() {
         return Math.max(0, promptTokens - sharedTokens()) + outputTokens;
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/BaselineChooser.java
@@ -39,14 +39,14 @@
     }
 
     @Override
-    public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
+    public RoutingDecision choose(Request request, Eligibility eligibility, long nowMillis) {
         CandidateLog candidateLog = new CandidateLog();
         List<WeightedRoute> candidates = candidates(request, eligibility);
         candidates.forEach(
                 candidate -> candidateLog.add(candidate.route().peer(), "eligible", candidate.loadPerSlot()));
         if (candidates.isEmpty()) {
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
+            return new RoutingDecision.Reject(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
         }
         Route route =
                 switch (policy) {
@@ -54,7 +54,7 @@
                     case ROUND_ROBIN -> byTargetIndex(candidates, Math.floorMod(nextTurn++, targetCount(candidates)));
                     default -> leastLoaded(candidates);
                 };
-        return new Routing.Go(route, candidateLog.candidates());
+        return new RoutingDecision.Dispatch(route, candidateLog.candidates());
     }
 
     private List<WeightedRoute> candidates(Request request, Eligibility eligibility) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Chooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Chooser.java
@@ -13,5 +13,5 @@
      * @param nowMillis the time
      * @return the decision
      */
-    Routing choose(Request request, Eligibility eligibility, long nowMillis);
+    RoutingDecision choose(Request request, Eligibility eligibility, long nowMillis);
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
@@ -77,7 +77,7 @@
      * @param acceptingTargets the targets that are listed and not leaving
      * @param nowMillis the time
      */
-    public void targets(List<ListedHost> acceptingTargets, long nowMillis) {
+    public void updateTargets(List<ListedHost> acceptingTargets, long nowMillis) {
         lock.lock();
         try {
             targetTable.updateListed(acceptingTargets, nowMillis);
@@ -92,7 +92,7 @@
      * @param regions the other regions
      * @param nowMillis the time
      */
-    public void regions(List<RemoteRegion> regions, long nowMillis) {
+    public void updateRegions(List<RemoteRegion> regions, long nowMillis) {
         lock.lock();
         try {
             remoteRegions.update(regions, nowMillis);
@@ -107,7 +107,7 @@
      * @param newest the configuration in force
      * @param nowMillis the time
      */
-    public void configured(Configuration newest, long nowMillis) {
+    public void applyConfiguration(Configuration newest, long nowMillis) {
         lock.lock();
         try {
             configuration = newest;
@@ -124,7 +124,7 @@
      * @param load the report
      * @param nowMillis the time
      */
-    public void reported(TargetLoad load, long nowMillis) {
+    public void recordLoadReport(TargetLoad load, long nowMillis) {
         lock.lock();
         try {
             targetTable.recordReport(load, nowMillis);
@@ -139,7 +139,7 @@
      * @param target the target
      * @param nowMillis the time
      */
-    public void missed(String target, long nowMillis) {
+    public void recordMissedReport(String target, long nowMillis) {
         lock.lock();
         try {
             targetTable.recordMissedReport(target, nowMillis);
@@ -154,7 +154,7 @@
      * @param events the changes
      * @param nowMillis the time
      */
-    public void cached(List<CacheEvent> events, long nowMillis) {
+    public void recordCacheEvents(List<CacheEvent> events, long nowMillis) {
         lock.lock();
         try {
             for (CacheEvent event : events) {
@@ -172,7 +172,7 @@
      * @param nowMillis the time
      * @return a rejection, or none if the request is admitted
      */
-    public Option<Routing.Refuse> admit(Request request, long nowMillis) {
+    public Option<RoutingDecision.Reject> admit(Request request, long nowMillis) {
         lock.lock();
         try {
             if (attempts.size() >= MAX_ATTEMPTS) {
@@ -196,7 +196,7 @@
      * @param nowMillis the time
      * @return the decision
      */
-    public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
+    public RoutingDecision choose(Request request, Eligibility eligibility, long nowMillis) {
         lock.lock();
         try {
             return chooser.choose(request, eligibility, nowMillis);
@@ -229,7 +229,7 @@
      * @param route the destination
      * @param nowMillis the time
      */
-    public void started(Request request, Route route, long nowMillis) {
+    public void recordStart(Request request, Route route, long nowMillis) {
         lock.lock();
         try {
             removeAttempt(request, nowMillis);
@@ -254,7 +254,7 @@
      * @param durationMillis the duration of the attempt
      * @param nowMillis the time
      */
-    public void ended(Request request, Route route, AttemptResult result, long durationMillis, long nowMillis) {
+    public void recordEnd(Request request, Route route, AttemptResult result, long durationMillis, long nowMillis) {
         lock.lock();
         try {
             removeAttempt(request, nowMillis)
@@ -270,7 +270,7 @@
      * @param request the request
      * @param nowMillis the time
      */
-    public void finished(Request request, long nowMillis) {
+    public void recordFinish(Request request, long nowMillis) {
         lock.lock();
         try {
             Option<Attempt> attempt = removeAttempt(request, nowMillis);
@@ -343,9 +343,9 @@
         return false;
     }
 
-    private static Routing.Refuse reject(Request request, Refusal rejection) {
+    private static RoutingDecision.Reject reject(Request request, Refusal rejection) {
         Failure failure = Failure.of(Step.ADMIT, request.service(), rejection.reason());
-        return new Routing.Refuse(failure, rejection.retryAfterMillis(), List.of());
+        return new RoutingDecision.Reject(failure, rejection.retryAfterMillis(), List.of());
     }
 
     private Attempt estimateAttempt(Request request, Route route, long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Routing.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/RoutingDecision.java
@@ -6,7 +6,7 @@
 import org.rattanplank.core.request.Failure;
 
 /** The routing decision for one attempt. Immutable and thread safe. */
-public sealed interface Routing {
+public sealed interface RoutingDecision {
 
     /**
      * Returns the candidates that were considered.
@@ -21,8 +21,8 @@
      * @param route the destination
      * @param candidates the candidates that were considered
      */
-    record Go(Route route, List<Candidate> candidates) implements Routing {
-        public Go {
+    record Dispatch(Route route, List<Candidate> candidates) implements RoutingDecision {
+        public Dispatch {
             Objects.requireNonNull(route, "route");
             candidates = List.copyOf(candidates);
         }
@@ -35,8 +35,8 @@
      * @param retryAfterMillis when the caller may retry, zero if a retry would not help
      * @param candidates the candidates that were considered
      */
-    record Refuse(Failure failure, long retryAfterMillis, List<Candidate> candidates) implements Routing {
-        public Refuse {
+    record Reject(Failure failure, long retryAfterMillis, List<Candidate> candidates) implements RoutingDecision {
+        public Reject {
             Objects.requireNonNull(failure, "failure");
             candidates = List.copyOf(candidates);
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public Routing choose(Request request, Eligibility eligibility, long nowMillis) {
+    public RoutingDecision choose(Request request, Eligibility eligibility, long nowMillis) {
         Decision decision = new Decision(request, eligibility, nowMillis);
         decision.considerTargets();
         decision.considerRemoteRegions();
@@ -239,7 +239,7 @@
                     .getOrElse(0.0);
         }
 
-        Routing decide() {
+        RoutingDecision decide() {
             if (bestTarget.isDefined() && bestRegion.isDefined()) {
                 double gain = bestTarget.get().score() - bestRegion.get().score();
                 boolean spillsOver =
@@ -260,32 +260,32 @@
         /**
          * Routes to the first candidate that is expected to meet the deadline, and rejects the request if neither is.
          */
-        private Routing chooseFirstInTime(ScoredRoute first, Option<ScoredRoute> second) {
+        private RoutingDecision chooseFirstInTime(ScoredRoute first, Option<ScoredRoute> second) {
             Option<Refusal> rejection = admission.late(request, first.backlog(), nowMillis);
             if (rejection.isEmpty()) {
-                return new Routing.Go(first.route(), candidateLog.candidates());
+                return new RoutingDecision.Dispatch(first.route(), candidateLog.candidates());
             }
             if (second.exists(
                     other -> admission.late(request, other.backlog(), nowMillis).isEmpty())) {
-                return new Routing.Go(second.get().route(), candidateLog.candidates());
+                return new RoutingDecision.Dispatch(second.get().route(), candidateLog.candidates());
             }
             Failure failure =
                     Failure.of(Step.ROUTE, request.service(), rejection.get().reason());
-            return new Routing.Refuse(failure, rejection.get().retryAfterMillis(), candidateLog.candidates());
+            return new RoutingDecision.Reject(failure, rejection.get().retryAfterMillis(), candidateLog.candidates());
         }
 
         /**
          * Routes without a scored candidate: to another region that may serve the request, even if its load is unknown,
          * else to the least loaded target, even if it is ejected or warming up. Rejects the request if there is none.
          */
-        private Routing fallback() {
+        private RoutingDecision fallback() {
             Option<Route> route = firstOtherRegion().orElse(this::leastLoadedTarget);
             if (route.isDefined()) {
                 candidateLog.add(route.get().peer(), "last resort", 0);
-                return new Routing.Go(route.get(), candidateLog.candidates());
+                return new RoutingDecision.Dispatch(route.get(), candidateLog.candidates());
             }
             Failure failure = Failure.of(Step.ROUTE, request.service(), "no target can take it");
-            return new Routing.Refuse(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
+            return new RoutingDecision.Reject(failure, RETRY_AFTER_MILLIS, candidateLog.candidates());
         }
 
         private Option<Route> firstOtherRegion() {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
@@ -35,7 +35,7 @@
     @Test
     void shouldAnswerWhenTargetReturnsWholeAnswer() {
         configure();
-        List<Action> started = node.handle(new Event.CallerAsked(draft("r1")), 20);
+        List<Action> started = node.handle(new Event.CallerRequestReceived(draft("r1")), 20);
         Action.StartAttempt attempt = assertInstanceOf(Action.StartAttempt.class, started.get(0));
         Answer answer = Answer.of(200, "application/json", new byte[] {1});
         List<Action> ended = node.handle(
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -161,7 +161,7 @@
     }
 
     void updateHostList(HostList list) {
-        processes.forEach((host, claims) -> perform(host, claims.listed(list, nowMillis)));
+        processes.forEach((host, claims) -> perform(host, claims.hostListUpdated(list, nowMillis)));
     }
 
     boolean isLeaving(String host) {
@@ -212,7 +212,7 @@
     private void dialTerminatedHosts(String host) {
         for (String other : incarnations.keySet()) {
             if (!processes.containsKey(other) && !isPartitioned(host, other)) {
-                perform(host, processes.get(host).lost(other, true, nowMillis));
+                perform(host, processes.get(host).disconnected(other, true, nowMillis));
             }
         }
     }
@@ -257,7 +257,7 @@
         } else if (item instanceof FakeLink.Item.Up up) {
             perform(link.to, claims.connected(link.from, up.incarnation(), nowMillis));
         } else if (item instanceof FakeLink.Item.Down down) {
-            perform(link.to, claims.lost(link.from, down.refused(), nowMillis));
+            perform(link.to, claims.disconnected(link.from, down.refused(), nowMillis));
         }
     }
 
@@ -306,24 +306,24 @@
         }
     }
 
-    private void perform(String host, List<ClaimStep> steps) {
-        for (ClaimStep step : steps) {
-            if (step instanceof ClaimStep.Send send) {
+    private void perform(String host, List<ClaimAction> steps) {
+        for (ClaimAction step : steps) {
+            if (step instanceof ClaimAction.Send send) {
                 boolean delivered = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
                 if (delivered) {
                     link(host, send.host())
                             .items
                             .add(new FakeLink.Item.Message(incarnations.get(host), send.message()));
                 }
-            } else if (step instanceof ClaimStep.CallStore call) {
+            } else if (step instanceof ClaimAction.CallStore call) {
                 storeCalls.add(new StoreCall(host, incarnations.get(host), call.callId(), call.command()));
-            } else if (step instanceof ClaimStep.Decide decide) {
+            } else if (step instanceof ClaimAction.Decide decide) {
                 recordDecision(host, decide);
             }
         }
     }
 
-    private void recordDecision(String host, ClaimStep.Decide decide) {
+    private void recordDecision(String host, ClaimAction.Decide decide) {
         decisions.computeIfAbsent(decide.requestId(), id -> new ArrayList<>()).add(decide.decision());
         if (decide.decision() instanceof ClaimDecision.Run) {
             executedRequestIds.add(decide.requestId());
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
@@ -17,7 +17,7 @@
 
 class ClaimsTest {
     private static final ClaimResult ANSWERED = new ClaimResult.Answered(ClaimCluster.ANSWER);
-    private static final ClaimDecision REPLAY = new ClaimDecision.Kept(ClaimCluster.ANSWER);
+    private static final ClaimDecision REPLAY = new ClaimDecision.Replay(ClaimCluster.ANSWER);
     private static final long RECOVERY_MILLIS = 5_000;
 
     private final ClaimCluster cluster = ClaimCluster.of("a", "b", "c");
@@ -183,7 +183,7 @@
         single.updateHostList(hosts("a", "b"));
         single.run(RECOVERY_MILLIS);
         single.run(ClaimLimits.defaults().hostListLagMillis());
-        single.claims("b").listed(hosts("b"), single.nowMillis);
+        single.claims("b").hostListUpdated(hosts("b"), single.nowMillis);
         single.run(3 * RECOVERY_MILLIS);
         assertTrue(single.claims("b").viewNumber() > 0);
         single.resume("a");
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -31,7 +31,7 @@
     private final Map<String, Controller> controllers = new TreeMap<>();
     private final Map<String, FakeTarget> targets = new TreeMap<>();
     private final List<String> frozenHosts = new ArrayList<>();
-    private final List<ControlStep.Order> delayedOrders = new ArrayList<>();
+    private final List<ControlAction.Order> delayedOrders = new ArrayList<>();
     private FakeStore.Fault fault = FakeStore.Fault.NONE;
     private int callWithLostReply;
     private boolean checksFencing;
@@ -49,7 +49,7 @@
         long fencingNumber;
         int loads;
 
-        OrderResult order(ControlStep.Order order, boolean checkFencing, long nowMillis) {
+        OrderResult order(ControlAction.Order order, boolean checkFencing, long nowMillis) {
             if (checkFencing && order.fencingNumber() < fencingNumber) {
                 return OrderResult.FENCED;
             }
@@ -174,9 +174,9 @@
         assertFalse(first.equals(holder()), "a successor holds the lease");
         targets.values().forEach(target -> assertEquals("plank@3", target.version));
         frozenHosts.clear();
-        List<ControlStep> resumedActions = controllers.get(first).tick(nowMillis);
+        List<ControlAction> resumedActions = controllers.get(first).tick(nowMillis);
         assertTrue(
-                resumedActions.stream().noneMatch(ControlStep.Order.class::isInstance),
+                resumedActions.stream().noneMatch(ControlAction.Order.class::isInstance),
                 "the resumed holder sends no order");
     }
 
@@ -186,7 +186,7 @@
         }
         for (String host : hosts) {
             Controller controller = Controller.of(new NodeIdentity(host, 1, SUVA));
-            controller.targets(
+            controller.targetsUpdated(
                     targets.keySet().stream().map(ControllerTest::listed).toList(), nowMillis);
             controllers.put(host, controller);
         }
@@ -200,7 +200,7 @@
                 generation++, "d", Map.of("plank-serve", service), Map.of(), Map.of(), Map.of(), Set.of());
         controllers.forEach((host, controller) -> {
             if (!frozenHosts.contains(host)) {
-                controller.configured(configuration, nowMillis);
+                controller.configurationUpdated(configuration, nowMillis);
             }
         });
     }
@@ -224,27 +224,27 @@
     private void report(Controller controller) {
         targets.forEach((name, target) -> {
             if (target.loading.isEmpty()) {
-                controller.reported(
+                controller.targetReported(
                         new TargetLoad(name, "plank-serve", List.of(target.version), 0, 0, 8, 30, 0, false, nowMillis),
                         nowMillis);
             }
         });
     }
 
-    private void perform(Controller controller, List<ControlStep> steps) {
-        for (ControlStep step : steps) {
-            if (step instanceof ControlStep.CallStore call) {
+    private void perform(Controller controller, List<ControlAction> steps) {
+        for (ControlAction step : steps) {
+            if (step instanceof ControlAction.CallStore call) {
                 StoreCommand command = call.command();
                 boolean lose = store.calls() + 1 == callWithLostReply;
                 FakeStore.Fault now = lose ? FakeStore.Fault.ANSWER_LOST : fault;
                 perform(
                         controller,
                         controller.storeReplied(call.callId(), store.call(command, now, nowMillis), nowMillis));
-            } else if (step instanceof ControlStep.Order order && delayOrders) {
+            } else if (step instanceof ControlAction.Order order && delayOrders) {
                 delayedOrders.add(order);
-            } else if (step instanceof ControlStep.Order order) {
+            } else if (step instanceof ControlAction.Order order) {
                 OrderResult result = targets.get(order.target()).order(order, checksFencing, nowMillis);
-                perform(controller, controller.answered(order.orderId(), result, nowMillis));
+                perform(controller, controller.orderAnswered(order.orderId(), result, nowMillis));
             }
         }
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/AdmissionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/AdmissionTest.java
@@ -16,29 +16,29 @@
 
     @Test
     void shouldAcceptARequestWhenItWouldBeInTime() {
-        assertFalse(Admission.shouldRefuse(800, 900, OBJECTIVE_MILLIS, Urgency.MIDDLE));
-        assertTrue(Admission.shouldRefuse(801, 901, OBJECTIVE_MILLIS, Urgency.MIDDLE));
+        assertFalse(Admission.shouldReject(800, 900, OBJECTIVE_MILLIS, Urgency.MIDDLE));
+        assertTrue(Admission.shouldReject(801, 901, OBJECTIVE_MILLIS, Urgency.MIDDLE));
     }
 
     @Test
     void shouldRejectTheLessUrgentFirstWhenAllWouldWaitEqually() {
-        assertFalse(Admission.shouldRefuse(850, 950, OBJECTIVE_MILLIS, Urgency.FIRST));
-        assertTrue(Admission.shouldRefuse(850, 950, OBJECTIVE_MILLIS, Urgency.MIDDLE));
-        assertFalse(Admission.shouldRefuse(700, 800, OBJECTIVE_MILLIS, Urgency.LAST));
-        assertTrue(Admission.shouldRefuse(750, 850, OBJECTIVE_MILLIS, Urgency.LAST));
+        assertFalse(Admission.shouldReject(850, 950, OBJECTIVE_MILLIS, Urgency.FIRST));
+        assertTrue(Admission.shouldReject(850, 950, OBJECTIVE_MILLIS, Urgency.MIDDLE));
+        assertFalse(Admission.shouldReject(700, 800, OBJECTIVE_MILLIS, Urgency.LAST));
+        assertTrue(Admission.shouldReject(750, 850, OBJECTIVE_MILLIS, Urgency.LAST));
     }
 
     /** Guards against a prompt so large that it is late by itself never being served, as any wait rejects it. */
     @Test
     void shouldAcceptALargePromptWhenItHardlyWaits() {
-        assertFalse(Admission.shouldRefuse(0, 5_000, OBJECTIVE_MILLIS, Urgency.LAST));
-        assertFalse(Admission.shouldRefuse(200, 5_200, OBJECTIVE_MILLIS, Urgency.LAST));
-        assertTrue(Admission.shouldRefuse(300, 5_300, OBJECTIVE_MILLIS, Urgency.LAST));
+        assertFalse(Admission.shouldReject(0, 5_000, OBJECTIVE_MILLIS, Urgency.LAST));
+        assertFalse(Admission.shouldReject(200, 5_200, OBJECTIVE_MILLIS, Urgency.LAST));
+        assertTrue(Admission.shouldReject(300, 5_300, OBJECTIVE_MILLIS, Urgency.LAST));
     }
 
     @Test
     void shouldNotRejectWhenThereIsNoCandidate() {
-        assertFalse(Admission.shouldRefuse(
+        assertFalse(Admission.shouldReject(
                 Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, OBJECTIVE_MILLIS, Urgency.FIRST));
     }
 
@@ -54,7 +54,7 @@
         int inTime = 0;
         for (double nowMillis = 0; nowMillis < OVERLOAD_MILLIS; nowMillis += PREFILL_MILLIS / OVERLOAD_FACTOR) {
             double queueWaitMillis = Math.max(0, freeAtMillis - nowMillis);
-            if (Admission.shouldRefuse(
+            if (Admission.shouldReject(
                     queueWaitMillis, queueWaitMillis + PREFILL_MILLIS, OBJECTIVE_MILLIS, Urgency.FIRST)) {
                 continue;
             }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/HelpOrderTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CatchUpOrderTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class HelpOrderTest {
+class CatchUpOrderTest {
     /**
      * Time until the other hosts know that a host has caught up: the transfer within a region and the interval between
      * two state reports.
@@ -33,7 +33,7 @@
         Set<Long> delays = new HashSet<>();
         int simultaneous = 0;
         for (int i = 0; i < hosts; i++) {
-            long delayMillis = HelpOrder.waitMillis(names, "host-" + i, "new");
+            long delayMillis = CatchUpOrder.delayMillis(names, "host-" + i, "new");
             delays.add(delayMillis);
             simultaneous += delayMillis < REPORT_DELAY_MILLIS ? 1 : 0;
         }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CallerDirectoryTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EntryHostDirectoryTest.java
@@ -8,7 +8,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-class CallerDirectoryTest {
+class EntryHostDirectoryTest {
     private static GatewayHost host(String name, String region) {
         return new GatewayHost(name, 1, Place.of(region, region + "-hall"), name + ":80", name + ":90");
     }
@@ -17,10 +17,10 @@
     private final GatewayHost lautoka = host("l", "lautoka");
     private final GatewayHost labasa = host("b", "labasa");
 
-    private final CallerDirectory directory = CallerDirectory.of(0);
+    private final EntryHostDirectory directory = EntryHostDirectory.of(0);
 
-    private static Option<CallerPlace> caller(String... homes) {
-        return Option.some(new CallerPlace("labasa", "labasa-hall", List.of(homes)));
+    private static Option<CallerLocation> caller(String... homes) {
+        return Option.some(new CallerLocation("labasa", "labasa-hall", List.of(homes)));
     }
 
     @Test
@@ -70,7 +70,7 @@
     void shouldListAnyHostWhenHomeRegionsHaveBeenAbsentForLong() {
         assertEquals(
                 List.of("s:80"),
-                directory.list(List.of(suva), caller("lautoka"), CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
+                directory.list(List.of(suva), caller("lautoka"), EntryHostDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     /**
@@ -90,7 +90,7 @@
      */
     @Test
     void shouldListNoHostWhenTheRegionHadHostsButWasNotRequestedRecently() {
-        directory.saw(List.of(lautoka), 10_000);
+        directory.recordHosts(List.of(lautoka), 10_000);
 
         assertEquals(List.of(), directory.list(List.of(suva), caller("lautoka"), 12_000));
     }
@@ -102,15 +102,15 @@
      */
     @Test
     void shouldListNoHostWhenNoHomeRegionMayServeAllAndTheCallersRegionHadHostsRecently() {
-        Option<CallerPlace> withoutCommonHome =
-                Option.some(new CallerPlace("labasa", "labasa-hall", List.of("suva", "lautoka"), List.of()));
-        directory.saw(List.of(labasa), 10_000);
+        Option<CallerLocation> withoutCommonHome =
+                Option.some(new CallerLocation("labasa", "labasa-hall", List.of("suva", "lautoka"), List.of()));
+        directory.recordHosts(List.of(labasa), 10_000);
 
         assertEquals(List.of(), directory.list(List.of(suva, lautoka), withoutCommonHome, 12_000));
         assertEquals(
                 List.of("s:80"),
                 directory.list(
-                        List.of(suva, lautoka), withoutCommonHome, 10_000 + CallerDirectory.ABSENCE_TIMEOUT_MILLIS));
+                        List.of(suva, lautoka), withoutCommonHome, 10_000 + EntryHostDirectory.ABSENCE_TIMEOUT_MILLIS));
     }
 
     @Test
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ForwardDelayTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ForwardDelayTest.java
@@ -10,7 +10,7 @@
     @Test
     void shouldCountHalfARoundTripWhenTheLinkIsIdle() {
         // Sent at 1,000 by the receiver's clock, received at 1,080, forwarded 300 ms later, read after another 80 ms.
-        assertEquals(80, ForwardDelay.millis(1_460, 1_000, 300, ROUND_TRIP_MILLIS));
+        assertEquals(80, ForwardDelay.delayMillis(1_460, 1_000, 300, ROUND_TRIP_MILLIS));
     }
 
     /**
@@ -20,16 +20,16 @@
      */
     @Test
     void shouldCountTheWholeDelayWhenARequestIsReadLate() {
-        assertEquals(3_080, ForwardDelay.millis(4_460, 1_000, 300, ROUND_TRIP_MILLIS));
+        assertEquals(3_080, ForwardDelay.delayMillis(4_460, 1_000, 300, ROUND_TRIP_MILLIS));
     }
 
     @Test
     void shouldCountNothingWhenTheSenderReceivedNoState() {
-        assertEquals(0, ForwardDelay.millis(4_460, 0, 4_460, ROUND_TRIP_MILLIS));
+        assertEquals(0, ForwardDelay.delayMillis(4_460, 0, 4_460, ROUND_TRIP_MILLIS));
     }
 
     @Test
     void shouldNeverBeNegativeWhenTheTransferIsFasterThanUsual() {
-        assertEquals(0, ForwardDelay.millis(1_310, 1_000, 300, ROUND_TRIP_MILLIS));
+        assertEquals(0, ForwardDelay.delayMillis(1_310, 1_000, 300, ROUND_TRIP_MILLIS));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/GatewayConfigurationTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/GatewayConfigurationTest.java
@@ -58,8 +58,8 @@
 
     @Test
     void shouldRestrictHomeRegionsWhenAResidencyRuleNamesARouteOrItsService() {
-        GatewayConfiguration byRoute = configuration.within(Map.of("long", Set.of("labasa", "lautoka")));
-        GatewayConfiguration byService = configuration.within(Map.of(Samples.MODEL, Set.of("suva")));
+        GatewayConfiguration byRoute = configuration.restrictedTo(Map.of("long", Set.of("labasa", "lautoka")));
+        GatewayConfiguration byService = configuration.restrictedTo(Map.of(Samples.MODEL, Set.of("suva")));
 
         assertEquals(
                 Set.of("labasa"), byRoute.route("desk.example", "/a/b/").get().homeRegions());
@@ -71,7 +71,7 @@
     @Test
     void shouldAllowNoRegionWhenTwoRulesContradictEachOther() {
         RouteRule route = configuration
-                .within(Map.of("other", Set.of("suva")))
+                .restrictedTo(Map.of("other", Set.of("suva")))
                 .route("else.example", "/")
                 .get();
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LatencyModelTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LatencyModelTest.java
@@ -23,7 +23,7 @@
         long nowMillis = 0;
         for (int i = 0; i < OBSERVATIONS; i++) {
             nowMillis += OBSERVATION_MILLIS;
-            model.firstEventTook(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
+            model.recordFirstEvent(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
         }
         return nowMillis;
     }
@@ -58,11 +58,11 @@
     @Test
     void shouldAdaptAgainWhenTheOverloadReturns() {
         long nowMillis = overload() + 20_000;
-        model.firstEventTook(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
+        model.recordFirstEvent(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
         double afterOneMillis = model.firstEventMillis(TOKENS, Urgency.LAST, nowMillis);
         for (int i = 0; i < 10; i++) {
             nowMillis += OBSERVATION_MILLIS;
-            model.firstEventTook(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
+            model.recordFirstEvent(TOKENS, Urgency.LAST, OVERTAKEN_MILLIS, nowMillis);
         }
 
         assertTrue(afterOneMillis < OVERTAKEN_MILLIS / 2, "estimate after one observation: " + afterOneMillis);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkShareTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/LinkRateLimiterTest.java
@@ -14,7 +14,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class LinkShareTest {
+class LinkRateLimiterTest {
     private static final double LINK_BYTES_PER_MILLI = 1_250;
     private static final int CHUNK_BYTES = 8_192;
 
@@ -26,7 +26,7 @@
     void shouldKeepEachSpanWithinTheShareWhenAllAllowedBytesAreSent(
             @ForAll @DoubleRange(min = 0.05, max = 1) double share,
             @ForAll @Size(min = 2, max = 60) List<@IntRange(min = 1, max = 200) Integer> pausesMillis) {
-        LinkShare limiter = LinkShare.of(LINK_BYTES_PER_MILLI, share);
+        LinkRateLimiter limiter = LinkRateLimiter.of(LINK_BYTES_PER_MILLI, share);
         List<long[]> moved = new ArrayList<>();
         long now = 0;
         for (int pause : pausesMillis) {
@@ -42,7 +42,7 @@
             for (long[] each : moved) {
                 if (each[0] >= first[0]) {
                     bytes += each[1];
-                    double spanMillis = each[0] - first[0] + LinkShare.BURST_MILLIS;
+                    double spanMillis = each[0] - first[0] + LinkRateLimiter.BURST_MILLIS;
                     assertTrue(bytes <= LINK_BYTES_PER_MILLI * share * spanMillis + CHUNK_BYTES, "bytes: " + bytes);
                 }
             }
@@ -51,7 +51,7 @@
 
     @Test
     void shouldReturnTheDelayWhenBytesWereTransferred() {
-        LinkShare limiter = LinkShare.of(LINK_BYTES_PER_MILLI, 0.5);
+        LinkRateLimiter limiter = LinkRateLimiter.of(LINK_BYTES_PER_MILLI, 0.5);
 
         limiter.consume(62_500, 1_000);
 
@@ -61,7 +61,7 @@
 
     @Test
     void shouldRejectAShareWhenItOrTheLinkIsZero() {
-        assertThrows(IllegalArgumentException.class, () -> LinkShare.of(LINK_BYTES_PER_MILLI, 0));
-        assertThrows(IllegalArgumentException.class, () -> LinkShare.of(0, 1));
+        assertThrows(IllegalArgumentException.class, () -> LinkRateLimiter.of(LINK_BYTES_PER_MILLI, 0));
+        assertThrows(IllegalArgumentException.class, () -> LinkRateLimiter.of(0, 1));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/PlacementTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/PlacementTest.java
@@ -24,21 +24,21 @@
 
     /** Returns the region of a long stream, given the inter-token latency in the own and in the other region. */
     private Option<String> regionOfLongStream(double ownInterTokenMillis, double otherInterTokenMillis) {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.find("a").get().eventAfter(ownInterTokenMillis, 0);
-        loads.reported(OTHER, Samples.MODEL, Urgency.MIDDLE, 40, 0, UNTIL_MILLIS);
-        loads.reported(OTHER, Samples.MODEL, new RegionStreams(otherInterTokenMillis, 0));
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.find("a").get().recordEventInterval(ownInterTokenMillis, 0);
+        loads.update(OTHER, Samples.MODEL, Urgency.MIDDLE, 40, 0, UNTIL_MILLIS);
+        loads.update(OTHER, Samples.MODEL, new RegionStreamStats(otherInterTokenMillis, 0));
         RouteRule route = Samples.route("ask", "desk.example", "/a/", Set.of());
-        Surroundings clusterView =
-                new Surroundings(OWN, RegionView.certain(Set.of("h1")), Map.of(OTHER, ROUND_TRIP_MILLIS), Set.of());
+        ClusterView clusterView =
+                new ClusterView(OWN, RegionView.complete(Set.of("h1")), Map.of(OTHER, ROUND_TRIP_MILLIS), Set.of());
         return Placement.of(
-                        new Demand(route, Samples.MODEL_SERVICE, LONG_STREAM, Set.of()),
+                        new PlacementRequest(route, Samples.MODEL_SERVICE, LONG_STREAM, Set.of()),
                         clusterView,
                         chooser,
                         loads,
                         Mechanisms.ALL,
                         1)
-                .region();
+                .forwardRegion();
     }
 
     /**
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionLoadsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RegionLoadsTest.java
@@ -25,14 +25,14 @@
     }
 
     private void report(double expectedMillis) {
-        loads.reported(REGION, SERVICE, Urgency.FIRST, expectedMillis, 0.1, UNTIL_MILLIS);
+        loads.update(REGION, SERVICE, Urgency.FIRST, expectedMillis, 0.1, UNTIL_MILLIS);
     }
 
     @Test
     void shouldAddSentRequestsWhenTheRegionHasNotReportedSince() {
         report(50);
         assertEquals(60, expectedMillis(0));
-        loads.sent(REGION, SERVICE, Urgency.FIRST, 200, 1);
+        loads.recordSent(REGION, SERVICE, Urgency.FIRST, 200, 1);
         assertEquals(80, expectedMillis(0));
         report(70);
         assertEquals(80, expectedMillis(0));
@@ -42,7 +42,7 @@
     @Test
     void shouldExpectNoLaterAnswerToAnUrgentRequestWhenALessUrgentOneWasSent() {
         report(50);
-        loads.sent(REGION, SERVICE, Urgency.LAST, DRAFT_TOKENS, HOSTS);
+        loads.recordSent(REGION, SERVICE, Urgency.LAST, DRAFT_TOKENS, HOSTS);
         assertEquals(60, expectedMillis(0));
     }
 
@@ -56,11 +56,11 @@
         double sentMillis = 0;
         for (int host = 0; host < HOSTS; host++) {
             RegionLoads own = new RegionLoads();
-            own.reported(REGION, SERVICE, Urgency.LAST, REPORTED_MILLIS, PER_TOKEN_MILLIS, UNTIL_MILLIS);
+            own.update(REGION, SERVICE, Urgency.LAST, REPORTED_MILLIS, PER_TOKEN_MILLIS, UNTIL_MILLIS);
             for (int i = 0; i < DRAFTS; i++) {
                 double expectedMillis = own.expectedMillis(REGION, SERVICE, Urgency.LAST, DRAFT_TOKENS, 0);
                 if (expectedMillis <= OBJECTIVE_MILLIS) {
-                    own.sent(REGION, SERVICE, Urgency.LAST, DRAFT_TOKENS, HOSTS);
+                    own.recordSent(REGION, SERVICE, Urgency.LAST, DRAFT_TOKENS, HOSTS);
                     sentMillis += DRAFT_TOKENS * PER_TOKEN_MILLIS;
                 }
             }
@@ -79,7 +79,7 @@
     @Test
     void shouldSendNothingWhenTheRegionRejectedUntilItReportsAgain() {
         report(50);
-        loads.refused(REGION, SERVICE, Urgency.FIRST);
+        loads.recordRejected(REGION, SERVICE, Urgency.FIRST);
         assertEquals(Double.POSITIVE_INFINITY, expectedMillis(0));
 
         report(50);
@@ -89,7 +89,7 @@
     @Test
     void shouldContinueSendingTheMoreUrgentWhenTheRegionRejectedALessUrgentRequest() {
         report(50);
-        loads.refused(REGION, SERVICE, Urgency.LAST);
+        loads.recordRejected(REGION, SERVICE, Urgency.LAST);
         assertEquals(60, expectedMillis(0));
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/ReturnQueueTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RetryAfterQueueTest.java
@@ -8,15 +8,15 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class ReturnQueueTest {
+class RetryAfterQueueTest {
     private static final String SERVICE = "drafts";
     private static final long REMAINING_MILLIS = 10_000;
     private static final double COST_MILLIS = 100;
 
-    private final ReturnQueue queue = new ReturnQueue();
+    private final RetryAfterQueue queue = new RetryAfterQueue();
 
     private long reject(Urgency urgency, long nowMillis) {
-        return queue.returnAfter(SERVICE, urgency, COST_MILLIS, REMAINING_MILLIS, 0, nowMillis);
+        return queue.retryAfterMillis(SERVICE, urgency, COST_MILLIS, REMAINING_MILLIS, 0, nowMillis);
     }
 
     /**
@@ -31,14 +31,14 @@
         }
 
         for (int i = 0; i < retryAfterMillis.size(); i++) {
-            assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS + i * (long) COST_MILLIS, retryAfterMillis.get(i));
+            assertEquals(RetryAfterQueue.MIN_RETRY_AFTER_MILLIS + i * (long) COST_MILLIS, retryAfterMillis.get(i));
         }
     }
 
     @Test
     void shouldNeverExceedTheUsefulTimeWhenManyAreRejected() {
         for (int i = 0; i < 1_000; i++) {
-            assertTrue(reject(Urgency.FIRST, i) <= ReturnQueue.MAX_REMAINING_FRACTION * REMAINING_MILLIS);
+            assertTrue(reject(Urgency.FIRST, i) <= RetryAfterQueue.MAX_REMAINING_FRACTION * REMAINING_MILLIS);
         }
     }
 
@@ -48,7 +48,7 @@
             reject(Urgency.FIRST, 0);
         }
 
-        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.FIRST, REMAINING_MILLIS));
+        assertEquals(RetryAfterQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.FIRST, REMAINING_MILLIS));
     }
 
     @Test
@@ -56,6 +56,6 @@
         reject(Urgency.FIRST, 0);
         reject(Urgency.FIRST, 0);
 
-        assertEquals(ReturnQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.LAST, 0));
+        assertEquals(RetryAfterQueue.MIN_RETRY_AFTER_MILLIS, reject(Urgency.LAST, 0));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RepeatAllowanceTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class RepeatAllowanceTest {
+class RetryBudgetTest {
     private static final double RATIO = 0.2;
     private static final double SLACK = 52;
     private static final long WINDOW_MILLIS = 10_000;
@@ -17,13 +17,13 @@
 
     @Test
     void shouldCountServicesSeparatelyWhenOneHasSpentItsShare() {
-        RepeatAllowance budget = RepeatAllowance.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
-        while (budget.spend("a", 0)) {
-            assertTrue(budget.left("a", 0) >= 0);
+        RetryBudget budget = RetryBudget.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
+        while (budget.trySpend("a", 0)) {
+            assertTrue(budget.remaining("a", 0) >= 0);
         }
 
-        assertFalse(budget.spend("a", 0));
-        assertTrue(budget.spend("b", 0));
+        assertFalse(budget.trySpend("a", 0));
+        assertTrue(budget.trySpend("b", 0));
     }
 
     /**
@@ -35,9 +35,9 @@
     void shouldKeepTheSumUnderTheBoundWhenAllHostsRetryAllTheyMay(
             @ForAll @IntRange(min = 1, max = MIN_HOSTS) int hosts,
             @ForAll @Size(min = 1, max = 40) java.util.List<@IntRange(min = 0, max = 400) Integer> attemptsPerStep) {
-        RepeatAllowance[] budgets = new RepeatAllowance[hosts];
+        RetryBudget[] budgets = new RetryBudget[hosts];
         for (int host = 0; host < hosts; host++) {
-            budgets[host] = RepeatAllowance.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
+            budgets[host] = RetryBudget.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
         }
         // A retry of this window was granted for first attempts of the window that ended with it: two windows contain
         // both.
@@ -47,11 +47,11 @@
         for (int step : attemptsPerStep) {
             now += 250;
             for (int i = 0; i < step; i++) {
-                budgets[i % hosts].first("s", now);
+                budgets[i % hosts].recordFirstAttempt("s", now);
                 firstAttempts.add(now);
             }
-            for (RepeatAllowance budget : budgets) {
-                while (budget.spend("s", now)) {
+            for (RetryBudget budget : budgets) {
+                while (budget.trySpend("s", now)) {
                     retries.add(now);
                 }
             }
@@ -73,10 +73,10 @@
             @ForAll @IntRange(min = 0, max = 500) int slack) {
         int granted = 0;
         for (int host = 0; host < hosts; host++) {
-            RepeatAllowance budget = RepeatAllowance.of(RATIO, slack, MIN_HOSTS, WINDOW_MILLIS);
-            budget.hostsKnown((int) Math.ceil(hosts * (100 - unknownPercent) / 100.0));
-            budget.hostsKnown(1);
-            while (budget.spend("s", 0)) {
+            RetryBudget budget = RetryBudget.of(RATIO, slack, MIN_HOSTS, WINDOW_MILLIS);
+            budget.updateKnownHosts((int) Math.ceil(hosts * (100 - unknownPercent) / 100.0));
+            budget.updateKnownHosts(1);
+            while (budget.trySpend("s", 0)) {
                 granted++;
             }
         }
@@ -99,8 +99,8 @@
         double ratio = 1;
         double slack = 2;
         long windowMillis = 10;
-        RepeatAllowance[] hosts = {
-            RepeatAllowance.of(ratio, slack, 2, windowMillis), RepeatAllowance.of(ratio, slack, 2, windowMillis)
+        RetryBudget[] hosts = {
+            RetryBudget.of(ratio, slack, 2, windowMillis), RetryBudget.of(ratio, slack, 2, windowMillis)
         };
         SlidingWindowCounter firstAttempts = new SlidingWindowCounter(2 * windowMillis);
         SlidingWindowCounter retries = new SlidingWindowCounter(windowMillis);
@@ -110,9 +110,9 @@
             if (move == kinds - 1) {
                 now += windowMillis / 2;
             } else if (move < 2) {
-                hosts[move].first("s", now);
+                hosts[move].recordFirstAttempt("s", now);
                 firstAttempts.add(now);
-            } else if (hosts[move - 2].spend("s", now)) {
+            } else if (hosts[move - 2].trySpend("s", now)) {
                 retries.add(now);
             }
             assertTrue(retries.count(now) <= ratio * firstAttempts.count(now) + slack, "order " + order);
