--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
@@ -65,7 +65,7 @@
         private final List<Long> stopsAtMillis = new ArrayList<>();
         private final List<Boolean> acceptedCallers = new ArrayList<>();
         private final List<Long> acceptMillis = new ArrayList<>();
-        private CallerDirectory directory = CallerDirectory.of(-START_UP_MILLIS);
+        private EntryHostDirectory directory = EntryHostDirectory.of(-START_UP_MILLIS);
         private long startedAtMillis = -START_UP_MILLIS;
         private long stopRequestedAtMillis = -1;
         private long streamsEndAtMillis;
@@ -99,7 +99,7 @@
     private static final class Simulation {
         private final Random random;
         private final List<Host> hosts = new ArrayList<>();
-        private final StopPlan plan = StopPlan.within(GRACE_MILLIS);
+        private final ShutdownPlan plan = ShutdownPlan.within(GRACE_MILLIS);
         private final long[] unservedSinceMillis = new long[REGIONS];
         private final List<String> misdirected = new ArrayList<>();
         private final long delayMillis;
@@ -150,7 +150,7 @@
         private void step(Host host, long now) {
             if (!host.running && now >= host.startedAtMillis) {
                 host.running = true;
-                host.directory = CallerDirectory.of(now);
+                host.directory = EntryHostDirectory.of(now);
             }
             boolean due = !host.stopsAtMillis.isEmpty() && now >= host.stopsAtMillis.get(0);
             if (due && host.acceptsCallers(now)) {
@@ -168,8 +168,8 @@
         private void continueStop(Host host, long now) {
             long stopping = host.stoppingMillis(now);
             boolean hasWork = now < host.streamsEndAtMillis;
-            host.closing |= plan.mayEnd(stopping, peers(host, now), hasWork);
-            if (host.closing && !hasWork || stopping >= plan.cutMillis()) {
+            host.closing |= plan.mayClose(stopping, peers(host, now), hasWork);
+            if (host.closing && !hasWork || stopping >= plan.closeMillis()) {
                 host.running = false;
                 host.stopRequestedAtMillis = -1;
                 host.startedAtMillis = now + RESTART_MILLIS;
@@ -181,10 +181,10 @@
                 return Long.MAX_VALUE;
             }
             boolean stopping = host.running && host.stopRequestedAtMillis >= 0 && !host.closing;
-            return stopping ? plan.workMillis(host.stoppingMillis(now), peers(host, now)) : 0;
+            return stopping ? plan.acceptMillis(host.stoppingMillis(now), peers(host, now)) : 0;
         }
 
-        private OtherHosts peers(Host host, long now) {
+        private PeerAvailability peers(Host host, long now) {
             long observedAtMillis = now - delayMillis;
             boolean hasPeers = false;
             boolean peerAcceptsCallers = false;
@@ -199,8 +199,8 @@
                     }
                 }
             }
-            long ownAcceptMillis = plan.workMillis(host.stoppingMillis(now), OtherHosts.AWAY);
-            return OtherHosts.of(hasPeers, peerAcceptsCallers, maxAcceptMillis, ownAcceptMillis);
+            long ownAcceptMillis = plan.acceptMillis(host.stoppingMillis(now), PeerAvailability.UNAVAILABLE);
+            return PeerAvailability.of(hasPeers, peerAcceptsCallers, maxAcceptMillis, ownAcceptMillis);
         }
 
         /**
@@ -208,9 +208,9 @@
          */
         private boolean couldServe(Host host, long now) {
             boolean stopping = host.stopRequestedAtMillis >= 0;
-            long remainingMillis = plan.cutMillis() - host.stoppingMillis(now);
+            long remainingMillis = plan.closeMillis() - host.stoppingMillis(now);
             return host.running
-                    && (stopping ? remainingMillis > OtherHosts.MIN_REMAINING_MILLIS : host.acceptsCallers(now));
+                    && (stopping ? remainingMillis > PeerAvailability.MIN_REMAINING_MILLIS : host.acceptsCallers(now));
         }
 
         /** A host alone in its region is back soonest if it shuts down soon. */
@@ -238,8 +238,8 @@
                 if (queried.running) {
                     List<GatewayHost> accepting = visibleHosts(queried, now, true);
                     List<GatewayHost> closing = visibleHosts(queried, now, false);
-                    queried.directory.saw(accepting, now);
-                    queried.directory.saw(closing, now);
+                    queried.directory.recordHosts(accepting, now);
+                    queried.directory.recordHosts(closing, now);
                     for (int caller = 0; caller < REGIONS; caller++) {
                         query(queried, caller, accepting, closing, now);
                     }
@@ -265,7 +265,7 @@
          */
         private void query(Host queried, int caller, List<GatewayHost> accepting, List<GatewayHost> closing, long now) {
             List<String> homeRegions = List.of("r" + (caller + 1) % REGIONS, "r" + (caller + 2) % REGIONS);
-            CallerPlace location = new CallerPlace("r" + caller, "d" + caller, homeRegions, List.of());
+            CallerLocation location = new CallerLocation("r" + caller, "d" + caller, homeRegions, List.of());
             List<String> listed = queried.directory.list(accepting, closing, Option.some(location), now);
             boolean isElsewhere = listed.stream().anyMatch(address -> !address.startsWith("h" + caller));
             if (isElsewhere && hadHostsRecently(caller, now)) {
@@ -278,7 +278,7 @@
          * waited for.
          */
         private boolean hadHostsRecently(int region, long now) {
-            long sinceMillis = now - CallerDirectory.ABSENCE_TIMEOUT_MILLIS + CALLER_INTERVAL_MILLIS;
+            long sinceMillis = now - EntryHostDirectory.ABSENCE_TIMEOUT_MILLIS + CALLER_INTERVAL_MILLIS;
             for (long at = now - delayMillis; at > sinceMillis; at -= STEP_MILLIS) {
                 for (Host host : hosts) {
                     if (host.region == region && host.acceptMillisAt(at) > 0) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RouteRuleTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RouteRuleTest.java
@@ -40,6 +40,6 @@
                 0,
                 Set.of());
 
-        assertEquals("new", route.service(draw));
+        assertEquals("new", route.pickService(draw));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/Samples.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/Samples.java
@@ -18,7 +18,7 @@
 
     static TargetEntry incarnation(
             String id, long startedAtMillis, String dataCentre, boolean leaving, long coldMillis) {
-        TargetRun incarnation = new TargetRun(id, startedAtMillis);
+        TargetIncarnation incarnation = new TargetIncarnation(id, startedAtMillis);
         return new TargetEntry(incarnation, MODEL, "10.0.0.1", 8080, dataCentre, 64, leaving, coldMillis);
     }
 
@@ -40,6 +40,6 @@
 
     static GatewayConfiguration configuration(long version, RouteRule... routes) {
         return GatewayConfiguration.of(
-                version, List.of(routes), List.of(MODEL_SERVICE, PLAIN_SERVICE), CallerBounds.DEFAULTS);
+                version, List.of(routes), List.of(MODEL_SERVICE, PLAIN_SERVICE), CallerLimits.DEFAULTS);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedEngine.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedEngine.java
@@ -61,7 +61,7 @@
 
     private int cachedTokens(Work work) {
         int cached = 0;
-        for (PromptPart part : work.parts()) {
+        for (PromptPart part : work.promptParts()) {
             if (!cache.containsKey(part.id())) {
                 return cached;
             }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
@@ -32,7 +32,7 @@
     private final Map<String, SimulatedEngine> engines = new HashMap<>();
     private final List<Host> hosts = new ArrayList<>();
     private final Map<StreamKind, List<Call>> calls = new EnumMap<>(StreamKind.class);
-    private final Surroundings clusterView;
+    private final ClusterView clusterView;
 
     private SimulatedRegion(int hostCount, int engineCount, long seed) {
         random = new Random(seed);
@@ -40,7 +40,7 @@
         for (int i = 0; i < hostCount; i++) {
             names.add("h" + i);
         }
-        clusterView = new Surroundings(REGION, RegionView.certain(names), Map.of(), Set.of());
+        clusterView = new ClusterView(REGION, RegionView.complete(names), Map.of(), Set.of());
         for (int i = 0; i < engineCount; i++) {
             engines.put("e" + i, new SimulatedEngine(time));
         }
@@ -122,7 +122,7 @@
             chooser = TargetChooser.of(name, pool, random);
             engines.keySet().stream()
                     .sorted()
-                    .forEach(id -> pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0));
+                    .forEach(id -> pool.register(Samples.target(id, DATA_CENTRE, false, 0), 0));
         }
 
         private void report() {
@@ -130,11 +130,11 @@
         }
 
         private void report(GatewayTarget target) {
-            SentWork own = target.own();
-            StreamPace stats = target.streams().own(time.nowMillis());
+            InFlightWork own = target.ownWork();
+            StreamStats stats = target.streams().ownStats(time.nowMillis());
             time.after(1, () -> hosts.stream().filter(other -> other != this).forEach(other -> other.pool
                     .find(target.id())
-                    .forEach(view -> view.toldByOther(name, own, stats))));
+                    .forEach(view -> view.updateFromHost(name, own, stats))));
         }
     }
 
@@ -160,20 +160,21 @@
         private void attempt() {
             long now = time.nowMillis();
             long remainingMillis = arrivedAtMillis + work.remainingMillis() - now;
-            Work remaining = work.within(remainingMillis);
-            Demand request = new Demand(kind.route(), SERVICE, remaining, Set.of());
+            Work remaining = work.withRemainingMillis(remainingMillis);
+            PlacementRequest request = new PlacementRequest(kind.route(), SERVICE, remaining, Set.of());
             Placement placement =
                     Placement.of(request, clusterView, host.chooser, new RegionLoads(), Mechanisms.ALL, now);
-            if (placement.local().isEmpty() || placement.shouldRefuse()) {
+            if (placement.localChoice().isEmpty() || placement.shouldReject()) {
                 retryOnce();
                 return;
             }
-            Choice choice = placement.local().get();
+            TargetChoice choice = placement.localChoice().get();
             SimulatedEngine engine = engines.get(choice.target().id());
-            SimulatedEngine transferSource =
-                    choice.source().map(target -> engines.get(target.id())).getOrElse((SimulatedEngine) null);
-            SentRequest inFlight = SentRequest.of(host.chooser, choice, SERVICE, remaining, now);
-            if (inFlight.isLarge()) {
+            SimulatedEngine transferSource = choice.transferSource()
+                    .map(target -> engines.get(target.id()))
+                    .getOrElse((SimulatedEngine) null);
+            InFlightRequest inFlight = InFlightRequest.of(host.chooser, choice, SERVICE, remaining, now);
+            if (inFlight.isLargePrefill()) {
                 host.report(choice.target());
             }
             generation = engine.submit(remaining, tokens, transferSource, last -> received(inFlight, last));
@@ -187,18 +188,18 @@
             }
         }
 
-        private void received(SentRequest inFlight, boolean last) {
+        private void received(InFlightRequest inFlight, boolean last) {
             long now = time.nowMillis();
             inTime |= now - arrivedAtMillis <= kind.route().objectiveMillis();
-            inFlight.part(true, now);
+            inFlight.recordEvent(true, now);
             if (last) {
-                inFlight.ended(true, now);
+                inFlight.recordEnd(true, now);
                 served = true;
                 generation = null;
             }
         }
 
-        private void timeOut(SimulatedEngine engine, SentRequest inFlight) {
+        private void timeOut(SimulatedEngine engine, InFlightRequest inFlight) {
             if (generation != null) {
                 engine.cancel(generation);
                 inFlight.release();
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreFollowersTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreWatchersTest.java
@@ -11,13 +11,13 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
-import org.rattanplank.core.gateway.StoreFollowers.Candidate;
+import org.rattanplank.core.gateway.StoreWatchers.Candidate;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class StoreFollowersTest {
+class StoreWatchersTest {
     private static final long SMALL_BYTES_PER_MILLI = 1_250;
     private static final long LARGE_BYTES_PER_MILLI = 25_000;
 
@@ -33,11 +33,11 @@
     /** Guards against hosts with small links that read and relay large items while larger links are idle. */
     @Test
     void shouldChooseTheLargeLinksWhenThereAreEnough() {
-        StoreFollowers watchers = StoreFollowers.of(hosts(30, 4, 30));
+        StoreWatchers watchers = StoreWatchers.of(hosts(30, 4, 30));
 
         assertEquals(3, watcherCount(watchers, 30));
         for (int i = 4; i < 30; i++) {
-            assertFalse(watchers.follows("host-" + i));
+            assertFalse(watchers.isWatcher("host-" + i));
         }
     }
 
@@ -47,29 +47,29 @@
         List<Candidate> hosts = new ArrayList<>(hosts(6, 0, 6));
         hosts.add(new Candidate("large", false, LARGE_BYTES_PER_MILLI));
 
-        assertFalse(StoreFollowers.of(hosts).follows("large"));
+        assertFalse(StoreWatchers.of(hosts).isWatcher("large"));
     }
 
     @Test
     void shouldChooseAllHostsWhenThereAreFew() {
-        assertEquals(3, watcherCount(StoreFollowers.of(hosts(3, 0, 0)), 3));
+        assertEquals(3, watcherCount(StoreWatchers.of(hosts(3, 0, 0)), 3));
     }
 
     /** Guards against a relay's load growing with its region, and against hosts without a relay. */
     @Property(tries = 200)
     void shouldGiveEachOtherHostOneRelayWhenLinksAreEqual(@ForAll @IntRange(min = 1, max = 400) int count) {
-        StoreFollowers watchers = StoreFollowers.of(hosts(count, 0, count));
+        StoreWatchers watchers = StoreWatchers.of(hosts(count, 0, count));
 
         Map<String, Integer> relayed = new HashMap<>();
         for (int i = 0; i < count; i++) {
-            if (!watchers.follows("host-" + i)) {
+            if (!watchers.isWatcher("host-" + i)) {
                 String relay = watchers.relayFor("host-" + i).get();
-                assertTrue(watchers.follows(relay));
+                assertTrue(watchers.isWatcher(relay));
                 relayed.merge(relay, 1, Integer::sum);
             }
         }
         for (int each : relayed.values()) {
-            assertTrue(each <= StoreFollowers.HOSTS_PER_FOLLOWER, "hosts of one relay: " + each);
+            assertTrue(each <= StoreWatchers.HOSTS_PER_WATCHER, "hosts of one relay: " + each);
         }
     }
 
@@ -80,20 +80,20 @@
         List<Candidate> hosts = hosts(count, count / 7, count - count / 5);
         List<Candidate> shuffled = new ArrayList<>(hosts);
         Collections.shuffle(shuffled, new Random(seed));
-        StoreFollowers one = StoreFollowers.of(hosts);
-        StoreFollowers other = StoreFollowers.of(shuffled);
+        StoreWatchers one = StoreWatchers.of(hosts);
+        StoreWatchers other = StoreWatchers.of(shuffled);
 
         for (Candidate host : hosts) {
-            assertEquals(one.follows(host.name()), other.follows(host.name()));
+            assertEquals(one.isWatcher(host.name()), other.isWatcher(host.name()));
             assertEquals(one.relayFor(host.name()), other.relayFor(host.name()));
-            assertEquals(one.turn(host.name()), other.turn(host.name()));
+            assertEquals(one.position(host.name()), other.position(host.name()));
         }
     }
 
-    private static int watcherCount(StoreFollowers watchers, int hosts) {
+    private static int watcherCount(StoreWatchers watchers, int hosts) {
         int count = 0;
         for (int i = 0; i < hosts; i++) {
-            count += watchers.follows("host-" + i) ? 1 : 0;
+            count += watchers.isWatcher("host-" + i) ? 1 : 0;
         }
         return count;
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetChooserTest.java
@@ -24,8 +24,8 @@
     private final TargetPool pool = TargetPool.of(Set.of(DATA_CENTRE));
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
 
-    private Choice choose(long nowMillis) {
-        return chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1")), nowMillis)
+    private TargetChoice choose(long nowMillis) {
+        return chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.complete(Set.of("h1")), nowMillis)
                 .get();
     }
 
@@ -39,13 +39,13 @@
 
     @Test
     void shouldSpreadWorkWhenTargetsAreAlike() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
-        Choice first = chooser.choose(Samples.MODEL_SERVICE, OWN, Set.of(), RegionView.certain(Set.of("h1")), 0)
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        TargetChoice first = chooser.choose(Samples.MODEL_SERVICE, OWN, Set.of(), RegionView.complete(Set.of("h1")), 0)
                 .get();
         first.target().reserve(OWN, 400_000, 0);
 
-        assertTrue(!chooser.choose(Samples.MODEL_SERVICE, OWN, Set.of(), RegionView.certain(Set.of("h1")), 1)
+        assertTrue(!chooser.choose(Samples.MODEL_SERVICE, OWN, Set.of(), RegionView.complete(Set.of("h1")), 1)
                 .get()
                 .target()
                 .id()
@@ -54,8 +54,8 @@
 
     @Test
     void shouldReturnToTheTargetThatHasThePromptCachedWhenItIsIdleAgain() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
         GatewayTarget first = choose(0).target();
         first.release(first.reserve(DRAFT, 400_000, 0));
 
@@ -72,14 +72,14 @@
         for (String name : List.of("h1", "h2", "h3")) {
             TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
             for (String id : List.of("a", "b", "c", "d")) {
-                own.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
+                own.register(Samples.target(id, DATA_CENTRE, false, 0), 0);
             }
             TargetChooser each = TargetChooser.of(name, own, new Random(name.hashCode()));
-            chosen.add(
-                    each.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1", "h2", "h3")), 0)
-                            .get()
-                            .target()
-                            .id());
+            chosen.add(each.choose(
+                            Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.complete(Set.of("h1", "h2", "h3")), 0)
+                    .get()
+                    .target()
+                    .id());
         }
 
         assertEquals(1, chosen.size());
@@ -87,8 +87,8 @@
 
     @Test
     void shouldAvoidTheAffinityTargetWhenItIsBusy() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
         GatewayTarget affinityTarget = choose(0).target();
         keepBusy(affinityTarget);
 
@@ -98,23 +98,25 @@
     /** Guards against the largest prompts being rejected whenever streams are lagging. */
     @Test
     void shouldChargeALargePromptNoMoreThanOthersWhenStreamsAreLagging() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.find("a").get().toldByOther("h2", new SentWork(40, WaitingTokens.NONE, 0), new StreamPace(40, 8_000, 6));
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.find("a")
+                .get()
+                .updateFromHost("h2", new InFlightWork(40, PrefillBacklog.NONE, 0), new StreamStats(40, 8_000, 6));
         Work usual = new Work(12_000, 300, List.of(new PromptPart("usual", 12_000)), Urgency.LAST, 0);
         Work large = new Work(50_000, 300, List.of(new PromptPart("large", 50_000)), Urgency.LAST, 0);
 
-        chooser.model(Samples.MODEL).promptSent(12_000, Urgency.LAST);
+        chooser.latencyModel(Samples.MODEL).recordPromptSent(12_000, Urgency.LAST);
         double chargedMillis = chooser.choose(
-                        Samples.MODEL_SERVICE, usual, Set.of(), RegionView.certain(Set.of("h1")), 0)
+                        Samples.MODEL_SERVICE, usual, Set.of(), RegionView.complete(Set.of("h1")), 0)
                 .get()
-                .outlook()
+                .estimate()
                 .delayCostMillis();
         assertTrue(chargedMillis > 0);
         assertEquals(
                 chargedMillis,
-                chooser.choose(Samples.MODEL_SERVICE, large, Set.of(), RegionView.certain(Set.of("h1")), 0)
+                chooser.choose(Samples.MODEL_SERVICE, large, Set.of(), RegionView.complete(Set.of("h1")), 0)
                         .get()
-                        .outlook()
+                        .estimate()
                         .delayCostMillis(),
                 1e-6);
     }
@@ -125,17 +127,17 @@
      */
     @Test
     void shouldChooseAnEngineThatBeginsALongStreamInTimeWhenItWouldBeRejectedAtTheFastOne() {
-        pool.entered(Samples.target("slow", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("quick", DATA_CENTRE, false, 0), 0);
-        pool.find("slow").get().eventAfter(250, 0);
-        pool.find("quick").get().eventAfter(60, 0);
+        pool.register(Samples.target("slow", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("quick", DATA_CENTRE, false, 0), 0);
+        pool.find("slow").get().recordEventInterval(250, 0);
+        pool.find("quick").get().recordEventInterval(60, 0);
         pool.find("quick").get().reserve(new Work(100_000, 300, List.of(), Urgency.MIDDLE, 0), 400_000, 0);
         Work longStream = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
         RouteRule route = Samples.route("ask", "desk.example", "/a/", Set.of());
 
-        Choice choice = chooser.choose(
-                        new Demand(route, Samples.MODEL_SERVICE, longStream, Set.of()),
-                        RegionView.certain(Set.of("h1")),
+        TargetChoice choice = chooser.choose(
+                        new PlacementRequest(route, Samples.MODEL_SERVICE, longStream, Set.of()),
+                        RegionView.complete(Set.of("h1")),
                         1)
                 .get();
 
@@ -148,10 +150,10 @@
      */
     @Test
     void shouldExpectPrefillOfTheOwnPartOnlyWhenTheAffinityTargetHasTheSharedPartFromOtherHosts() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
 
-        assertEquals(7_000, choose(0).readTokens());
+        assertEquals(7_000, choose(0).prefillTokens());
     }
 
     /**
@@ -161,34 +163,34 @@
      */
     @Test
     void shouldUseTheAffinityTargetAsTransferSourceWhenItIsTooBusyForTheRequest() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
-        Choice first = choose(0);
-        assertTrue(first.source().isEmpty());
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        TargetChoice first = choose(0);
+        assertTrue(first.transferSource().isEmpty());
         keepBusy(first.target());
 
-        Choice other = choose(1);
-        assertEquals(first.target(), other.source().get());
+        TargetChoice other = choose(1);
+        assertEquals(first.target(), other.transferSource().get());
 
         other.target().reserve(DRAFT, 400_000, 1);
-        assertTrue(choose(2).source().isEmpty());
+        assertTrue(choose(2).transferSource().isEmpty());
     }
 
     @Test
     void shouldUseNoTransferSourceWhenTransfersAreSwitchedOff() {
         Mechanisms mechanisms = new Mechanisms(Set.of(Mechanism.COPY_PARTS));
         TargetChooser withoutTransfers = TargetChooser.of("h1", pool, new Random(1), mechanisms);
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("b", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("b", DATA_CENTRE, false, 0), 0);
         GatewayTarget affinityTarget = choose(0).target();
         keepBusy(affinityTarget);
 
-        Choice other = withoutTransfers
-                .choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1")), 1)
+        TargetChoice other = withoutTransfers
+                .choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.complete(Set.of("h1")), 1)
                 .get();
 
         assertTrue(other.target() != affinityTarget);
-        assertTrue(other.source().isEmpty());
+        assertTrue(other.transferSource().isEmpty());
     }
 
     /**
@@ -198,14 +200,15 @@
      */
     @Test
     void shouldSendALongStreamToAnEngineThatEndsItInTimeWhenAnotherBeginsItSooner() {
-        pool.entered(Samples.target("slow", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("quick", DATA_CENTRE, false, 0), 0);
-        pool.find("slow").get().eventAfter(250, 0);
-        pool.find("quick").get().eventAfter(60, 0);
+        pool.register(Samples.target("slow", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("quick", DATA_CENTRE, false, 0), 0);
+        pool.find("slow").get().recordEventInterval(250, 0);
+        pool.find("quick").get().recordEventInterval(60, 0);
         pool.find("quick").get().reserve(OWN, 400_000, 0);
         Work longStream = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
 
-        Choice choice = chooser.choose(Samples.MODEL_SERVICE, longStream, Set.of(), RegionView.certain(Set.of("h1")), 1)
+        TargetChoice choice = chooser.choose(
+                        Samples.MODEL_SERVICE, longStream, Set.of(), RegionView.complete(Set.of("h1")), 1)
                 .get();
 
         assertEquals("quick", choice.target().id());
@@ -219,9 +222,9 @@
     @Test
     void shouldContinueSendingWhenAllTargetsFailAlike() {
         for (String id : List.of("a", "b", "c")) {
-            pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
+            pool.register(Samples.target(id, DATA_CENTRE, false, 0), 0);
             for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
-                pool.find(id).get().failed(0);
+                pool.find(id).get().recordFailure(0);
             }
         }
 
@@ -231,10 +234,10 @@
     @Test
     void shouldEjectAFailingTargetWhenMostOthersAreHealthy() {
         for (String id : List.of("a", "b", "c")) {
-            pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
+            pool.register(Samples.target(id, DATA_CENTRE, false, 0), 0);
         }
         for (int i = 0; i < TargetHealth.MAX_CONSECUTIVE_FAILURES; i++) {
-            pool.find("a").get().failed(0);
+            pool.find("a").get().recordFailure(0);
         }
 
         assertEquals(2, choose(1).candidates());
@@ -242,10 +245,10 @@
 
     @Test
     void shouldNotSendToAnUnreachableTargetWhenItIsTheOnlyOne() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.find("a").get().unreachable(0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.find("a").get().recordUnreachable(0);
 
-        assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.certain(Set.of("h1")), 1)
+        assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of(), RegionView.complete(Set.of("h1")), 1)
                 .isEmpty());
     }
 
@@ -264,7 +267,7 @@
                 view.add("host-" + (i + j) % hosts);
             }
             TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
-            own.entered(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
+            own.register(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
             TargetChooser each = TargetChooser.of(name, own, new Random(2));
 
             assertTrue(each.choose(Samples.MODEL_SERVICE, Work.PLAIN, Set.of(), new RegionView(view, false), 10)
@@ -274,9 +277,9 @@
 
     @Test
     void shouldChooseNothingWhenAllTargetsAreExcluded() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
 
-        assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of("a"), RegionView.certain(Set.of("h1")), 0)
+        assertTrue(chooser.choose(Samples.MODEL_SERVICE, DRAFT, Set.of("a"), RegionView.complete(Set.of("h1")), 0)
                 .isEmpty());
     }
 
@@ -295,11 +298,11 @@
         int sent = 0;
         for (String name : names) {
             TargetPool own = TargetPool.of(Set.of(DATA_CENTRE));
-            own.entered(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
+            own.register(Samples.target("cold", DATA_CENTRE, false, 3_000), 0);
             TargetChooser each = TargetChooser.of(name, own, new Random(2));
             for (int i = 0; i < 20; i++) {
                 sent += each.choose(
-                                Samples.MODEL_SERVICE, Work.PLAIN, Set.of(), RegionView.certain(Set.copyOf(names)), 10)
+                                Samples.MODEL_SERVICE, Work.PLAIN, Set.of(), RegionView.complete(Set.copyOf(names)), 10)
                         .map(choice -> {
                             choice.target().reserve(Work.PLAIN, 0, 10);
                             return 1;
@@ -308,6 +311,6 @@
             }
         }
 
-        assertEquals((int) Samples.MODEL_SERVICE.coldPerSecond(), sent);
+        assertEquals((int) Samples.MODEL_SERVICE.coldRequestsPerSecond(), sent);
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetRunSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetIncarnationSearchTest.java
@@ -12,10 +12,10 @@
  * Covers all orders in which a host may receive events of two incarnations of one target: from the store, whose older
  * writes may be delayed, from other hosts, and with the store unavailable and back in between.
  */
-class TargetRunSearchTest {
+class TargetIncarnationSearchTest {
     private static final String DATA_CENTRE = "suva-hall";
     private static final int STEPS = 5;
-    private static final SentWork ONE_REQUEST = new SentWork(1, WaitingTokens.NONE, 0);
+    private static final InFlightWork ONE_REQUEST = new InFlightWork(1, PrefillBacklog.NONE, 0);
 
     /** An event that a host may receive. */
     private enum Event {
@@ -110,31 +110,31 @@
             switch (event) {
                 case EARLIER_READY, LATER_READY -> update(event, false);
                 case EARLIER_LEAVING, LATER_LEAVING -> update(event, true);
-                case REMOVED -> pool.removed("a", nowMillis);
-                case UNREADABLE -> pool.unreadable("a");
-                case STORE_RETURNED -> pool.storeReturned(nowMillis);
+                case REMOVED -> pool.remove("a", nowMillis);
+                case UNREADABLE -> pool.markUnreadable("a");
+                case STORE_RETURNED -> pool.recordStoreRecovery(nowMillis);
                 case TIME_PASSES -> {
                     nowMillis += TargetPool.REMOVAL_GRACE_MILLIS;
                 }
-                default -> pool.findRun("a@" + Event.EARLIER_START_MILLIS)
-                        .forEach(target -> target.sentByOther("h2", ONE_REQUEST));
+                default -> pool.findIncarnation("a@" + Event.EARLIER_START_MILLIS)
+                        .forEach(target -> target.updateWorkOfHost("h2", ONE_REQUEST));
             }
             pool.tick(nowMillis);
         }
 
         private void update(Event event, boolean leaving) {
-            pool.entered(Samples.incarnation("a", event.startedAtMillis(), DATA_CENTRE, leaving, 0), nowMillis);
+            pool.register(Samples.incarnation("a", event.startedAtMillis(), DATA_CENTRE, leaving, 0), nowMillis);
         }
 
         private String view() {
             return pool.find("a")
-                    .map(target -> target.runText() + (pool.isUsable(target, nowMillis) ? " used" : " unused"))
+                    .map(target -> target.incarnationText() + (pool.isUsable(target, nowMillis) ? " used" : " unused"))
                     .getOrElse("none");
         }
 
         private boolean countsWorkOfTheEarlierIncarnationAtTheLater() {
-            return pool.findRun("a@" + Event.LATER_START_MILLIS)
-                    .exists(target -> target.all().requests() > 0);
+            return pool.findIncarnation("a@" + Event.LATER_START_MILLIS)
+                    .exists(target -> target.totalWork().requests() > 0);
         }
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
@@ -21,7 +21,7 @@
 
     @Test
     void shouldIgnoreTargetsWhenTheyAreInAnotherRegion() {
-        assertTrue(pool.entered(Samples.target("a", "labasa-hall", false, 0), 0)
+        assertTrue(pool.register(Samples.target("a", "labasa-hall", false, 0), 0)
                 .changed()
                 .isEmpty());
         assertTrue(pool.find("a").isEmpty());
@@ -33,18 +33,18 @@
      */
     @Test
     void shouldNeverUseATargetAgainWhenItReportedThatItIsLeaving() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.entered(Samples.target("a", DATA_CENTRE, true, 0), 10);
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, true, 0), 10);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 20);
 
         assertFalse(usable("a", 30));
     }
 
     @Test
     void shouldNotRestoreATargetWhenItsEntryWasRemoved() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.removed("a", 10);
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.remove("a", 10);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 20);
 
         assertTrue(pool.find("a").isEmpty());
     }
@@ -56,21 +56,21 @@
      */
     @Test
     void shouldKeepATargetWhenItsEntryExpiredInAnOutageAndIsRestored() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.storeReturned(1_000);
-        pool.removed("a", 1_010);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.recordStoreRecovery(1_000);
+        pool.remove("a", 1_010);
 
         assertTrue(usable("a", 1_500));
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 2_900);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 2_900);
         assertTrue(pool.tick(1_000 + TargetPool.REMOVAL_GRACE_MILLIS).isEmpty());
         assertTrue(usable("a", 1_000 + TargetPool.REMOVAL_GRACE_MILLIS));
     }
 
     @Test
     void shouldDropATargetWhenItsEntryIsNotRestoredAfterAnOutage() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
-        pool.storeReturned(1_000);
-        pool.removed("a", 1_010);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.recordStoreRecovery(1_000);
+        pool.remove("a", 1_010);
 
         assertEquals(List.of("a"), pool.tick(1_000 + TargetPool.REMOVAL_GRACE_MILLIS));
         assertTrue(pool.find("a").isEmpty());
@@ -78,7 +78,7 @@
 
     @Test
     void shouldSendNothingWhenADataCentreIsEvacuatedAndTreatItAsColdAfterwards() {
-        pool.entered(Samples.target("a", DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target("a", DATA_CENTRE, false, 0), 0);
         pool.evacuate(DATA_CENTRE, true, 10);
         assertFalse(usable("a", 20));
 
@@ -95,54 +95,54 @@
     @Test
     void shouldApplyNoStateOfTheEarlierIncarnationWhenATargetRestarts() {
         Work work = new Work(100, 10, List.of(new PromptPart("p", 90), new PromptPart("own", 10)), Urgency.FIRST, 0);
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
         GatewayTarget earlier = pool.find("a").get();
         earlier.reserve(work, 1_000, 5);
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, true, 0), 10);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, true, 0), 10);
 
-        EntryChange change = pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 500), 20);
+        EntryChange change = pool.register(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 500), 20);
         GatewayTarget later = change.changed().get();
 
-        assertEquals(Option.some(earlier), change.ended());
-        assertTrue(earlier.hasEnded());
+        assertEquals(Option.some(earlier), change.terminated());
+        assertTrue(earlier.isTerminated());
         assertTrue(usable("a", 30));
         assertTrue(later.isCold(30));
         assertEquals(0, later.cachedTokens(work.sharedParts()));
-        assertEquals(SentWork.NONE, later.all());
+        assertEquals(InFlightWork.NONE, later.totalWork());
     }
 
     @Test
     void shouldAddALaterIncarnationWhenTheEarlierOneWasRemoved() {
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
-        pool.removed("a", 10);
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
+        pool.remove("a", 10);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(pool.find("a").isEmpty());
 
-        pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 30);
+        pool.register(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 30);
         assertTrue(usable("a", 40));
     }
 
     @Test
     void shouldDropTheEarlierIncarnationWhenTheLaterOneStartsInAnotherRegion() {
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
 
-        EntryChange change = pool.entered(Samples.incarnation("a", 2_000, "labasa-hall", false, 0), 10);
+        EntryChange change = pool.register(Samples.incarnation("a", 2_000, "labasa-hall", false, 0), 10);
 
         assertTrue(change.changed().isEmpty());
-        assertEquals("a@1000", change.ended().get().runText());
+        assertEquals("a@1000", change.terminated().get().incarnationText());
         assertTrue(pool.find("a").isEmpty());
 
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(pool.find("a").isEmpty());
     }
 
     @Test
     void shouldFindAnIncarnationOnlyWhenItIsTheCurrentOne() {
-        pool.entered(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.incarnation("a", 2_000, DATA_CENTRE, false, 0), 0);
 
-        assertTrue(pool.findRun("a@2000").isDefined());
-        assertTrue(pool.findRun("a@1000").isEmpty());
-        assertTrue(pool.findRun("a").isEmpty());
+        assertTrue(pool.findIncarnation("a@2000").isDefined());
+        assertTrue(pool.findIncarnation("a@1000").isEmpty());
+        assertTrue(pool.findIncarnation("a").isEmpty());
     }
 
     /**
@@ -152,20 +152,20 @@
      */
     @Test
     void shouldSendNothingWhenATargetsEntryIsUnreadable() {
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
-        pool.unreadable("a");
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 0);
+        pool.markUnreadable("a");
         assertFalse(usable("a", 10));
 
-        pool.entered(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.incarnation("a", 1_000, DATA_CENTRE, false, 0), 20);
         assertTrue(usable("a", 30));
     }
 
     @Test
     void shouldNotUseAnEntryWithoutIncarnationWhenOthersReportTheirs() {
-        pool.entered(Samples.incarnation("a", 0, DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.incarnation("a", 0, DATA_CENTRE, false, 0), 0);
         assertTrue(usable("a", 10));
 
-        pool.entered(Samples.incarnation("b", 1_000, DATA_CENTRE, false, 0), 20);
+        pool.register(Samples.incarnation("b", 1_000, DATA_CENTRE, false, 0), 20);
         assertFalse(usable("a", 30));
         assertTrue(usable("b", 30));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
@@ -12,7 +12,7 @@
 /** Tests which streams count at an engine, and for how long. */
 class TargetStreamsTest {
     private static final String DATA_CENTRE = "suva-hall";
-    private static final RegionView HOSTS = RegionView.certain(Set.of("h1", "h2"));
+    private static final RegionView HOSTS = RegionView.complete(Set.of("h1", "h2"));
 
     /** A stream of a hundred events. */
     private static final Work STREAM = new Work(500, 800, List.of(), Urgency.MIDDLE, 10_000);
@@ -32,61 +32,61 @@
     private final TargetChooser chooser = TargetChooser.of("h1", pool, new Random(1));
 
     private GatewayTarget engine(String id) {
-        pool.entered(Samples.target(id, DATA_CENTRE, false, 0), 0);
+        pool.register(Samples.target(id, DATA_CENTRE, false, 0), 0);
         return pool.find(id).get();
     }
 
-    private Choice choice(Work work, long nowMillis) {
+    private TargetChoice choice(Work work, long nowMillis) {
         return chooser.choose(Samples.MODEL_SERVICE, work, Set.of(), HOSTS, nowMillis)
                 .get();
     }
 
-    private SentRequest sent(Work work) {
-        return SentRequest.of(chooser, choice(work, 0), Samples.MODEL_SERVICE, work, 0);
+    private InFlightRequest sent(Work work) {
+        return InFlightRequest.of(chooser, choice(work, 0), Samples.MODEL_SERVICE, work, 0);
     }
 
     /** Returns a stream whose second event came so long after its first. */
-    private SentRequest running(Work work, long interTokenMillis) {
-        SentRequest stream = sent(work);
-        stream.part(true, FIRST_EVENT_MILLIS);
-        stream.part(true, FIRST_EVENT_MILLIS + interTokenMillis);
+    private InFlightRequest running(Work work, long interTokenMillis) {
+        InFlightRequest stream = sent(work);
+        stream.recordEvent(true, FIRST_EVENT_MILLIS);
+        stream.recordEvent(true, FIRST_EVENT_MILLIS + interTokenMillis);
         return stream;
     }
 
-    private void assertOneLeftAfter(Consumer<SentRequest> end) {
+    private void assertOneLeftAfter(Consumer<InFlightRequest> end) {
         GatewayTarget engine = engine("a");
-        SentRequest first = running(STREAM, SLOW_MILLIS);
+        InFlightRequest first = running(STREAM, SLOW_MILLIS);
         running(STREAM, SLOW_MILLIS);
         long nowMillis = FIRST_EVENT_MILLIS + SLOW_MILLIS;
-        assertEquals(new StreamPace(2, 2.0 * SLOW_MILLIS, 2), engine.streams().own(nowMillis));
+        assertEquals(new StreamStats(2, 2.0 * SLOW_MILLIS, 2), engine.streams().ownStats(nowMillis));
 
         end.accept(first);
 
-        assertEquals(new StreamPace(1, SLOW_MILLIS, 1), engine.streams().own(nowMillis));
+        assertEquals(new StreamStats(1, SLOW_MILLIS, 1), engine.streams().ownStats(nowMillis));
     }
 
     private int laggingAt(long interTokenMillis) {
         GatewayTarget engine = engine("a");
         running(STREAM, interTokenMillis);
-        return engine.streams().own(FIRST_EVENT_MILLIS + interTokenMillis).behind();
+        return engine.streams().ownStats(FIRST_EVENT_MILLIS + interTokenMillis).lagging();
     }
 
     /** Guards against prompts being kept from an engine because of streams that have been answered completely. */
     @Test
     void shouldNotCountAStreamWhenItHasEnded() {
-        assertOneLeftAfter(stream -> stream.ended(true, FIRST_EVENT_MILLIS + SLOW_MILLIS));
+        assertOneLeftAfter(stream -> stream.recordEnd(true, FIRST_EVENT_MILLIS + SLOW_MILLIS));
     }
 
     /** Guards against the same for streams whose engine answered with a failure. */
     @Test
     void shouldNotCountAStreamWhenItHasFailed() {
-        assertOneLeftAfter(stream -> stream.ended(false, FIRST_EVENT_MILLIS + SLOW_MILLIS));
+        assertOneLeftAfter(stream -> stream.recordEnd(false, FIRST_EVENT_MILLIS + SLOW_MILLIS));
     }
 
     /** Guards against the same for streams whose caller has left, or whose connection broke. */
     @Test
     void shouldNotCountAStreamWhenItHasBeenReleased() {
-        assertOneLeftAfter(SentRequest::release);
+        assertOneLeftAfter(InFlightRequest::release);
     }
 
     /** Guards against a stream that counts forever, as an event in transit arrives after its caller has left. */
@@ -94,12 +94,13 @@
     void shouldNotCountAStreamWhenItsFirstEventComesAfterItsRelease() {
         GatewayTarget engine = engine("a");
         running(STREAM, SLOW_MILLIS);
-        SentRequest late = sent(STREAM);
+        InFlightRequest late = sent(STREAM);
         late.release();
 
-        late.part(true, FIRST_EVENT_MILLIS + SLOW_MILLIS);
+        late.recordEvent(true, FIRST_EVENT_MILLIS + SLOW_MILLIS);
 
-        assertEquals(1, engine.streams().own(FIRST_EVENT_MILLIS + SLOW_MILLIS).streams());
+        assertEquals(
+                1, engine.streams().ownStats(FIRST_EVENT_MILLIS + SLOW_MILLIS).streams());
     }
 
     /** Guards against long streams that end without their last events, as no prompts are kept from their engine. */
@@ -128,34 +129,35 @@
     void shouldCountAStreamAsLaggingWhenTheEngineIsSlowForOtherHosts() {
         GatewayTarget engine = engine("a");
         running(STREAM, FAST_MILLIS);
-        engine.toldByOther("h2", SentWork.NONE, new StreamPace(9, 9.0 * SLOW_MILLIS, 0));
+        engine.updateFromHost("h2", InFlightWork.NONE, new StreamStats(9, 9.0 * SLOW_MILLIS, 0));
 
-        assertEquals(1, engine.streams().own(FIRST_EVENT_MILLIS + FAST_MILLIS).behind());
+        assertEquals(
+                1, engine.streams().ownStats(FIRST_EVENT_MILLIS + FAST_MILLIS).lagging());
     }
 
     /** Guards against an engine that seems slow forever, as a host's streams there have ended or the host is lost. */
     @Test
     void shouldRemoveAnotherHostsStatsWhenItReportsNone() {
         TargetStreams streams = engine("a").streams();
-        StreamPace third = new StreamPace(2, 2.0 * FAST_MILLIS, 0);
-        streams.toldByOther("h2", new StreamPace(9, 9.0 * SLOW_MILLIS, 4));
-        streams.toldByOther("h3", third);
+        StreamStats third = new StreamStats(2, 2.0 * FAST_MILLIS, 0);
+        streams.updateFromHost("h2", new StreamStats(9, 9.0 * SLOW_MILLIS, 4));
+        streams.updateFromHost("h3", third);
 
-        streams.toldByOther("h2", StreamPace.NONE);
+        streams.updateFromHost("h2", StreamStats.NONE);
 
-        assertEquals(third, streams.all(0));
+        assertEquals(third, streams.totalStats(0));
     }
 
     /** Guards against another host's streams being counted again with each of its reports. */
     @Test
     void shouldCountAnotherHostsStatsOnceWhenItReportsAgain() {
         TargetStreams streams = engine("a").streams();
-        streams.toldByOther("h2", new StreamPace(9, 9.0 * SLOW_MILLIS, 4));
-        StreamPace newer = new StreamPace(3, 3.0 * FAST_MILLIS, 1);
+        streams.updateFromHost("h2", new StreamStats(9, 9.0 * SLOW_MILLIS, 4));
+        StreamStats newer = new StreamStats(3, 3.0 * FAST_MILLIS, 1);
 
-        streams.toldByOther("h2", newer);
+        streams.updateFromHost("h2", newer);
 
-        assertEquals(newer, streams.all(0));
+        assertEquals(newer, streams.totalStats(0));
     }
 
     /**
@@ -164,10 +166,10 @@
      */
     @Test
     void shouldSendALongStreamToAKnownFastEngineWhenAnUnknownOneHasRequestsAndTheMeanIsSlow() {
-        SentWork some = new SentWork(4, WaitingTokens.NONE, 0);
-        engine("a").toldByOther("h2", some, new StreamPace(4, 4.0 * 70, 0));
-        engine("b").toldByOther("h2", some, new StreamPace(4, 4.0 * 250, 0));
-        engine("c").toldByOther("h2", new SentWork(1, WaitingTokens.NONE, 0), StreamPace.NONE);
+        InFlightWork some = new InFlightWork(4, PrefillBacklog.NONE, 0);
+        engine("a").updateFromHost("h2", some, new StreamStats(4, 4.0 * 70, 0));
+        engine("b").updateFromHost("h2", some, new StreamStats(4, 4.0 * 250, 0));
+        engine("c").updateFromHost("h2", new InFlightWork(1, PrefillBacklog.NONE, 0), StreamStats.NONE);
 
         assertEquals("a", choice(STREAM, 0).target().id());
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -61,9 +61,9 @@
 
     static Router router(int targets) {
         Router router = Router.of(SUVA, Policy.COST, 7);
-        router.targets(targets(targets), 0);
+        router.updateTargets(targets(targets), 0);
         for (int i = 0; i < targets; i++) {
-            router.reported(load("t" + i, 0, 0), 0);
+            router.recordLoadReport(load("t" + i, 0, 0), 0);
         }
         return router;
     }
@@ -113,11 +113,11 @@
 
     /** Routes, starts and ends one request, and returns its route. */
     static Route serve(Router router, Request request, AttemptResult result, long durationMillis, long nowMillis) {
-        Routing routing = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
-        Route route = ((Routing.Go) routing).route();
-        router.started(request, route, nowMillis);
-        router.ended(request, route, result, durationMillis, nowMillis + durationMillis);
-        router.finished(request, nowMillis + durationMillis);
+        RoutingDecision routing = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
+        Route route = ((RoutingDecision.Dispatch) routing).route();
+        router.recordStart(request, route, nowMillis);
+        router.recordEnd(request, route, result, durationMillis, nowMillis + durationMillis);
+        router.recordFinish(request, nowMillis + durationMillis);
         return route;
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
@@ -37,7 +37,7 @@
 
     @Property(tries = 50, seed = "42")
     void shouldDecideDeterministicallyWhenSeedAndEventsAreEqual(@ForAll Policy policy, @ForAll long seed) {
-        List<Routing> first = decisions(policy, seed);
+        List<RoutingDecision> first = decisions(policy, seed);
         assertEquals(first, decisions(policy, seed));
     }
 
@@ -70,14 +70,14 @@
     void shouldBoundCandidatesWhenThereAreManyTargetsAndRegions() {
         Router router = Fixtures.router(500);
         Request request = Fixtures.request("a", "floor", WorkClass.DRAFT, 60_000, List.of(1L, 2L));
-        Routing routing = router.choose(request, Fixtures.eligibleAnywhere(Set.of("t1")), 10);
+        RoutingDecision routing = router.choose(request, Fixtures.eligibleAnywhere(Set.of("t1")), 10);
         assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
     }
 
-    private static List<Routing> decisions(Policy policy, long seed) {
+    private static List<RoutingDecision> decisions(Policy policy, long seed) {
         Router router = Router.of(Fixtures.SUVA, policy, seed);
         Session session = new Session(router, new Random(seed));
-        List<Routing> decisions = new ArrayList<>();
+        List<RoutingDecision> decisions = new ArrayList<>();
         for (int i = 0; i < STEPS; i++) {
             session.step(i * 37L).forEach(decisions::add);
         }
@@ -98,12 +98,12 @@
             this.random = random;
         }
 
-        List<Routing> step(long nowMillis) {
+        List<RoutingDecision> step(long nowMillis) {
             switch (random.nextInt(8)) {
                 case 0 -> updateList(nowMillis);
                 case 1 -> reportLoad(nowMillis);
-                case 2 -> router.missed("t" + random.nextInt(8), nowMillis);
-                case 3 -> router.regions(
+                case 2 -> router.recordMissedReport("t" + random.nextInt(8), nowMillis);
+                case 3 -> router.updateRegions(
                         random.nextBoolean() ? List.of(Fixtures.lautoka(random.nextInt(60), nowMillis)) : List.of(),
                         nowMillis);
                 case 4 -> endAttempt(nowMillis);
@@ -129,7 +129,7 @@
             leaving.removeIf(name -> !names.contains(name));
             listed.clear();
             listed.addAll(names);
-            router.targets(targets, nowMillis);
+            router.updateTargets(targets, nowMillis);
         }
 
         private void reportLoad(long nowMillis) {
@@ -141,7 +141,7 @@
             int runningCount = random.nextInt(9);
             int queued = random.nextInt(5);
             List<String> models = List.of("plank@1");
-            router.reported(
+            router.recordLoadReport(
                     new TargetLoad(
                             target, Fixtures.SERVICE, models, runningCount, queued, 8, 40, 9_000, isLeaving, nowMillis),
                     nowMillis);
@@ -158,11 +158,11 @@
                         case 1 -> new AttemptResult.Lost(Failure.of(Step.RECEIVE, "", "reset"), 0);
                         default -> Fixtures.ANSWERED;
                     };
-            router.ended(request, new Route.ToTarget("any"), result, random.nextInt(5_000), nowMillis);
-            router.finished(request, nowMillis);
+            router.recordEnd(request, new Route.ToTarget("any"), result, random.nextInt(5_000), nowMillis);
+            router.recordFinish(request, nowMillis);
         }
 
-        private Routing chooseRoute(long nowMillis) {
+        private RoutingDecision chooseRoute(long nowMillis) {
             Request base = Fixtures.request(
                     "r" + requests++,
                     "a" + random.nextInt(3),
@@ -180,10 +180,11 @@
             Set<String> allowed = random.nextInt(4) == 0 ? Set.of("lautoka") : Fixtures.ANYWHERE;
             boolean mayLeaveRegion = random.nextBoolean();
             router.admit(request, nowMillis);
-            Routing routing = router.choose(request, new Eligibility(allowed, mayLeaveRegion, triedPeers), nowMillis);
-            if (routing instanceof Routing.Go go) {
+            RoutingDecision routing =
+                    router.choose(request, new Eligibility(allowed, mayLeaveRegion, triedPeers), nowMillis);
+            if (routing instanceof RoutingDecision.Dispatch go) {
                 checkRoute(request, go.route(), allowed, mayLeaveRegion, triedPeers);
-                router.started(request, go.route(), nowMillis);
+                router.recordStart(request, go.route(), nowMillis);
                 running.add(request);
             }
             assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
@@ -45,8 +45,8 @@
             Map<String, Integer> loads = new TreeMap<>();
             for (int i = 0; i < 32; i++) {
                 Request request = Fixtures.request("r" + i, "floor", WorkClass.DRAFT, 60_000, PREFIXES);
-                Routing.Go dispatch = chooseRoute(router, request, 5_000);
-                router.started(request, dispatch.route(), 5_000);
+                RoutingDecision.Dispatch dispatch = chooseRoute(router, request, 5_000);
+                router.recordStart(request, dispatch.route(), 5_000);
                 loads.merge(dispatch.route().peer(), 1, Integer::sum);
             }
             assertTrue(loads.size() > 2, "the first two in rendezvous order alone would have 16 each: " + loads);
@@ -61,12 +61,12 @@
         @Test
         void shouldCountOwnRequestsWhenReportsAreLate() {
             Router router = Fixtures.router(2);
-            router.reported(Fixtures.load("t1", 7, 100), 100);
+            router.recordLoadReport(Fixtures.load("t1", 7, 100), 100);
             int toIdle = 0;
             for (int i = 0; i < 16; i++) {
                 Request request = Fixtures.request("r" + i);
-                Routing.Go dispatch = chooseRoute(router, request, 200);
-                router.started(request, dispatch.route(), 200);
+                RoutingDecision.Dispatch dispatch = chooseRoute(router, request, 200);
+                router.recordStart(request, dispatch.route(), 200);
                 toIdle += dispatch.route().peer().equals("t0") ? 1 : 0;
             }
             assertTrue(toIdle >= 9 && toIdle <= 14, "sent to the idle target: " + toIdle);
@@ -78,10 +78,10 @@
             for (int i = 0; i < 10; i++) {
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
             }
-            router.reported(Fixtures.load("t0", 40, 100), 100);
+            router.recordLoadReport(Fixtures.load("t0", 40, 100), 100);
             Request urgent = Fixtures.request("r", "floor", WorkClass.INTERACTIVE, 5_100, List.of());
-            Routing.Refuse rejection = assertInstanceOf(
-                    Routing.Refuse.class, router.choose(urgent, Fixtures.eligibleAnywhere(Set.of()), 100));
+            RoutingDecision.Reject rejection = assertInstanceOf(
+                    RoutingDecision.Reject.class, router.choose(urgent, Fixtures.eligibleAnywhere(Set.of()), 100));
             assertTrue(
                     rejection.retryAfterMillis() >= 10_000,
                     "33 runs of 4 s on 8 slots: " + rejection.retryAfterMillis());
@@ -91,13 +91,14 @@
         void shouldServeOldVersionOnlyWhenNoTargetHasWantedVersion() {
             Router router = Fixtures.router(3);
             var service = new org.rattanplank.core.intent.Service(Fixtures.SERVICE, true, "plank@2", true, true);
-            router.configured(
+            router.applyConfiguration(
                     new org.rattanplank.core.intent.Configuration(
                             2, "", Map.of(Fixtures.SERVICE, service), Map.of(), Map.of(), Map.of(), Set.of()),
                     10);
             assertInstanceOf(
-                    Routing.Go.class, router.choose(Fixtures.request("a"), Fixtures.eligibleAnywhere(Set.of()), 10));
-            router.reported(
+                    RoutingDecision.Dispatch.class,
+                    router.choose(Fixtures.request("a"), Fixtures.eligibleAnywhere(Set.of()), 10));
+            router.recordLoadReport(
                     new TargetLoad(
                             "t1", Fixtures.SERVICE, List.of("plank@1", "plank@2"), 8, 8, 8, 40, 10_000, false, 20),
                     20);
@@ -116,13 +117,13 @@
             for (int i = 0; i < 10; i++) {
                 Fixtures.serve(router, Fixtures.request("l" + i), Fixtures.ANSWERED, 4_000, 10 + i);
             }
-            router.regions(List.of(Fixtures.lautoka(2, 5_000)), 5_000);
+            router.updateRegions(List.of(Fixtures.lautoka(2, 5_000)), 5_000);
             assertEquals(0, spilloverFraction(router, 5_100, 50), 0, "an idle home keeps its work");
-            router.reported(Fixtures.load("t0", 30, 5_200), 5_200);
-            router.reported(Fixtures.load("t1", 30, 5_200), 5_200);
+            router.recordLoadReport(Fixtures.load("t0", 30, 5_200), 5_200);
+            router.recordLoadReport(Fixtures.load("t1", 30, 5_200), 5_200);
             assertTrue(spilloverFraction(router, 5_300, 50) > 0.8, "a home with a queue of 11 s spills over");
-            router.reported(Fixtures.load("t0", 2, 5_400), 5_400);
-            router.reported(Fixtures.load("t1", 2, 5_400), 5_400);
+            router.recordLoadReport(Fixtures.load("t0", 2, 5_400), 5_400);
+            router.recordLoadReport(Fixtures.load("t1", 2, 5_400), 5_400);
             spilloverFraction(router, 5_500, 30);
             assertEquals(0, spilloverFraction(router, 5_600, 50), 0, "an idle home serves its work again");
         }
@@ -135,11 +136,11 @@
         @Test
         void shouldFillReachableRegionGraduallyWhenItsCachesAreCold() {
             Router router = Fixtures.router(0);
-            router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
-            router.regions(List.of(), 1_000);
-            router.regions(List.of(Fixtures.lautoka(0, 2_000)), 2_000);
+            router.updateRegions(List.of(Fixtures.lautoka(0, 0)), 0);
+            router.updateRegions(List.of(), 1_000);
+            router.updateRegions(List.of(Fixtures.lautoka(0, 2_000)), 2_000);
             assertTrue(sendUntilFull(router, "a", 2_100) <= 4, "a tenth of 32 slots at first");
-            router.regions(List.of(Fixtures.lautoka(0, 12_000)), 12_000);
+            router.updateRegions(List.of(Fixtures.lautoka(0, 12_000)), 12_000);
             assertTrue(sendUntilFull(router, "b", 12_100) >= 30, "all slots after ten seconds");
         }
 
@@ -173,8 +174,8 @@
                 Request request = Fixtures.request("r" + i);
                 Route route = new Route.ToTarget("t" + i % 4);
                 long durationMillis = i % 4 == 1 && i > 40 ? 30_000 : 3_000;
-                router.started(request, route, 10);
-                router.ended(request, route, Fixtures.ANSWERED, durationMillis, 20);
+                router.recordStart(request, route, 10);
+                router.recordEnd(request, route, Fixtures.ANSWERED, durationMillis, 20);
             }
             Set<String> used = new HashSet<>(routeRequests(router, "x", 30, 60));
             assertEquals(Set.of("t0", "t2", "t3"), used);
@@ -187,11 +188,11 @@
         @Test
         void shouldEjectNoTargetWhenFirstAnswersProvideSamples() {
             Router router = Fixtures.router(2);
-            router.reported(new TargetLoad("t0", Fixtures.SERVICE, List.of(), 0, 0, 8, 0, 0, false, 5), 5);
+            router.recordLoadReport(new TargetLoad("t0", Fixtures.SERVICE, List.of(), 0, 0, 8, 0, 0, false, 5), 5);
             for (int i = 0; i < 8; i++) {
                 Request request = Fixtures.request("r" + i);
-                router.started(request, new Route.ToTarget("t0"), 10);
-                router.ended(request, new Route.ToTarget("t0"), Fixtures.ANSWERED, 4_000, 20);
+                router.recordStart(request, new Route.ToTarget("t0"), 10);
+                router.recordEnd(request, new Route.ToTarget("t0"), Fixtures.ANSWERED, 4_000, 20);
             }
             assertTrue(routeRequests(router, "x", 30, 20).contains("t0"));
         }
@@ -203,16 +204,16 @@
         @Test
         void shouldNotEjectRegionWhenItRejectsSingleRequests() {
             Router router = Fixtures.router(0);
-            router.regions(List.of(Fixtures.lautoka(0, 0)), 0);
+            router.updateRegions(List.of(Fixtures.lautoka(0, 0)), 0);
             AttemptResult rejection =
                     new AttemptResult.NotRun(Failure.of(Step.ADMIT, "", "the account is over its fair share"), 5_000);
             for (int i = 0; i < 2 * Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("r" + i);
                 Route route = new Route.ToHost("lautoka-1", "lautoka");
-                router.started(request, route, 10);
-                router.ended(request, route, rejection, 250, 260);
+                router.recordStart(request, route, 10);
+                router.recordEnd(request, route, rejection, 250, 260);
             }
-            Routing.Go dispatch = chooseRoute(router, Fixtures.request("next"), 400);
+            RoutingDecision.Dispatch dispatch = chooseRoute(router, Fixtures.request("next"), 400);
             assertEquals("eligible", dispatch.candidates().get(0).verdict());
         }
 
@@ -240,8 +241,8 @@
             Router router = Fixtures.router(4);
             for (int i = 0; i < Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
                 Request request = Fixtures.request("s" + i, "floor", WorkClass.INTERACTIVE, 1_000, List.of());
-                router.started(request, new Route.ToTarget("t3"), 10);
-                router.finished(request, 1_000);
+                router.recordStart(request, new Route.ToTarget("t3"), 10);
+                router.recordFinish(request, 1_000);
             }
             assertFalse(routeRequests(router, "x", 1_100, 40).contains("t3"));
         }
@@ -251,8 +252,8 @@
             Router router = Fixtures.router(1);
             for (int i = 0; i < 200; i++) {
                 Request request = Fixtures.request("c" + i);
-                router.started(request, new Route.ToTarget("t0"), 10 + i);
-                router.finished(request, 20 + i);
+                router.recordStart(request, new Route.ToTarget("t0"), 10 + i);
+                router.recordFinish(request, 20 + i);
             }
             RemoteRegion.ServiceLoad sum = router.summary(300).get(Fixtures.SERVICE);
             assertEquals(0, sum.running() + sum.queued());
@@ -280,17 +281,17 @@
         }
     }
 
-    private static Routing.Go chooseRoute(Router router, Request request, long nowMillis) {
+    private static RoutingDecision.Dispatch chooseRoute(Router router, Request request, long nowMillis) {
         return assertInstanceOf(
-                Routing.Go.class, router.choose(request, Fixtures.eligibleAnywhere(Set.of()), nowMillis));
+                RoutingDecision.Dispatch.class, router.choose(request, Fixtures.eligibleAnywhere(Set.of()), nowMillis));
     }
 
     private static void failUntilEjected(Router router, String target) {
         for (int i = 0; i < Ejection.MAX_CONSECUTIVE_FAILURES; i++) {
             Request request = Fixtures.request("f" + i);
             Route route = new Route.ToTarget(target);
-            router.started(request, route, 10 + i);
-            router.ended(request, route, Fixtures.CONNECTION_REFUSED, 1, 10 + i);
+            router.recordStart(request, route, 10 + i);
+            router.recordEnd(request, route, Fixtures.CONNECTION_REFUSED, 1, 10 + i);
         }
     }
 
@@ -301,11 +302,11 @@
         for (int i = 0; i < count; i++) {
             Request request = Fixtures.request(prefix + i);
             Route route = chooseRoute(router, request, nowMillis).route();
-            router.started(request, route, nowMillis);
+            router.recordStart(request, route, nowMillis);
             started.add(request);
             peers.add(route.peer());
         }
-        started.forEach(request -> router.finished(request, nowMillis));
+        started.forEach(request -> router.recordFinish(request, nowMillis));
         return peers;
     }
 
@@ -323,15 +324,15 @@
         List<Request> sent = new ArrayList<>();
         while (sent.size() < 100) {
             Request request = Fixtures.request(prefix + sent.size());
-            Routing.Go dispatch = chooseRoute(router, request, nowMillis);
+            RoutingDecision.Dispatch dispatch = chooseRoute(router, request, nowMillis);
             if (dispatch.candidates().stream()
                     .anyMatch(candidate -> candidate.verdict().equals("last resort"))) {
                 break;
             }
-            router.started(request, dispatch.route(), nowMillis);
+            router.recordStart(request, dispatch.route(), nowMillis);
             sent.add(request);
         }
-        sent.forEach(request -> router.finished(request, nowMillis));
+        sent.forEach(request -> router.recordFinish(request, nowMillis));
         return sent.size();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -43,7 +43,7 @@
     void shouldRejectAtReceivingHostWhenResidencyForbidsItsRegion() {
         Session session = Koro.start();
         Request forwarded = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
-        session.handleEvent("suva-1", new Event.PeerAsked("labasa-1", 1, forwarded));
+        session.handleEvent("suva-1", new Event.PeerRequestReceived("labasa-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(List.of(), session.pendingTargets("r1"));
     }
@@ -57,7 +57,7 @@
         Session session = Koro.start();
         session.listAsLeaving("plank-lautoka").advance(4_000);
         Request forwarded = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
-        session.handleEvent("lautoka-1", new Event.PeerAsked("suva-1", 1, forwarded));
+        session.handleEvent("lautoka-1", new Event.PeerRequestReceived("suva-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
     }
 
@@ -116,7 +116,7 @@
     void shouldCancelAtTargetWhenCallerLeaves() {
         Session session = Koro.start();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
-        session.handleEvent("suva-1", new Event.AskerLeft("r1"));
+        session.handleEvent("suva-1", new Event.RequesterLeft("r1"));
         assertEquals(List.of(), session.pendingTargets("r1"));
         assertEquals(0, session.node("suva-1").status().inFlight());
         session.transcript().assertMatches("cancelled");
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -224,7 +224,7 @@
     /** Sends a caller's request to a host. */
     Session request(String host, Request request) {
         outcomes.putIfAbsent(request.id(), new ArrayList<>());
-        handleEvent(host, new Event.CallerAsked(request));
+        handleEvent(host, new Event.CallerRequestReceived(request));
         return this;
     }
 
@@ -341,7 +341,8 @@
             return;
         }
         forwards.put(keyOf(toHost.host(), start.requestId()), attempt);
-        deliveries.add(() -> deliverEvent(toHost.host(), new Event.PeerAsked(host, start.attempt(), start.request())));
+        deliveries.add(() ->
+                deliverEvent(toHost.host(), new Event.PeerRequestReceived(host, start.attempt(), start.request())));
     }
 
     private void finish(String host, Action.Finish finish) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Transcript.java
@@ -84,9 +84,9 @@
     }
 
     private static boolean isShown(Event event) {
-        return event instanceof Event.CallerAsked
-                || event instanceof Event.PeerAsked
-                || event instanceof Event.AskerLeft
+        return event instanceof Event.CallerRequestReceived
+                || event instanceof Event.PeerRequestReceived
+                || event instanceof Event.RequesterLeft
                 || event instanceof Event.AttemptEnded
                 || event instanceof Event.StreamProgressed
                 || event instanceof Event.DrainAsked
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
@@ -324,7 +324,7 @@
 
     private static ClaimLimits claimLimits(DaemonSettings settings) {
         return ClaimLimits.defaults()
-                .withTimes(settings.claimRetentionMillis(), settings.claimClockMarginMillis())
+                .withRetention(settings.claimRetentionMillis(), settings.claimClockMarginMillis())
                 .withMaxClaims((int) settings.maxClaims())
                 .withAnswerBytes((int) settings.maxKeptAnswerBytes(), settings.maxKeptAnswersBytes());
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Observer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Observer.java
@@ -42,7 +42,7 @@
     public void raise(Event event) {
         if (event instanceof Event.AttemptEnded ended) {
             attemptEnded(ended);
-        } else if (event instanceof Event.AskerLeft left) {
+        } else if (event instanceof Event.RequesterLeft left) {
             metrics.askerLeft();
             traces.requestEnded(left.requestId(), "asker left", "");
         }
@@ -51,15 +51,15 @@
 
     @Override
     public boolean offer(Event event) {
-        if (event instanceof Event.CallerAsked asked) {
+        if (event instanceof Event.CallerRequestReceived asked) {
             requestStarted(asked.request().id(), "entry");
-        } else if (event instanceof Event.PeerAsked asked) {
+        } else if (event instanceof Event.PeerRequestReceived asked) {
             requestStarted(asked.request().id(), "peer");
         }
         boolean taken = node.offer(event);
-        if (!taken && event instanceof Event.CallerAsked asked) {
+        if (!taken && event instanceof Event.CallerRequestReceived asked) {
             traces.requestEnded(asked.request().id(), NOT_TAKEN, "admit");
-        } else if (!taken && event instanceof Event.PeerAsked asked) {
+        } else if (!taken && event instanceof Event.PeerRequestReceived asked) {
             traces.requestEnded(asked.request().id(), NOT_TAKEN, "admit");
         }
         return taken;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
@@ -224,7 +224,7 @@
         context.getRequest().setIdleTimeout(Duration.ofMillis(deadlineMillis - clock.nowMillis() + IDLE_GRACE_MILLIS));
         noticeWhenGone(context, channel, requestId, asker);
         calls.add(Call.of(asked.request(), asked.envelope(), asker));
-        if (!events.offer(new Event.CallerAsked(asked.request()))) {
+        if (!events.offer(new Event.CallerRequestReceived(asked.request()))) {
             calls.remove(requestId);
             send(context, Replies.of(requestId, Refusal.busy(host, "too many events wait")));
             return;
@@ -245,7 +245,7 @@
     private void left(String requestId, HttpAsker asker) {
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.AskerLeft(requestId));
+            events.raise(new Event.RequesterLeft(requestId));
             asker.abandon();
         }
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
@@ -153,7 +153,7 @@
             return;
         }
         asked.put(message.requestId(), message.attempt());
-        Event event = new Event.PeerAsked(other.get().host(), message.attempt(), call.request());
+        Event event = new Event.PeerRequestReceived(other.get().host(), message.attempt(), call.request());
         if (!events.offer(event)) {
             calls.finish(
                     message.requestId(),
@@ -173,7 +173,7 @@
         owed.remove(requestId);
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.AskerLeft(requestId));
+            events.raise(new Event.RequesterLeft(requestId));
         }
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
@@ -132,11 +132,11 @@
     }
 
     private static String keyOf(Event event) {
-        if (event instanceof Event.CallerAsked asked) {
+        if (event instanceof Event.CallerRequestReceived asked) {
             return asked.request().id();
-        } else if (event instanceof Event.PeerAsked asked) {
+        } else if (event instanceof Event.PeerRequestReceived asked) {
             return asked.request().id();
-        } else if (event instanceof Event.AskerLeft left) {
+        } else if (event instanceof Event.RequesterLeft left) {
             return left.requestId();
         } else if (event instanceof Event.StreamProgressed progressed) {
             return progressed.requestId();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
@@ -125,9 +125,9 @@
     private void begin(Call call, Action.StartAttempt start, ListedHost target, String traceParent) {
         AttemptKey key = new AttemptKey(start.requestId(), start.attempt());
         String freshId = call.envelope().targetIdBase() + "." + start.attempt();
-        String sentId = call.begin(start.attempt(), start.resumeAtPart() > 0, freshId);
-        TargetCall sent =
-                TargetCall.of(target, start.request(), call.envelope(), sentId, start.resumeAtPart(), traceParent);
+        String sentId = call.begin(start.attempt(), start.resumeAtStreamEvent() > 0, freshId);
+        TargetCall sent = TargetCall.of(
+                target, start.request(), call.envelope(), sentId, start.resumeAtStreamEvent(), traceParent);
         TargetAttempt attempt = new TargetAttempt(
                 resources.loops().next(), call, start.attempt(), sent, limits, this, new AttemptListener() {
                     @Override
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
@@ -76,7 +76,7 @@
     @Test
     void shouldGiveWholeAnswerWithItsPathWhenAnswered() throws Exception {
         try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", false))) {
-            Request request = events.next(Event.CallerAsked.class).request();
+            Request request = events.next(Event.CallerRequestReceived.class).request();
             assertEquals("floor", request.account());
             Call call = calls.find(request.id()).get();
             assertTrue(new String(call.envelope().body(), StandardCharsets.UTF_8).contains("\"priority\":5"));
@@ -94,7 +94,7 @@
     @Test
     void shouldGiveReasonAndRetryTimeInOneShapeWhenNotRun() throws Exception {
         try (Socket caller = ask("POST", "/services/crew-desk/book?x=1", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
-            Request request = events.next(Event.CallerAsked.class).request();
+            Request request = events.next(Event.CallerRequestReceived.class).request();
             assertFalse(request.repeatable());
             assertEquals("/book?x=1", calls.find(request.id()).get().envelope().path());
             Failure failure = Failure.of(Step.ROUTE, "crew-desk", "no target can take it");
@@ -112,7 +112,7 @@
                 new ListedHost("suva-2", HostRole.ENTRY, TestHosts.SUVA, "127.0.0.1", 8_080, 9_090, "", false);
         node.handle(new Event.HostsListed(new HostList(1, List.of(other))), clock.nowMillis());
         try (Socket caller = ask("POST", "/services/crew-desk/book", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
-            Request request = events.next(Event.CallerAsked.class).request();
+            Request request = events.next(Event.CallerRequestReceived.class).request();
             Failure failure = Failure.of(Step.ADMIT, "suva-1", "this host is leaving");
             calls.finish(request.id(), new Outcome.NotRun(failure, 1_000));
             assertEquals("127.0.0.1:8080", RawServer.header(read(caller, "}}"), "Rattanplank-Entry-Hosts"));
@@ -135,7 +135,7 @@
         assertEquals(413, status("POST", "/v1/chat/completions", TOKEN, "x".repeat(MAX_BODY_BYTES + 1)));
         assertEquals(431, status("GET", "/healthz", "X-Long: " + "x".repeat(9_000) + "\r\n", ""));
         assertEquals(200, status("GET", "/healthz", "", ""));
-        assertEquals(0, events.count(Event.CallerAsked.class));
+        assertEquals(0, events.count(Event.CallerRequestReceived.class));
     }
 
     /*
@@ -146,7 +146,8 @@
     @Test
     void shouldBreakStreamVisiblyWhenOutcomeIsUnknown() throws Exception {
         try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", true))) {
-            String requestId = events.next(Event.CallerAsked.class).request().id();
+            String requestId =
+                    events.next(Event.CallerRequestReceived.class).request().id();
             Call call = calls.find(requestId).get();
             call.begin(1, false, "x");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(StandardCharsets.UTF_8), List.of("t1"));
@@ -161,7 +162,8 @@
     @Test
     void shouldCloseStreamWithItsLastEventWhenAnswered() throws Exception {
         try (Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", true))) {
-            String requestId = events.next(Event.CallerAsked.class).request().id();
+            String requestId =
+                    events.next(Event.CallerRequestReceived.class).request().id();
             calls.find(requestId).get().begin(1, false, "x");
             calls.find(requestId)
                     .get()
@@ -181,9 +183,10 @@
     @Test
     void shouldTellAskerLeftWhenCallerCloses() throws Exception {
         Socket caller = ask("POST", "/v1/chat/completions", TOKEN, chat("plank-serve", false));
-        String requestId = events.next(Event.CallerAsked.class).request().id();
+        String requestId =
+                events.next(Event.CallerRequestReceived.class).request().id();
         caller.close();
-        assertEquals(new Event.AskerLeft(requestId), events.next(Event.AskerLeft.class));
+        assertEquals(new Event.RequesterLeft(requestId), events.next(Event.RequesterLeft.class));
         assertEquals(0, calls.size());
         awaitNoUnsentReply();
     }
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
@@ -62,7 +62,7 @@
                     otherEvents.next(Event.MessageReceived.class).message());
 
             forward(links, "r1");
-            Event.PeerAsked asked = otherEvents.next(Event.PeerAsked.class);
+            Event.PeerRequestReceived asked = otherEvents.next(Event.PeerRequestReceived.class);
             assertEquals(List.of("suva-1"), asked.request().passedHosts());
             Call call = otherCalls.find("r1").get();
             call.begin(1, false, "r1.1.1");
@@ -74,7 +74,7 @@
             assertEquals(List.of("id: 0\ndata: p\n\n"), asker.parts());
 
             forward(links, "r2");
-            otherEvents.next(Event.PeerAsked.class);
+            otherEvents.next(Event.PeerRequestReceived.class);
             byte[] large = new byte[600_000];
             otherCalls.finish(
                     "r2", new Outcome.Answered(Answer.of(200, "application/json", large), List.of("labasa-1", "t1")));
@@ -82,7 +82,7 @@
             assertArrayEquals(large, unary.answer().body());
 
             forward(links, "r3");
-            otherEvents.next(Event.PeerAsked.class);
+            otherEvents.next(Event.PeerRequestReceived.class);
             otherCalls.finish("r3", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             assertEquals(new AttemptResult.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700), ended());
         });
@@ -143,13 +143,13 @@
     void shouldTellAskerLeftWhenForwardIsCancelledOrLinkBreaks() {
         withPeer(30_000, (links, peer) -> {
             forward(links, "r1");
-            otherEvents.next(Event.PeerAsked.class);
+            otherEvents.next(Event.PeerRequestReceived.class);
             links.forwards().cancel("r1", 1);
-            assertEquals(new Event.AskerLeft("r1"), otherEvents.next(Event.AskerLeft.class));
+            assertEquals(new Event.RequesterLeft("r1"), otherEvents.next(Event.RequesterLeft.class));
             forward(links, "r2");
-            otherEvents.next(Event.PeerAsked.class);
+            otherEvents.next(Event.PeerRequestReceived.class);
             links.close();
-            assertEquals(new Event.AskerLeft("r2"), otherEvents.next(Event.AskerLeft.class));
+            assertEquals(new Event.RequesterLeft("r2"), otherEvents.next(Event.RequesterLeft.class));
             assertInstanceOf(AttemptResult.Lost.class, ended());
             assertEquals(0, otherCalls.size());
         });
@@ -184,7 +184,7 @@
     void shouldTakeARequestThatHasComeWhenTheOtherHostEndsWhatIsIdle() {
         withPeer(30_000, (links, peer) -> {
             forward(links, "r1");
-            otherEvents.next(Event.PeerAsked.class);
+            otherEvents.next(Event.PeerRequestReceived.class);
             otherCalls.finish("r1", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             ended();
             CountDownLatch goOn = holdTheOtherHost();
@@ -194,7 +194,9 @@
             awaitSent();
             goOn.countDown();
 
-            assertEquals("r2", otherEvents.next(Event.PeerAsked.class).request().id());
+            assertEquals(
+                    "r2",
+                    otherEvents.next(Event.PeerRequestReceived.class).request().id());
             otherCalls.finish("r2", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             assertInstanceOf(AttemptResult.NotRun.class, ended());
             while (!peer.end()) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminAnswer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminResponse.java
@@ -9,7 +9,7 @@
  * @param contentType the content type of the body
  * @param body the body
  */
-public record AdminAnswer(int status, String contentType, String body) {
+public record AdminResponse(int status, String contentType, String body) {
     /** The status for malformed requests. */
     public static final int BAD_REQUEST = 400;
 
@@ -17,7 +17,7 @@
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
-    public AdminAnswer {
+    public AdminResponse {
         Objects.requireNonNull(contentType, "contentType");
         Objects.requireNonNull(body, "body");
     }
@@ -28,8 +28,8 @@
      * @param body the text
      * @return the response
      */
-    public static AdminAnswer text(String body) {
-        return new AdminAnswer(OK, "text/plain; charset=utf-8", body);
+    public static AdminResponse text(String body) {
+        return new AdminResponse(OK, "text/plain; charset=utf-8", body);
     }
 
     /**
@@ -38,8 +38,8 @@
      * @param body the JSON
      * @return the response
      */
-    public static AdminAnswer json(String body) {
-        return new AdminAnswer(OK, "application/json", body);
+    public static AdminResponse json(String body) {
+        return new AdminResponse(OK, "application/json", body);
     }
 
     /**
@@ -47,8 +47,8 @@
      *
      * @return the response
      */
-    public static AdminAnswer notFound() {
-        return new AdminAnswer(NOT_FOUND, "text/plain; charset=utf-8", "not found\n");
+    public static AdminResponse notFound() {
+        return new AdminResponse(NOT_FOUND, "text/plain; charset=utf-8", "not found\n");
     }
 
     /**
@@ -56,7 +56,7 @@
      *
      * @return the response
      */
-    public static AdminAnswer unavailable() {
-        return new AdminAnswer(UNAVAILABLE, "text/plain; charset=utf-8", "not ready\n");
+    public static AdminResponse unavailable() {
+        return new AdminResponse(UNAVAILABLE, "text/plain; charset=utf-8", "not ready\n");
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdminServer.java
@@ -37,7 +37,8 @@
      * @param address the address to bind
      * @param answers returns the response for a path with its query
      */
-    public static void listen(EventLoopGroup group, InetSocketAddress address, Function<String, AdminAnswer> answers) {
+    public static void listen(
+            EventLoopGroup group, InetSocketAddress address, Function<String, AdminResponse> answers) {
         new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -56,15 +57,15 @@
     }
 
     private static final class Handler extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Function<String, AdminAnswer> answers;
+        private final Function<String, AdminResponse> answers;
 
-        private Handler(Function<String, AdminAnswer> answers) {
+        private Handler(Function<String, AdminResponse> answers) {
             this.answers = answers;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            AdminAnswer answer = answers.apply(request.uri());
+            AdminResponse answer = answers.apply(request.uri());
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.status()),
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
@@ -13,11 +13,11 @@
 import org.rattanplank.gateway.log.LogLine;
 import org.rattanplank.gateway.pass.GatewayState;
 import org.rattanplank.gateway.peer.PeerLinks;
-import org.rattanplank.gateway.store.ClusterFact;
+import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.FeedListener;
-import org.rattanplank.gateway.store.FeedReading;
 import org.rattanplank.gateway.store.StoreFailure;
 import org.rattanplank.gateway.store.StoreItem;
+import org.rattanplank.gateway.store.StoreReadKind;
 
 /** Applies facts read from the store to this host's cluster state and logs each change. Confined to the event loop. */
 final class ClusterStateUpdater implements FeedListener {
@@ -39,42 +39,42 @@
     }
 
     @Override
-    public void learnt(StoreItem item, ClusterFact fact) {
-        if (fact instanceof ClusterFact.Configured configured) {
+    public void itemChanged(StoreItem item, ClusterEvent fact) {
+        if (fact instanceof ClusterEvent.ConfigurationChanged configured) {
             applyConfiguration(configured.configuration());
-        } else if (fact instanceof ClusterFact.IntentsApplied applied) {
+        } else if (fact instanceof ClusterEvent.IntentsChanged applied) {
             applyIntents(applied.document());
-        } else if (fact instanceof ClusterFact.TargetEntered entered) {
+        } else if (fact instanceof ClusterEvent.TargetRegistered entered) {
             applyTargetEntry(entered.entry());
-        } else if (fact instanceof ClusterFact.TargetRemoved removed) {
-            state.pool().removed(removed.id(), state.nowMillis());
+        } else if (fact instanceof ClusterEvent.TargetRemoved removed) {
+            state.pool().remove(removed.id(), state.nowMillis());
             logTargetGone(removed.id(), "its entry was removed");
-        } else if (fact instanceof ClusterFact.Evacuation evacuation) {
+        } else if (fact instanceof ClusterEvent.EvacuationChanged evacuation) {
             state.pool().evacuate(evacuation.dataCentre(), evacuation.active(), state.nowMillis());
             state.log()
                     .important(LogLine.of(LogEvent.EVACUATION)
                             .with("dataCentre", evacuation.dataCentre())
                             .with("active", evacuation.active())
                             .with("revision", item.revision()));
-        } else if (fact instanceof ClusterFact.HostEntered host) {
-            links.entered(host.host());
-        } else if (fact instanceof ClusterFact.HostRemoved host) {
-            links.removed(host.name());
+        } else if (fact instanceof ClusterEvent.HostRegistered host) {
+            links.hostRegistered(host.host());
+        } else if (fact instanceof ClusterEvent.HostRemoved host) {
+            links.hostRemoved(host.name());
             if (host.name().equals(state.self().name())) {
                 onOwnKeyLost.run();
             }
-        } else if (fact instanceof ClusterFact.Unreadable unreadable) {
+        } else if (fact instanceof ClusterEvent.Unreadable unreadable) {
             reportUnreadable(item, unreadable);
         }
     }
 
     @Override
-    public void storeAnswered(long tookMillis) {
+    public void storeResponded(long tookMillis) {
         state.metrics().record(Latency.STORE_CALL, tookMillis);
     }
 
     @Override
-    public void read(FeedReading reading, long bytes, int items, long tookMillis) {
+    public void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis) {
         if (bytes >= LARGE_RESPONSE_BYTES) {
             state.log()
                     .ordinary(LogLine.of(LogEvent.STORE_READ)
@@ -86,13 +86,13 @@
     }
 
     @Override
-    public void storeReturned() {
-        state.pool().storeReturned(state.nowMillis());
+    public void storeRecovered() {
+        state.pool().recordStoreRecovery(state.nowMillis());
         state.log().important(LogLine.of(LogEvent.STORE_RETURNED));
     }
 
     @Override
-    public void storeLost(StoreFailure reason) {
+    public void storeUnavailable(StoreFailure reason) {
         state.log().important(LogLine.of(LogEvent.STORE_LOST).with("reason", reason.name()));
     }
 
@@ -107,7 +107,7 @@
             state.log()
                     .important(LogLine.of(LogEvent.CONFIGURED)
                             .with("configurationVersion", configuration.version())
-                            .with("homes", configuration.homes().toString()));
+                            .with("homes", configuration.homeRegionsByRoute().toString()));
         }
     }
 
@@ -125,23 +125,23 @@
     }
 
     private void applyTargetEntry(TargetEntry entry) {
-        EntryChange change = state.pool().entered(entry, state.nowMillis());
+        EntryChange change = state.pool().register(entry, state.nowMillis());
         state.markRetiringTargets();
-        change.ended().forEach(previous -> {
-            state.connections().end(previous);
-            logTargetGone(previous.runText(), "the target has restarted");
+        change.terminated().forEach(previous -> {
+            state.connections().closeAll(previous);
+            logTargetGone(previous.incarnationText(), "the target has restarted");
         });
         change.changed().forEach(target -> state.log()
                 .important(LogLine.of(LogEvent.TARGET_CHANGED)
-                        .with("target", target.runText())
+                        .with("target", target.incarnationText())
                         .with("service", entry.service())
                         .with("leaving", entry.leaving())
                         .with("coldMillis", entry.coldMillis())));
     }
 
     /** Logs an unreadable entry once per key and reason, as it may be rewritten every second. */
-    private void reportUnreadable(StoreItem item, ClusterFact.Unreadable unreadable) {
-        unreadable.target().forEach(state.pool()::unreadable);
+    private void reportUnreadable(StoreItem item, ClusterEvent.Unreadable unreadable) {
+        unreadable.target().forEach(state.pool()::markUnreadable);
         state.metrics().unreadableItem();
         if (reportedUnreadable.add(item.key() + ' ' + unreadable.reason())) {
             state.log()
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -15,9 +15,9 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.handler.codec.http.HttpRequest;
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.CallerBounds;
-import org.rattanplank.core.gateway.CallerDirectory;
-import org.rattanplank.core.gateway.CallerPlace;
+import org.rattanplank.core.gateway.CallerLimits;
+import org.rattanplank.core.gateway.CallerLocation;
+import org.rattanplank.core.gateway.EntryHostDirectory;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.gateway.caller.CallerCall;
@@ -62,8 +62,8 @@
     private static final long CONGESTED_LINK_BYTES = 32 << 10;
 
     private final GatewaySettings settings;
-    private final AdapterNames names;
-    private final SteadyClock clock = SteadyClock.ofProcess();
+    private final PlatformFormats names;
+    private final MonotonicClock clock = MonotonicClock.ofProcess();
     private final ReadWatermark readWatermark = ReadWatermark.of(clock.nowMillis(), LATE_TICK_MILLIS);
     private final EventLoopGroup group;
     private final EventLoop loop;
@@ -72,7 +72,7 @@
     private final GatewayHost self;
     private final GatewayState state;
     private final TargetConnections connections;
-    private final CallerDirectory directory = CallerDirectory.of(clock.nowMillis());
+    private final EntryHostDirectory directory = EntryHostDirectory.of(clock.nowMillis());
     private final CallerServer callers;
     private final PeerLinks links;
     private final PeerStateExchange stateExchange;
@@ -87,7 +87,7 @@
 
     private Gateway(
             GatewaySettings settings,
-            AdapterNames names,
+            PlatformFormats names,
             EventLoopGroup group,
             ClusterStore store,
             EventLog log,
@@ -100,7 +100,7 @@
         self = new GatewayHost(
                 settings.name(),
                 incarnation,
-                settings.place(),
+                settings.location(),
                 hostAndPort(settings.callers()),
                 hostAndPort(settings.peers()));
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
@@ -115,9 +115,9 @@
                 store, names.storeFormat(), stateUpdater, loop, clock, random, settings.linkBytesPerMilli());
         state.attach(links, feed::isComplete);
         lease = HostLease.of(
-                store, names.storeFormat(), self, loop, settings.limits().leaseMillis(), this::onLeaseAnswer);
+                store, names.storeFormat(), self, loop, settings.limits().minLeaseMillis(), this::onLeaseAnswer);
         stateExchange = new PeerStateExchange(
-                state, links, feed, settings.linkBytesPerMilli(), this::acceptsCallers, this::workMillis);
+                state, links, feed, settings.linkBytesPerMilli(), this::acceptsCallers, this::acceptMillis);
         registerGauges(store.traffic());
     }
 
@@ -134,7 +134,7 @@
      */
     public static Gateway of(
             GatewaySettings settings,
-            AdapterNames names,
+            PlatformFormats names,
             EventLoopGroup group,
             ClusterStore store,
             EventLog log,
@@ -179,7 +179,7 @@
                     ended));
             log.important(LogLine.of(LogEvent.STOPPING).with("requests", requests.size()));
             callers.stop();
-            lease.leave();
+            lease.deregister();
             stateExchange.sendStateToAll();
             loop.scheduleAtFixedRate(stop.get()::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         });
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public void lost(PeerLink link, String reason) {
+    public void disconnected(PeerLink link, String reason) {
         log.important(LogLine.of(LogEvent.PEER_LOST)
                 .with("peer", link.host().map(GatewayHost::name).getOrElse(""))
                 .with("reason", reason));
@@ -208,25 +208,25 @@
     }
 
     @Override
-    public void state(PeerLink link, PeerFrame.State received) {
+    public void stateReceived(PeerLink link, PeerFrame.State received) {
         stateExchange.receiveState(link, received);
     }
 
     @Override
-    public void largeRead(PeerLink link, PeerFrame.TargetWork work) {
+    public void largePrefillNoticeReceived(PeerLink link, PeerFrame.TargetWork work) {
         stateExchange.receiveLargePrefillNotice(link, work);
     }
 
     @Override
-    public void storeItems(PeerFrame.StoreItems storeItems) {
-        state.pool().beLenient(storeItems.lenientMillis(), clock.nowMillis());
-        feed.takeFromPeer(storeItems.base(), storeItems.revision(), storeItems.items());
+    public void storeItemsReceived(PeerFrame.StoreItems storeItems) {
+        state.pool().extendRemovalGrace(storeItems.removalGraceMillis(), clock.nowMillis());
+        feed.mergeFromPeer(storeItems.baseRevision(), storeItems.revision(), storeItems.items());
     }
 
     @Override
-    public void asked(PeerLink link, PeerFrame.Ask frame) {
+    public void requestReceived(PeerLink link, PeerFrame.CallRequest frame) {
         GatewayRequest request = reader.request(
-                frame.method(), frame.uri(), frame.authority(), PeerLink.headers(frame.headers()), frame.body());
+                frame.method(), frame.uri(), frame.authority(), PeerLink.unflatten(frame.headers()), frame.body());
         Map<Long, ForwardedRequest> calls = forwarded.computeIfAbsent(link, each -> new HashMap<>());
         ForwardedRequest call = new ForwardedRequest(state, link, frame, request, () -> calls.remove(frame.call()));
         calls.put(frame.call(), call);
@@ -234,7 +234,7 @@
     }
 
     @Override
-    public void cancelled(PeerLink link, long number) {
+    public void callCancelled(PeerLink link, long number) {
         ForwardedRequest call = forwarded.getOrDefault(link, Map.of()).get(number);
         if (call != null) {
             call.cancel();
@@ -248,7 +248,7 @@
         CallerResponse response = new CallerResponse(connection);
         if (request.isEmpty()) {
             response.respondBadRequest();
-            onMalformedRequest(AdminAnswer.BAD_REQUEST);
+            onMalformedRequest(AdminResponse.BAD_REQUEST);
             return;
         }
         ProxiedRequest[] created = new ProxiedRequest[1];
@@ -277,54 +277,54 @@
         log.ordinary(LogLine.of(LogEvent.REFUSED).with("status", status).with("reason", "malformed request"));
     }
 
-    private CallerBounds bounds() {
-        return state.configuration().map(GatewayConfiguration::bounds).getOrElse(CallerBounds.DEFAULTS);
+    private CallerLimits bounds() {
+        return state.configuration().map(GatewayConfiguration::callerLimits).getOrElse(CallerLimits.DEFAULTS);
     }
 
     private boolean acceptsCallers() {
         return stop.isEmpty() && state.isInitialized() && !state.isRetiring();
     }
 
-    private long workMillis() {
+    private long acceptMillis() {
         if (acceptsCallers()) {
-            return PeerFrame.State.FOR_GOOD;
+            return PeerFrame.State.UNLIMITED_MILLIS;
         }
-        return state.isInitialized() ? stop.map(GatewayStop::workMillis).getOrElse(0L) : 0;
+        return state.isInitialized() ? stop.map(GatewayStop::acceptMillis).getOrElse(0L) : 0;
     }
 
     private void onLeaseAnswer(Option<StoreFailure> failure) {
-        feed.leaseAnswered(failure.isEmpty());
+        feed.updateLeaseHealth(failure.isEmpty());
         failure.forEach(
                 reason -> log.important(LogLine.of(LogEvent.LEASE_FAILED).with("reason", reason.name())));
     }
 
     private void onKeyLost() {
-        lease.keyLost();
+        lease.keyRemoved();
     }
 
-    private AdminAnswer handleAdmin(String uri) {
-        if (names.directoryFormat().asksReadiness(uri)) {
-            return acceptsCallers() ? AdminAnswer.text("ready\n") : AdminAnswer.unavailable();
+    private AdminResponse handleAdmin(String uri) {
+        if (names.directoryFormat().isReadinessProbe(uri)) {
+            return acceptsCallers() ? AdminResponse.text("ready\n") : AdminResponse.unavailable();
         }
-        Option<AdapterNames.Question> query = names.directoryFormat().read(uri);
+        Option<PlatformFormats.EntryHostsQuery> query = names.directoryFormat().parse(uri);
         if (query.isDefined()) {
             List<String> hosts = entryHosts(query.get());
             return hosts.isEmpty()
-                    ? AdminAnswer.unavailable()
-                    : names.directoryFormat().write(hosts, settings.limits().listSeconds());
+                    ? AdminResponse.unavailable()
+                    : names.directoryFormat().format(hosts, settings.limits().entryHostsTtlSeconds());
         }
         if (uri.startsWith("/status")) {
-            return AdminAnswer.json(
+            return AdminResponse.json(
                     GatewayStatus.of(state, requests.size(), !acceptsCallers()).toJson());
         }
-        return uri.startsWith("/metrics") ? AdminAnswer.text(metrics.text()) : AdminAnswer.notFound();
+        return uri.startsWith("/metrics") ? AdminResponse.text(metrics.text()) : AdminResponse.notFound();
     }
 
-    private List<String> entryHosts(AdapterNames.Question query) {
-        List<GatewayHost> accepting = hosts(acceptsCallers(), PeerFrame.State::takesCallers);
-        List<GatewayHost> draining = hosts(workMillis() > 0 && !acceptsCallers(), PeerFrame.State::isLastOfItsRegion);
-        Option<CallerPlace> callerPlace = state.configuration()
-                .map(configuration -> new CallerPlace(
+    private List<String> entryHosts(PlatformFormats.EntryHostsQuery query) {
+        List<GatewayHost> accepting = hosts(acceptsCallers(), PeerFrame.State::acceptsCallers);
+        List<GatewayHost> draining = hosts(acceptMillis() > 0 && !acceptsCallers(), PeerFrame.State::isLastOfRegion);
+        Option<CallerLocation> callerPlace = state.configuration()
+                .map(configuration -> new CallerLocation(
                         query.region(),
                         query.dataCentre(),
                         configuration.homeRegions(query.hostName()),
@@ -337,7 +337,7 @@
         if (withSelf) {
             hosts.add(self);
         }
-        for (PeerLink link : links.alive()) {
+        for (PeerLink link : links.aliveLinks()) {
             if (condition.test(link.state())) {
                 hosts.add(link.host().get());
             }
@@ -381,16 +381,16 @@
             connections.tick();
             callers.tick();
             logCongestedLinks();
-            directory.saw(hosts(workMillis() > 0, received -> received.workMillis() > 0), now);
+            directory.recordHosts(hosts(acceptMillis() > 0, received -> received.acceptMillis() > 0), now);
         }
     }
 
     private void logCongestedLinks() {
-        for (PeerLink link : links.alive()) {
-            if (link.waitingBytes() >= CONGESTED_LINK_BYTES) {
+        for (PeerLink link : links.aliveLinks()) {
+            if (link.pendingBytes() >= CONGESTED_LINK_BYTES) {
                 log.ordinary(LogLine.of(LogEvent.LINK_FULL)
                         .with("peer", link.host().get().name())
-                        .with("waitingBytes", link.waitingBytes()));
+                        .with("waitingBytes", link.pendingBytes()));
             }
         }
     }
@@ -409,21 +409,21 @@
     private void registerGauges(CallTraffic storeTraffic) {
         metrics.gauge("configuration_version", state::configurationVersion);
         metrics.gauge("intents_generation", () -> state.intents().generation());
-        metrics.gauge("store_age_millis", () -> feed.ageMillis());
+        metrics.gauge("store_age_millis", () -> feed.lastResponseAgeMillis());
         metrics.gauge("requests_in_progress", () -> requests.size());
         metrics.gauge("targets", () -> state.pool().all().size());
-        metrics.gauge("peers", () -> links.alive().size());
+        metrics.gauge("peers", () -> links.aliveLinks().size());
         for (PeerTraffic.Kind kind : PeerTraffic.Kind.values()) {
             metrics.gauge("peer_bytes_sent{kind=\"" + kind.label() + "\"}", () -> links.traffic()
-                    .bytes(kind));
+                    .sentBytes(kind));
         }
-        metrics.gauge("peer_bytes_waiting", () -> links.waitingBytes());
-        metrics.gauge("peer_bytes_waiting_most", () -> links.mostWaitingBytes());
+        metrics.gauge("peer_bytes_waiting", () -> links.pendingBytes());
+        metrics.gauge("peer_bytes_waiting_most", () -> links.maxPendingBytes());
         metrics.gauge("peer_bytes_received", () -> links.traffic().receivedBytes());
         metrics.gauge("store_bytes_sent", storeTraffic::sentBytes);
         metrics.gauge("store_bytes_received", storeTraffic::receivedBytes);
         metrics.gauge("store_write_longest_millis", storeTraffic::takeLongestWriteMillis);
-        metrics.gauge("target_connections_opened", connections::opened);
+        metrics.gauge("target_connections_opened", connections::openedConnections);
         metrics.gauge("log_lines_dropped", log::dropped);
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
@@ -13,7 +13,7 @@
  * The settings of one gateway process. Immutable and thread safe.
  *
  * @param name the name of this host
- * @param place the location of this host
+ * @param location the location of this host
  * @param regionsByDataCentre the region of each data centre
  * @param callers the address for callers
  * @param readiness the address for readiness probes of the platform
@@ -27,7 +27,7 @@
  */
 public record GatewaySettings(
         String name,
-        Place place,
+        Place location,
         Map<String, String> regionsByDataCentre,
         InetSocketAddress callers,
         InetSocketAddress readiness,
@@ -40,7 +40,7 @@
         Mechanisms mechanisms) {
     public GatewaySettings {
         Objects.requireNonNull(name, "name");
-        Objects.requireNonNull(place, "place");
+        Objects.requireNonNull(location, "place");
         regionsByDataCentre = Map.copyOf(regionsByDataCentre);
         if (linkBytesPerMilli <= 0) {
             throw new IllegalArgumentException("link bandwidth must be positive: " + linkBytesPerMilli + " bytes/ms");
@@ -56,7 +56,7 @@
      */
     public Set<String> ownDataCentres() {
         return regionsByDataCentre.entrySet().stream()
-                .filter(entry -> entry.getValue().equals(place.region()))
+                .filter(entry -> entry.getValue().equals(location.region()))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toUnmodifiableSet());
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStatus.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStatus.java
@@ -63,8 +63,8 @@
             json.writeObjectFieldStart("identity");
             json.writeStringField("host", host.name());
             json.writeObjectFieldStart("place");
-            json.writeStringField("region", host.place().region());
-            json.writeStringField("dataCentre", host.place().dataCentre());
+            json.writeStringField("region", host.location().region());
+            json.writeStringField("dataCentre", host.location().dataCentre());
             json.writeEndObject();
             json.writeEndObject();
             json.writeNumberField("generation", generation);
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
@@ -3,8 +3,8 @@
 import java.util.function.BooleanSupplier;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.OtherHosts;
-import org.rattanplank.core.gateway.StopPlan;
+import org.rattanplank.core.gateway.PeerAvailability;
+import org.rattanplank.core.gateway.ShutdownPlan;
 import org.rattanplank.gateway.caller.CallerServer;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
@@ -29,7 +29,7 @@
     private final BooleanSupplier hasRequests;
     private final Runnable abortRequests;
     private final long graceMillis;
-    private final StopPlan plan;
+    private final ShutdownPlan plan;
     private final Runnable onEnded;
     private final long requestedAtMillis;
     private boolean portsClosed;
@@ -61,36 +61,36 @@
         this.hasRequests = hasRequests;
         this.abortRequests = abortRequests;
         this.graceMillis = graceMillis;
-        plan = StopPlan.within(graceMillis);
+        plan = ShutdownPlan.within(graceMillis);
         this.onEnded = onEnded;
         requestedAtMillis = state.nowMillis();
-        state.limitStarts(this::mayStart);
+        state.limitStarts(this::mayAccept);
     }
 
     /** Returns how much longer requests should be sent to this host while it stops. */
-    long workMillis() {
-        return portsClosed ? 0 : plan.workMillis(stoppingMillis(), otherHosts());
+    long acceptMillis() {
+        return portsClosed ? 0 : plan.acceptMillis(stoppingMillis(), otherHosts());
     }
 
-    private boolean mayStart(Option<Long> longestMillis) {
-        return !aborted && plan.mayBegin(stoppingMillis(), otherHosts(), longestMillis);
+    private boolean mayAccept(Option<Long> longestMillis) {
+        return !aborted && plan.mayAccept(stoppingMillis(), otherHosts(), longestMillis);
     }
 
     private long stoppingMillis() {
         return state.nowMillis() - requestedAtMillis;
     }
 
-    private OtherHosts otherHosts() {
+    private PeerAvailability otherHosts() {
         boolean anyAcceptsCallers = false;
         long longestMillis = 0;
-        for (PeerLink link : links.alive()) {
-            if (link.isOwnRegion()) {
-                anyAcceptsCallers |= link.state().takesCallers();
-                longestMillis = Math.max(longestMillis, link.state().workMillis() - link.stateAgeMillis());
+        for (PeerLink link : links.aliveLinks()) {
+            if (link.isInOwnRegion()) {
+                anyAcceptsCallers |= link.state().acceptsCallers();
+                longestMillis = Math.max(longestMillis, link.state().acceptMillis() - link.stateAgeMillis());
             }
         }
-        long ownMillis = plan.workMillis(stoppingMillis(), OtherHosts.AWAY);
-        return OtherHosts.of(links.knowsOthersInOwnRegion(), anyAcceptsCallers, longestMillis, ownMillis);
+        long ownMillis = plan.acceptMillis(stoppingMillis(), PeerAvailability.UNAVAILABLE);
+        return PeerAvailability.of(links.knowsOthersInOwnRegion(), anyAcceptsCallers, longestMillis, ownMillis);
     }
 
     /** Advances the stop; called periodically until the process terminates. */
@@ -99,15 +99,16 @@
             return;
         }
         long stoppingMillis = stoppingMillis();
-        if (portsClosed || plan.mayEnd(stoppingMillis, otherHosts(), hasRequests.getAsBoolean())) {
+        if (portsClosed || plan.mayClose(stoppingMillis, otherHosts(), hasRequests.getAsBoolean())) {
             closeIdle();
         }
-        if (stoppingMillis >= plan.cutMillis() && !aborted) {
+        if (stoppingMillis >= plan.closeMillis() && !aborted) {
             aborted = true;
             closeIdle();
             abortRequests.run();
         }
-        boolean complete = portsClosed && callers.connections() == 0 && !hasRequests.getAsBoolean() && links.areEnded();
+        boolean complete =
+                portsClosed && callers.connections() == 0 && !hasRequests.getAsBoolean() && links.areClosed();
         if (complete || stoppingMillis >= graceMillis - TERMINATION_MARGIN_MILLIS) {
             finish();
         }
@@ -117,11 +118,11 @@
         if (!portsClosed) {
             portsClosed = true;
             callers.closePort();
-            links.closePort();
+            links.stopListening();
         }
         callers.endIdle();
         if (callers.haveEnded() && !hasRequests.getAsBoolean()) {
-            links.end(hasRequests);
+            links.closeGracefully(hasRequests);
         }
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/HeaderNames.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/HeaderNames.java
@@ -10,12 +10,12 @@
  * @param timeoutMillis the time that the caller still waits, in milliseconds
  * @param lastEventId the last event of a stream that the caller has
  * @param expectedTarget the identifier of the only target that may run the request
- * @param refused in a response: the target did not run the request
- * @param copyFrom the address of the target that has cached prompt parts which the receiving target lacks
+ * @param notExecuted in a response: the target did not run the request
+ * @param transferSource the address of the target that has cached prompt parts which the receiving target lacks
  * @param urgency the urgency of the request, 0 is the most urgent
  * @param tokens the number of prompt tokens and the maximum number of tokens to generate, separated by a comma
  * @param promptParts the parts of the prompt as ID:TOKENS, separated by commas
- * @param outputHint the caller's estimate of the number of generated tokens
+ * @param outputTokensHint the caller's estimate of the number of generated tokens
  * @param reserved headers that only this system may set; they are removed from callers' requests
  */
 public record HeaderNames(
@@ -23,12 +23,12 @@
         String timeoutMillis,
         String lastEventId,
         String expectedTarget,
-        String refused,
-        String copyFrom,
+        String notExecuted,
+        String transferSource,
         String urgency,
         String tokens,
         String promptParts,
-        String outputHint,
+        String outputTokensHint,
         Set<String> reserved) {
     public HeaderNames {
         Objects.requireNonNull(requestId, "requestId");
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/SteadyClock.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/MonotonicClock.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A monotonic clock in milliseconds, independent of the time of day. Thread safe. */
-public interface SteadyClock {
+public interface MonotonicClock {
     /**
      * Returns the current time.
      *
@@ -16,7 +16,7 @@
      *
      * @return the clock
      */
-    static SteadyClock ofProcess() {
+    static MonotonicClock ofProcess() {
         return () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
@@ -10,16 +10,16 @@
 import java.util.function.LongSupplier;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.Choice;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.core.gateway.GatewayTarget;
+import org.rattanplank.core.gateway.InFlightWork;
 import org.rattanplank.core.gateway.LatencyModel;
 import org.rattanplank.core.gateway.Mechanism;
 import org.rattanplank.core.gateway.RegionLoads;
-import org.rattanplank.core.gateway.RegionStreams;
-import org.rattanplank.core.gateway.SentWork;
+import org.rattanplank.core.gateway.RegionStreamStats;
 import org.rattanplank.core.gateway.ServiceRule;
-import org.rattanplank.core.gateway.StreamPace;
+import org.rattanplank.core.gateway.StreamStats;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.core.gateway.Urgency;
 import org.rattanplank.core.gateway.Work;
 import org.rattanplank.gateway.pass.GatewayState;
@@ -73,7 +73,7 @@
     private final RegionReplication replication;
     private final long linkBytesPerMilli;
     private final BooleanSupplier acceptsCallers;
-    private final LongSupplier workMillis;
+    private final LongSupplier acceptMillis;
     private boolean reportedAcceptingWork;
     private long ownRegionIntervalMillis = MIN_OWN_REGION_INTERVAL_MILLIS;
     private long otherRegionIntervalMillis = MIN_OTHER_REGION_INTERVAL_MILLIS;
@@ -97,17 +97,17 @@
         replication = new RegionReplication(state, feed, linkBytesPerMilli);
         this.acceptsCallers = acceptsCallers;
         state.onLargePrefill(this::sendLargePrefillNotice);
-        this.workMillis = workMillis;
+        this.acceptMillis = workMillis;
     }
 
     void tick(long nowMillis) {
-        if (workMillis.getAsLong() > 0 != reportedAcceptingWork) {
+        if (acceptMillis.getAsLong() > 0 != reportedAcceptingWork) {
             // Other hosts keep sending requests, or none, according to the last report.
             reportedAcceptingWork = !reportedAcceptingWork;
             sendStateToAll();
         }
-        List<PeerLink> alive = links.alive();
-        long ownRegionLinks = alive.stream().filter(PeerLink::isOwnRegion).count();
+        List<PeerLink> alive = links.aliveLinks();
+        long ownRegionLinks = alive.stream().filter(PeerLink::isInOwnRegion).count();
         ownRegionIntervalMillis =
                 Math.max(MIN_OWN_REGION_INTERVAL_MILLIS, INTERVAL_PER_OWN_REGION_LINK_MILLIS * ownRegionLinks);
         otherRegionIntervalMillis = Math.max(
@@ -117,7 +117,7 @@
         for (PeerLink link : alive) {
             LastReport lastReport = lastReports.computeIfAbsent(link, each -> new LastReport());
             long age = nowMillis - lastReport.atMillis;
-            boolean ownRegion = link.isOwnRegion();
+            boolean ownRegion = link.isInOwnRegion();
             if (ownRegion && age >= ownRegionIntervalMillis) {
                 work = work == null ? ownWork() : work;
                 if (age >= periodMillis(true) || !isSameWork(work, lastReport.work)) {
@@ -135,11 +135,11 @@
     }
 
     void sendStateToAll() {
-        links.alive().forEach(this::sendState);
+        links.aliveLinks().forEach(this::sendState);
     }
 
     void sendState(PeerLink link) {
-        sendState(link, link.isOwnRegion() ? ownWork() : List.of());
+        sendState(link, link.isInOwnRegion() ? ownWork() : List.of());
     }
 
     private void sendState(PeerLink link, List<PeerFrame.TargetWork> work) {
@@ -150,16 +150,16 @@
                 lastReport.atMillis,
                 link.state().sentAtMillis(),
                 link.stateAgeMillis(),
-                periodMillis(link.isOwnRegion()),
+                periodMillis(link.isInOwnRegion()),
                 acceptsCallers.getAsBoolean(),
                 state.configurationVersion(),
                 feed.copy().digest(),
-                feed.isFollowing(),
+                feed.isWatching(),
                 feed.isHealthy(),
                 work,
-                link.isOwnRegion() ? List.of() : regionLoads(),
-                Math.max(PeerFrame.State.KNOWS_NOTHING, feed.copy().newestRevision()),
-                workMillis.getAsLong(),
+                link.isInOwnRegion() ? List.of() : regionLoads(),
+                Math.max(PeerFrame.State.EMPTY_REVISION, feed.copy().newestRevision()),
+                acceptMillis.getAsLong(),
                 feed.copy().revision(),
                 linkBytesPerMilli,
                 true));
@@ -176,17 +176,17 @@
             return;
         }
         largePrefillAtMillis = now;
-        PeerFrame.LargeRead notice = new PeerFrame.LargeRead(work(target, now));
-        byte[] bytes = PeerLink.written(notice);
-        for (PeerLink link : links.alive()) {
-            if (link.isOwnRegion() && link.state().readsLargeReads() && link.waitingBytes() == 0) {
+        PeerFrame.LargePrefillNotice notice = new PeerFrame.LargePrefillNotice(work(target, now));
+        byte[] bytes = PeerLink.encode(notice);
+        for (PeerLink link : links.aliveLinks()) {
+            if (link.isInOwnRegion() && link.state().supportsLargePrefillNotices() && link.pendingBytes() == 0) {
                 link.send(notice, bytes);
             }
         }
     }
 
     void receiveLargePrefillNotice(PeerLink link, PeerFrame.TargetWork work) {
-        if (!link.isOwnRegion() || !state.uses(Mechanism.OTHERS_WORK)) {
+        if (!link.isInOwnRegion() || !state.uses(Mechanism.OTHERS_WORK)) {
             return;
         }
         String host = link.host().get().name();
@@ -197,20 +197,20 @@
     void receiveState(PeerLink link, PeerFrame.State received) {
         GatewayHost host = link.host().get();
         state.metrics().record(Latency.PEER_ROUND_TRIP, link.roundTripMillis());
-        if (link.isOwnRegion() && !state.uses(Mechanism.OTHERS_WORK)) {
+        if (link.isInOwnRegion() && !state.uses(Mechanism.OTHERS_WORK)) {
             return;
         }
-        if (link.isOwnRegion()) {
-            updateWorkOfHost(host.name(), received.sent());
+        if (link.isInOwnRegion()) {
+            updateWorkOfHost(host.name(), received.targetWork());
             return;
         }
-        String region = host.place().region();
-        long untilMillis = state.nowMillis() + RegionLoads.REPORT_MILLIS + received.periodMillis();
+        String region = host.location().region();
+        long untilMillis = state.nowMillis() + RegionLoads.REPORT_TIMEOUT_MILLIS + received.periodMillis();
         for (PeerFrame.RegionLoad load : received.regionLoads()) {
             RegionLoads loads = state.regionLoads();
-            loads.reported(
+            loads.update(
                     region, load.service(), load.urgency(), load.expectedMillis(), load.perTokenMillis(), untilMillis);
-            loads.reported(region, load.service(), load.streams());
+            loads.update(region, load.service(), load.streams());
         }
     }
 
@@ -229,25 +229,29 @@
         }
         for (String id : previous) {
             if (!now.contains(id)) {
-                state.pool().findRun(id).forEach(target -> target.toldByOther(host, SentWork.NONE, StreamPace.NONE));
+                state.pool()
+                        .findIncarnation(id)
+                        .forEach(target -> target.updateFromHost(host, InFlightWork.NONE, StreamStats.NONE));
             }
         }
         targetsByHost.put(host, now);
     }
 
     private void updateTargetWork(String host, PeerFrame.TargetWork work) {
-        state.pool().findRun(work.target()).forEach(target -> target.toldByOther(host, work.work(), work.pace()));
+        state.pool()
+                .findIncarnation(work.target())
+                .forEach(target -> target.updateFromHost(host, work.work(), work.streamStats()));
     }
 
     private static PeerFrame.TargetWork work(GatewayTarget target, long nowMillis) {
         return new PeerFrame.TargetWork(
-                target.runText(), target.own(), target.streams().own(nowMillis));
+                target.incarnationText(), target.ownWork(), target.streams().ownStats(nowMillis));
     }
 
     private List<PeerFrame.TargetWork> ownWork() {
         List<PeerFrame.TargetWork> work = new ArrayList<>();
         for (GatewayTarget target : state.pool().all()) {
-            if (target.own().requests() > 0) {
+            if (target.ownWork().requests() > 0) {
                 work.add(work(target, state.nowMillis()));
             }
         }
@@ -291,18 +295,18 @@
     }
 
     private void addLoads(ServiceRule service, List<PeerFrame.RegionLoad> loads) {
-        RegionStreams streams = service.isModel()
-                ? state.chooser().streams(service, state.regionView(), state.nowMillis())
-                : RegionStreams.NONE;
+        RegionStreamStats streams = service.isModel()
+                ? state.chooser().streamStats(service, state.regionView(), state.nowMillis())
+                : RegionStreamStats.NONE;
         for (Urgency urgency : Urgency.values()) {
             loads.add(load(service, urgency, streams));
         }
     }
 
-    private PeerFrame.RegionLoad load(ServiceRule service, Urgency urgency, RegionStreams streams) {
-        Option<Choice> best = state.chooser()
-                .choose(service, Work.PLAIN.with(urgency), Set.of(), state.regionView(), state.nowMillis());
-        LatencyModel model = state.chooser().model(service.name());
+    private PeerFrame.RegionLoad load(ServiceRule service, Urgency urgency, RegionStreamStats streams) {
+        Option<TargetChoice> best = state.chooser()
+                .choose(service, Work.PLAIN.withUrgency(urgency), Set.of(), state.regionView(), state.nowMillis());
+        LatencyModel model = state.chooser().latencyModel(service.name());
         // A region without capacity reports it explicitly. Otherwise others would use its last report for seconds, send
         // requests there and get each back after two crossings. Symptom: requests that end in this region because no
         // target is available: 183 on a day with an evacuation of a region at its peak, 62 with the explicit report.
@@ -310,7 +314,7 @@
                         service.name(),
                         urgency,
                         choice.expectedMillis(),
-                        model.perUnitMillis(
+                        model.millisPerWorkUnit(
                                         service.isModel(),
                                         urgency,
                                         choice.target().slots(),
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/AdapterNames.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PlatformFormats.java
@@ -14,8 +14,8 @@
  * @param storeFormat the keys and value formats of the store
  * @param directoryFormat the format of requests for entry hosts
  */
-public record AdapterNames(HeaderNames headers, StoreFormat storeFormat, DirectoryFormat directoryFormat) {
-    public AdapterNames {
+public record PlatformFormats(HeaderNames headers, StoreFormat storeFormat, DirectoryFormat directoryFormat) {
+    public PlatformFormats {
         Objects.requireNonNull(headers, "headers");
         Objects.requireNonNull(storeFormat, "storeFormat");
         Objects.requireNonNull(directoryFormat, "directoryFormat");
@@ -29,7 +29,7 @@
          * @param uri the path with its query
          * @return the query, or none if it is another request
          */
-        Option<Question> read(String uri);
+        Option<EntryHostsQuery> parse(String uri);
 
         /**
          * Formats the response to a request for entry hosts.
@@ -38,7 +38,7 @@
          * @param seconds how long the list may be used
          * @return the response
          */
-        AdminAnswer write(List<String> addresses, int seconds);
+        AdminResponse format(List<String> addresses, int seconds);
 
         /**
          * Returns whether a request is a readiness probe.
@@ -46,7 +46,7 @@
          * @param uri the path with its query
          * @return whether it is
          */
-        boolean asksReadiness(String uri);
+        boolean isReadinessProbe(String uri);
     }
 
     /**
@@ -56,5 +56,5 @@
      * @param region the caller's region
      * @param dataCentre the caller's data centre
      */
-    public record Question(String hostName, String region, String dataCentre) {}
+    public record EntryHostsQuery(String hostName, String region, String dataCentre) {}
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.rattanplank.core.gateway.HelpOrder;
-import org.rattanplank.core.gateway.StoreFollowers;
+import org.rattanplank.core.gateway.CatchUpOrder;
+import org.rattanplank.core.gateway.StoreWatchers;
 import org.rattanplank.core.host.Rendezvous;
 import org.rattanplank.gateway.pass.GatewayState;
 import org.rattanplank.gateway.peer.PeerFrame;
@@ -40,7 +40,7 @@
     private final StoreFeed feed;
     private final StoreReplicator replicator;
     private final long linkBytesPerMilli;
-    private StoreFollowers followers = StoreFollowers.of(List.of());
+    private StoreWatchers followers = StoreWatchers.of(List.of());
     private long followersChecksum = Long.MIN_VALUE;
     private long followersChosenAtMillis;
 
@@ -48,31 +48,31 @@
         this.state = state;
         this.feed = feed;
         this.linkBytesPerMilli = linkBytesPerMilli;
-        replicator =
-                new StoreReplicator(feed.copy(), linkBytesPerMilli, state.pool()::lenientMillis, state.log()::ordinary);
+        replicator = new StoreReplicator(
+                feed.copy(), linkBytesPerMilli, state.pool()::removalGraceMillis, state.log()::ordinary);
     }
 
     void tick(List<PeerLink> alive, long nowMillis) {
         if (nowMillis - followersChosenAtMillis >= FOLLOWER_SELECTION_INTERVAL_MILLIS) {
             followersChosenAtMillis = nowMillis;
             chooseFollowers(alive);
-            feed.follow(shouldFollow(alive));
+            feed.setWatching(shouldFollow(alive));
         }
         replicator.tick(alive, this, nowMillis);
     }
 
     void lost(PeerLink link) {
-        replicator.lost(link);
+        replicator.disconnected(link);
     }
 
     /** Returns whether this host follows the store: it is selected as a follower, or no other host follows. */
     private boolean shouldFollow(List<PeerLink> alive) {
-        if (!feed.isComplete() || followers.follows(state.self().name())) {
+        if (!feed.isComplete() || followers.isWatcher(state.self().name())) {
             return true;
         }
         for (PeerLink link : alive) {
-            if (link.isOwnRegion()
-                    && link.state().followsStore()
+            if (link.isInOwnRegion()
+                    && link.state().watchesStore()
                     && link.state().storeHealthy()) {
                 return false;
             }
@@ -87,7 +87,7 @@
     private void chooseFollowers(List<PeerLink> alive) {
         long checksum = feed.isHealthy() ? 1 : 0;
         for (PeerLink link : alive) {
-            if (link.isOwnRegion()) {
+            if (link.isInOwnRegion()) {
                 PeerFrame.State peer = link.state();
                 long candidate = 2 * peer.linkBytesPerMilli() + (peer.storeHealthy() ? 1 : 0);
                 checksum += Rendezvous.mix(Rendezvous.mix(link.name().hashCode()) ^ candidate);
@@ -99,17 +99,16 @@
         }
     }
 
-    private StoreFollowers followers(List<PeerLink> alive) {
-        List<StoreFollowers.Candidate> candidates = new ArrayList<>();
-        candidates.add(new StoreFollowers.Candidate(state.self().name(), feed.isHealthy(), linkBytesPerMilli));
+    private StoreWatchers followers(List<PeerLink> alive) {
+        List<StoreWatchers.Candidate> candidates = new ArrayList<>();
+        candidates.add(new StoreWatchers.Candidate(state.self().name(), feed.isHealthy(), linkBytesPerMilli));
         for (PeerLink link : alive) {
-            if (link.isOwnRegion()) {
+            if (link.isInOwnRegion()) {
                 PeerFrame.State peer = link.state();
-                candidates.add(
-                        new StoreFollowers.Candidate(link.name(), peer.storeHealthy(), peer.linkBytesPerMilli()));
+                candidates.add(new StoreWatchers.Candidate(link.name(), peer.storeHealthy(), peer.linkBytesPerMilli()));
             }
         }
-        return StoreFollowers.of(candidates);
+        return StoreWatchers.of(candidates);
     }
 
     @Override
@@ -117,7 +116,7 @@
         PeerFrame.State peer = receiver.state();
         return isHealthyFollower()
                 && needsRelay(peer)
-                && peer.knownRevision() != PeerFrame.State.UNTOLD
+                && peer.knownRevision() != PeerFrame.State.UNREPORTED
                 && followers.relayFor(receiver.name()).contains(state.self().name());
     }
 
@@ -131,22 +130,23 @@
             // A host that starts while the store is unavailable would otherwise serve no requests until it is back. The
             // last known state of other hosts is better, and its own attempts correct it.
             return PROPAGATION_MILLIS
-                    + HelpOrder.waitMillis(
+                    + CatchUpOrder.delayMillis(
                             state.regionView().hosts(), state.self().name(), receiver.name());
         }
         if (!isHealthyFollower() || !isBehind(receiver)) {
             return NEVER;
         }
         long delayMillis = Math.max(PROPAGATION_MILLIS, REPORT_PERIODS * peer.periodMillis());
-        return delayMillis + CATCH_UP_TURN_MILLIS * followers.turn(state.self().name());
+        return delayMillis
+                + CATCH_UP_TURN_MILLIS * followers.position(state.self().name());
     }
 
     private boolean isHealthyFollower() {
-        return feed.isFollowing() && feed.isHealthy();
+        return feed.isWatching() && feed.isHealthy();
     }
 
     private static boolean needsRelay(PeerFrame.State peer) {
-        return !peer.followsStore() || !peer.storeHealthy();
+        return !peer.watchesStore() || !peer.storeHealthy();
     }
 
     private static boolean hasNoConfiguration(PeerFrame.State peer) {
@@ -155,11 +155,11 @@
 
     private boolean isBehind(StoreReceiver receiver) {
         PeerFrame.State peer = receiver.state();
-        if (!receiver.isOwnRegion()) {
+        if (!receiver.isInOwnRegion()) {
             // Hosts of another region update each other while the store answers some of them.
             return !peer.storeHealthy() && peer.configurationVersion() < state.configurationVersion();
         }
-        return peer.knownRevision() != PeerFrame.State.UNTOLD
+        return peer.knownRevision() != PeerFrame.State.UNREPORTED
                 || peer.newestRevision() < feed.copy().newestRevision();
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
@@ -58,7 +58,7 @@
                 names.lastEventId(),
                 names.tokens(),
                 names.promptParts(),
-                names.outputHint()));
+                names.outputTokensHint()));
     }
 
     /**
@@ -130,8 +130,9 @@
         String[] counts = tokens.split(",");
         int promptTokens = count(counts[0]);
         int maxTokens = counts.length > 1 ? count(counts[1]) : DEFAULT_OUTPUT_TOKENS;
-        int estimatedTokens =
-                number(headers.get(names.outputHint())).map(Long::intValue).getOrElse(DEFAULT_OUTPUT_TOKENS);
+        int estimatedTokens = number(headers.get(names.outputTokensHint()))
+                .map(Long::intValue)
+                .getOrElse(DEFAULT_OUTPUT_TOKENS);
         return new Work(
                 promptTokens,
                 Math.max(0, Math.min(maxTokens, estimatedTokens)),
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
@@ -27,7 +27,7 @@
 import io.netty.handler.codec.http.TooLongHttpHeaderException;
 import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.netty.util.ReferenceCountUtil;
-import org.rattanplank.core.gateway.CallerBounds;
+import org.rattanplank.core.gateway.CallerLimits;
 import org.rattanplank.gateway.http.Headers;
 import org.rattanplank.gateway.http.WaitingBytes;
 
@@ -55,7 +55,7 @@
     private static final long FRESH_MILLIS = 500;
 
     private final CallerServer server;
-    private final CallerBounds bounds;
+    private final CallerLimits bounds;
     private Channel channel;
     private HttpRequest head;
     private List<ByteBuf> parts = new ArrayList<>();
@@ -72,7 +72,7 @@
     private long firstByteAtMillis;
     private long readMillis;
 
-    CallerConnection(CallerServer server, CallerBounds bounds) {
+    CallerConnection(CallerServer server, CallerLimits bounds) {
         this.server = server;
         this.bounds = bounds;
     }
@@ -197,7 +197,7 @@
             return;
         }
         if (head != null && quietMillis > bounds.idleTimeoutMillis()
-                || head == null && receiving && quietMillis > bounds.headTimeoutMillis()) {
+                || head == null && receiving && quietMillis > bounds.headerTimeoutMillis()) {
             refuse(HttpResponseStatus.REQUEST_TIMEOUT);
         } else if (quietMillis > bounds.idleTimeoutMillis()) {
             endIfIdle();
@@ -205,7 +205,7 @@
     }
 
     private long leastTimeoutMillis() {
-        return receiving && head == null && !closing ? bounds.headTimeoutMillis() : bounds.idleTimeoutMillis();
+        return receiving && head == null && !closing ? bounds.headerTimeoutMillis() : bounds.idleTimeoutMillis();
     }
 
     /** Ends the sending half behind all that was written, and the rest a moment later or when the caller has. */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
@@ -21,8 +21,8 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpRequestDecoder;
 import io.netty.handler.codec.http.HttpResponseEncoder;
-import org.rattanplank.core.gateway.CallerBounds;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.core.gateway.CallerLimits;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.http.ByteWatch;
 import org.rattanplank.gateway.http.WaitingBytes;
 
@@ -42,8 +42,8 @@
     private static final int BACKLOG = 1_024;
 
     private final EventLoopGroup group;
-    private final SteadyClock clock;
-    private final Supplier<CallerBounds> bounds;
+    private final MonotonicClock clock;
+    private final Supplier<CallerLimits> bounds;
     private final CallHandler handler;
     private final IntConsumer refused;
     private final Set<CallerConnection> connections = new HashSet<>();
@@ -63,8 +63,8 @@
      */
     public CallerServer(
             EventLoopGroup group,
-            SteadyClock clock,
-            Supplier<CallerBounds> bounds,
+            MonotonicClock clock,
+            Supplier<CallerLimits> bounds,
             CallHandler handler,
             IntConsumer refused) {
         this.group = group;
@@ -210,8 +210,8 @@
     private static final class RequestDecoder extends HttpRequestDecoder {
         private final CallerConnection connection;
 
-        private RequestDecoder(CallerBounds bounds, CallerConnection connection) {
-            super(bounds.maxHeadBytes(), bounds.maxHeadBytes(), MAX_CHUNK_BYTES);
+        private RequestDecoder(CallerLimits bounds, CallerConnection connection) {
+            super(bounds.maxHeaderBytes(), bounds.maxHeaderBytes(), MAX_CHUNK_BYTES);
             this.connection = connection;
         }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ConnectedPeers.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ConnectedPeers.java
@@ -27,19 +27,19 @@
     }
 
     static ConnectedPeers of(GatewayHost self, PeerLinks links, boolean startupOver) {
-        Set<String> names = new HashSet<>(links.enteredInOwnRegion());
+        Set<String> names = new HashSet<>(links.registeredInOwnRegion());
         Set<String> connected = new HashSet<>();
         connected.add(self.name());
         Map<String, List<PeerLink>> accepting = new HashMap<>();
         Map<String, List<PeerLink>> draining = new HashMap<>();
-        for (PeerLink link : links.alive()) {
+        for (PeerLink link : links.aliveLinks()) {
             GatewayHost host = link.host().get();
-            String region = host.place().region();
-            if (region.equals(self.place().region())) {
+            String region = host.location().region();
+            if (region.equals(self.location().region())) {
                 connected.add(host.name());
-            } else if (link.state().takesCallers()) {
+            } else if (link.state().acceptsCallers()) {
                 accepting.computeIfAbsent(region, name -> new ArrayList<>()).add(link);
-            } else if (link.state().isLastOfItsRegion()) {
+            } else if (link.state().isLastOfRegion()) {
                 draining.computeIfAbsent(region, name -> new ArrayList<>()).add(link);
             }
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/DecisionLog.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/DecisionLog.java
@@ -1,9 +1,9 @@
 package org.rattanplank.gateway.pass;
 
-import org.rattanplank.core.gateway.Choice;
 import org.rattanplank.core.gateway.GatewayTarget;
-import org.rattanplank.core.gateway.Outlook;
+import org.rattanplank.core.gateway.ServiceEstimate;
 import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.core.gateway.Work;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
@@ -23,17 +23,21 @@
         this.log = log;
     }
 
-    void sent(Choice choice, ServiceRule service, Work work, long nowMillis, long deadlineMillis, int attempt) {
+    void sent(TargetChoice choice, ServiceRule service, Work work, long nowMillis, long deadlineMillis, int attempt) {
         GatewayTarget target = choice.target();
         log.add(LogLine.of(LogEvent.SENT)
-                .with("target", target.runText())
+                .with("target", target.incarnationText())
                 .with("service", service.name())
                 .with("expectedMillis", choice.expectedMillis())
                 .with("candidates", choice.candidates())
-                .with("copyFrom", choice.source().map(GatewayTarget::runText).getOrElse(""))
-                .with("requestsThere", target.all().requests())
-                .with("tokensWaitingThere", target.all().waiting().ahead(work.urgency()))
-                .with("paceMillis", target.streams().all(nowMillis).millis())
+                .with(
+                        "copyFrom",
+                        choice.transferSource()
+                                .map(GatewayTarget::incarnationText)
+                                .getOrElse(""))
+                .with("requestsThere", target.totalWork().requests())
+                .with("tokensWaitingThere", target.totalWork().prefillBacklog().ahead(work.urgency()))
+                .with("paceMillis", target.streams().totalStats(nowMillis).meanInterTokenMillis())
                 .with("remainingMillis", deadlineMillis - nowMillis)
                 .with("attempt", attempt));
     }
@@ -44,8 +48,8 @@
                 .with("region", region)
                 .with("to", link.host().get().name())
                 .with("service", service.name())
-                .with("expectedMillis", options.placement().outlook(region).expectedMillis())
-                .with("localMillis", options.placement().localMillis())
+                .with("expectedMillis", options.placement().estimate(region).expectedMillis())
+                .with("localMillis", options.placement().localCostMillis())
                 .with("stateAgeMillis", link.stateAgeMillis())
                 .with("attempt", attempt));
     }
@@ -66,10 +70,10 @@
      * Adds the service estimate of the target or region to which a request was last sent, or would have been sent when
      * it was rejected.
      */
-    static void addEstimate(LogLine line, Outlook estimate) {
-        if (estimate != Outlook.NONE) {
+    static void addEstimate(LogLine line, ServiceEstimate estimate) {
+        if (estimate != ServiceEstimate.NONE) {
             line.with("region", estimate.region())
-                    .with("waitMillis", estimate.waitMillis())
+                    .with("waitMillis", estimate.queueWaitMillis())
                     .with("expectedMillis", estimate.expectedMillis())
                     .with("delayCostMillis", estimate.delayCostMillis())
                     .with("overrunMillis", estimate.overrunMillis());
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
@@ -7,12 +7,12 @@
 import io.netty.buffer.ByteBufUtil;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.Choice;
-import org.rattanplank.core.gateway.Demand;
 import org.rattanplank.core.gateway.ForwardDelay;
 import org.rattanplank.core.gateway.Mechanism;
+import org.rattanplank.core.gateway.PlacementRequest;
 import org.rattanplank.core.gateway.RouteRule;
 import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.core.gateway.WeightedService;
 import org.rattanplank.core.gateway.Work;
 import org.rattanplank.gateway.GatewayRequest;
@@ -37,7 +37,7 @@
 
     private final GatewayState state;
     private final PeerLink link;
-    private final PeerFrame.Ask frame;
+    private final PeerFrame.CallRequest frame;
     private final GatewayRequest request;
     private final RequestLog requestLog;
     private final Runnable onFinished;
@@ -62,19 +62,23 @@
      * @param onFinished run once when it is finished
      */
     public ForwardedRequest(
-            GatewayState state, PeerLink link, PeerFrame.Ask frame, GatewayRequest request, Runnable onFinished) {
+            GatewayState state,
+            PeerLink link,
+            PeerFrame.CallRequest frame,
+            GatewayRequest request,
+            Runnable onFinished) {
         this.state = state;
         this.link = link;
         this.frame = frame;
         this.request = request;
         this.onFinished = onFinished;
-        tried = new HashSet<>(frame.excluded());
+        tried = new HashSet<>(frame.excludedTargets());
         requestLog = new RequestLog(state.log(), frame.requestId());
         acceptedAtMillis = state.nowMillis();
-        long delayMillis = ForwardDelay.millis(
+        long delayMillis = ForwardDelay.delayMillis(
                 acceptedAtMillis, frame.echoedMillis(), frame.echoAgeMillis(), link.roundTripMillis());
         deadlineMillis = acceptedAtMillis + frame.remainingMillis() - delayMillis;
-        work = request.work().with(frame.urgency()).within(Math.max(0, remainingMillis()));
+        work = request.work().withUrgency(frame.urgency()).withRemainingMillis(Math.max(0, remainingMillis()));
     }
 
     /** Sends the request to a target, or rejects it. */
@@ -118,7 +122,7 @@
 
     @Override
     public void head(int status, HttpHeaders headers) {
-        link.send(new PeerFrame.AnswerHead(frame.call(), status, PeerLink.flat(headers), target));
+        link.send(new PeerFrame.ResponseHead(frame.call(), status, PeerLink.flatten(headers), target));
     }
 
     @Override
@@ -126,12 +130,12 @@
         if (firstChunkAtMillis == 0) {
             firstChunkAtMillis = state.nowMillis();
         }
-        link.send(new PeerFrame.AnswerContent(frame.call(), ByteBufUtil.getBytes(bytes)));
+        link.send(new PeerFrame.ResponseChunk(frame.call(), ByteBufUtil.getBytes(bytes)));
     }
 
     @Override
-    public void ended() {
-        link.send(new PeerFrame.AnswerEnd(frame.call()));
+    public void completed() {
+        link.send(new PeerFrame.ResponseEnd(frame.call()));
         route().forEach(rule -> state.recordDuration(rule, state.nowMillis() - acceptedAtMillis));
         finish("answered");
     }
@@ -151,7 +155,7 @@
         if (state.configurationVersion() <= frame.configurationVersion()) {
             return true;
         }
-        return route().exists(rule -> rule.allows(state.self().place().region())
+        return route().exists(rule -> rule.allows(state.self().location().region())
                 && rule.services().stream()
                         .filter(service -> service.weight() > 0)
                         .map(WeightedService::service)
@@ -160,7 +164,7 @@
 
     private void send() {
         Option<ServiceRule> service = state.configuration().flatMap(now -> now.service(frame.service()));
-        Option<Choice> choice = service.flatMap(this::choose);
+        Option<TargetChoice> choice = service.flatMap(this::choose);
         if (choice.isEmpty()) {
             fail(AttemptFailure.NOT_SENT, "no target is available in this region");
             return;
@@ -169,35 +173,39 @@
             fail(AttemptFailure.NOT_SENT, "the expected queue wait in this region is too long");
             return;
         }
-        if (!route().forAll(state::mayStart)) {
+        if (!route().forAll(state::mayAccept)) {
             fail(AttemptFailure.NOT_SENT, "this host is stopping");
             return;
         }
-        target = choice.get().target().runText();
+        target = choice.get().target().incarnationText();
         expectedMillis = choice.get().expectedMillis();
         tried.add(target);
         requestLog.add(LogLine.of(LogEvent.FORWARD_TAKEN)
                 .with("from", link.host().map(host -> host.name()).getOrElse(""))
                 .with("target", target)
                 .with("expectedMillis", expectedMillis)
-                .with("waitMillis", choice.get().waitMillis())
+                .with("waitMillis", choice.get().queueWaitMillis())
                 .with("candidates", choice.get().candidates())
-                .with("requestsThere", choice.get().target().all().requests())
+                .with("requestsThere", choice.get().target().totalWork().requests())
                 .with(
                         "paceMillis",
-                        choice.get().target().streams().all(state.nowMillis()).millis())
+                        choice.get()
+                                .target()
+                                .streams()
+                                .totalStats(state.nowMillis())
+                                .meanInterTokenMillis())
                 .with("remainingMillis", remainingMillis()));
         TargetCall call = new TargetCall(request, work, remainingMillis(), frame.lastEventId());
-        Attempt started = LocalAttempt.send(state, choice.get(), service.get(), call, frame.once(), this);
+        Attempt started = LocalAttempt.send(state, choice.get(), service.get(), call, frame.atMostOnce(), this);
         if (!finished && attempt == null) {
             attempt = started;
         }
     }
 
-    private Option<Choice> choose(ServiceRule service) {
+    private Option<TargetChoice> choose(ServiceRule service) {
         long now = state.nowMillis();
-        return route().map(
-                        rule -> state.chooser().choose(new Demand(rule, service, work, tried), state.regionView(), now))
+        return route().map(rule -> state.chooser()
+                        .choose(new PlacementRequest(rule, service, work, tried), state.regionView(), now))
                 .getOrElse(() -> state.chooser().choose(service, work, tried, state.regionView(), now));
     }
 
@@ -207,11 +215,11 @@
      * request would be prefilled although its caller gives up, and would delay those behind it. Symptom: requests of
      * other regions start seconds after they arrived.
      */
-    private boolean isExpectedTooLate(ServiceRule service, Choice choice) {
+    private boolean isExpectedTooLate(ServiceRule service, TargetChoice choice) {
         if (!frame.lastEventId().isEmpty() || !service.isModel() || !state.uses(Mechanism.REFUSE_LATE)) {
             return false;
         }
-        return route().exists(rule -> choice.outlook().shouldRefuse(rule.objectiveMillis(), work.urgency()));
+        return route().exists(rule -> choice.estimate().shouldReject(rule.objectiveMillis(), work.urgency()));
     }
 
     private Option<RouteRule> route() {
@@ -223,7 +231,7 @@
     }
 
     private void fail(AttemptFailure failure, String reason) {
-        link.send(new PeerFrame.AnswerFailed(frame.call(), failure.name(), reason, target));
+        link.send(new PeerFrame.CallFailed(frame.call(), failure.name(), reason, target));
         finish(failure.name() + ": " + reason);
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
@@ -11,29 +11,29 @@
 import java.util.random.RandomGenerator;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.Demand;
+import org.rattanplank.core.gateway.ClusterView;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.core.gateway.GatewayTarget;
-import org.rattanplank.core.gateway.LongestTimes;
+import org.rattanplank.core.gateway.MaxDurations;
 import org.rattanplank.core.gateway.Mechanism;
 import org.rattanplank.core.gateway.Mechanisms;
 import org.rattanplank.core.gateway.Placement;
+import org.rattanplank.core.gateway.PlacementRequest;
 import org.rattanplank.core.gateway.RegionLoads;
 import org.rattanplank.core.gateway.RegionView;
-import org.rattanplank.core.gateway.RepeatAllowance;
-import org.rattanplank.core.gateway.ReturnQueue;
+import org.rattanplank.core.gateway.RetryAfterQueue;
+import org.rattanplank.core.gateway.RetryBudget;
 import org.rattanplank.core.gateway.RouteRule;
 import org.rattanplank.core.gateway.ServiceRule;
-import org.rattanplank.core.gateway.Surroundings;
 import org.rattanplank.core.gateway.TargetChooser;
 import org.rattanplank.core.gateway.TargetPool;
 import org.rattanplank.core.gateway.Work;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.gateway.GatewayMetrics;
 import org.rattanplank.gateway.GatewaySettings;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.SharedLimits;
-import org.rattanplank.gateway.SteadyClock;
 import org.rattanplank.gateway.log.EventLog;
 import org.rattanplank.gateway.peer.PeerLink;
 import org.rattanplank.gateway.peer.PeerLinks;
@@ -64,14 +64,14 @@
     private static final long PEERS_CACHE_MILLIS = 50;
 
     private final GatewayHost self;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private final RandomGenerator random;
     private final Mechanisms mechanisms;
     private final TargetPool pool;
     private final TargetChooser chooser;
     private final RegionLoads regionLoads = new RegionLoads();
-    private final RepeatAllowance retryBudget;
-    private final ReturnQueue retryAfterQueue = new ReturnQueue();
+    private final RetryBudget retryBudget;
+    private final RetryAfterQueue retryAfterQueue = new RetryAfterQueue();
     private final TargetConnections connections;
     private final EventLog log;
     private final GatewayMetrics metrics;
@@ -82,8 +82,8 @@
     private ConnectedPeers connectedPeers = ConnectedPeers.NONE;
     private long connectedPeersAtMillis = Long.MIN_VALUE / 2;
     private final long startedAtMillis;
-    private final LongestTimes recentDurations = new LongestTimes();
-    private Predicate<Option<Long>> mayStart = longestMillis -> true;
+    private final MaxDurations recentDurations = new MaxDurations();
+    private Predicate<Option<Long>> mayAccept = longestMillis -> true;
     private BooleanSupplier isFeedComplete = () -> false;
     private Consumer<GatewayTarget> largePrefillListener = target -> {};
 
@@ -101,7 +101,7 @@
     public GatewayState(
             GatewaySettings settings,
             GatewayHost self,
-            SteadyClock clock,
+            MonotonicClock clock,
             RandomGenerator random,
             TargetConnections connections,
             EventLog log,
@@ -115,8 +115,11 @@
         this.metrics = metrics;
         pool = TargetPool.of(settings.ownDataCentres());
         SharedLimits limits = settings.limits();
-        retryBudget = RepeatAllowance.of(
-                limits.repeatRatio(), limits.repeatSlack(), MIN_SLACK_SHARES, limits.repeatWindowMillis());
+        retryBudget = RetryBudget.of(
+                limits.retryBudgetRatio(),
+                limits.retryBudgetSlack(),
+                MIN_SLACK_SHARES,
+                limits.retryBudgetWindowMillis());
         mechanisms = settings.mechanisms();
         chooser = TargetChooser.of(self.name(), pool, random, mechanisms);
     }
@@ -193,22 +196,22 @@
     }
 
     private void rebuildConfiguration() {
-        configuration = baseConfiguration.map(unrefined -> unrefined.within(intents.residencies()));
+        configuration = baseConfiguration.map(unrefined -> unrefined.restrictedTo(intents.residencies()));
         markRetiringTargets();
     }
 
     /** Marks targets that an intent retires as leaving. Called also after a target is added. */
     public void markRetiringTargets() {
-        intents.retiring().forEach(name -> pool.find(name).forEach(GatewayTarget::leave));
+        intents.retiring().forEach(name -> pool.find(name).forEach(GatewayTarget::markLeaving));
     }
 
     /** Returns where a request could be sent now, and over which links. */
-    RoutingOptions routingOptions(Demand demand) {
+    RoutingOptions routingOptions(PlacementRequest demand) {
         Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(demand.route()) : Map.of();
         Map<String, Double> networkRoundTripMillis = new HashMap<>();
         linksByRegion.forEach((region, link) -> networkRoundTripMillis.put(region, link.roundTripMillis()));
-        Surroundings surroundings =
-                new Surroundings(self.place().region(), regionView(), networkRoundTripMillis, drawRegionsOverShare());
+        ClusterView surroundings =
+                new ClusterView(self.location().region(), regionView(), networkRoundTripMillis, drawRegionsOverShare());
         return new RoutingOptions(
                 Placement.of(demand, surroundings, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
     }
@@ -321,7 +324,7 @@
      * @return whether it is enabled
      */
     public boolean uses(Mechanism mechanism) {
-        return mechanisms.uses(mechanism);
+        return mechanisms.isEnabled(mechanism);
     }
 
     /**
@@ -331,7 +334,7 @@
      *     of its route
      */
     public void limitStarts(Predicate<Option<Long>> limit) {
-        mayStart = limit;
+        mayAccept = limit;
     }
 
     /**
@@ -348,20 +351,20 @@
     }
 
     /** Returns whether a request of any route may start. */
-    boolean mayStartAny() {
-        return mayStart.test(Option.some(0L));
+    boolean mayAcceptAny() {
+        return mayAccept.test(Option.some(0L));
     }
 
-    boolean mayStart(RouteRule route) {
-        return mayStart.test(recentDurations.longestMillis(route.name(), nowMillis()));
+    boolean mayAccept(RouteRule route) {
+        return mayAccept.test(recentDurations.maxMillis(route.name(), nowMillis()));
     }
 
     /** Records the duration of a request, or its duration so far if it is still in progress. */
     void recordDuration(RouteRule route, long millis) {
-        recentDurations.took(route.name(), millis, nowMillis());
+        recentDurations.record(route.name(), millis, nowMillis());
     }
 
-    RepeatAllowance retryBudget() {
+    RetryBudget retryBudget() {
         return retryBudget;
     }
 
@@ -391,7 +394,7 @@
                 .map(rule -> prefillShareMillis(rule, work))
                 .getOrElse(0.0);
         String name = service.map(ServiceRule::name).getOrElse("");
-        return retryAfterQueue.returnAfter(
+        return retryAfterQueue.retryAfterMillis(
                 name, work.urgency(), prefillMillis, remainingMillis, nextRandom(), nowMillis());
     }
 
@@ -400,8 +403,8 @@
         long engines = pool.all().stream()
                 .filter(target -> target.entry().service().equals(service.name()) && !target.isLeaving())
                 .count();
-        double prefillMillis =
-                work.promptTokens() * chooser.model(service.name()).perUnitMillis(true, work.urgency(), 1, nowMillis());
+        double prefillMillis = work.promptTokens()
+                * chooser.latencyModel(service.name()).millisPerWorkUnit(true, work.urgency(), 1, nowMillis());
         return prefillMillis * regionView().hosts().size() / Math.max(1, engines);
     }
 
@@ -425,7 +428,7 @@
         if (now - connectedPeersAtMillis >= PEERS_CACHE_MILLIS) {
             connectedPeersAtMillis = now;
             connectedPeers = ConnectedPeers.of(self, links, now - startedAtMillis >= STARTUP_MILLIS);
-            retryBudget.hostsKnown(links.knownHosts());
+            retryBudget.updateKnownHosts(links.knownHostCount());
         }
         return connectedPeers;
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LatencyResult.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LatencyResult.java
@@ -18,7 +18,7 @@
                 firstChunkMillis,
                 longestGapMillis,
                 firstChunkMillis > route.objectiveMillis(),
-                route.gapMillis() > 0 && longestGapMillis > route.gapMillis());
+                route.gapObjectiveMillis() > 0 && longestGapMillis > route.gapObjectiveMillis());
     }
 
     boolean isLate() {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalAttempt.java
@@ -3,10 +3,10 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
-import org.rattanplank.core.gateway.Choice;
 import org.rattanplank.core.gateway.GatewayTarget;
-import org.rattanplank.core.gateway.SentRequest;
+import org.rattanplank.core.gateway.InFlightRequest;
 import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.gateway.target.Attempt;
 import org.rattanplank.gateway.target.AttemptFailure;
 import org.rattanplank.gateway.target.AttemptListener;
@@ -21,27 +21,27 @@
     private final GatewayState state;
     private final GatewayTarget target;
     private final AttemptListener listener;
-    private final SentRequest sentRequest;
+    private final InFlightRequest sentRequest;
     private boolean success;
     private Attempt attempt;
 
     private LocalAttempt(
-            GatewayState state, Choice choice, ServiceRule service, TargetCall call, AttemptListener listener) {
+            GatewayState state, TargetChoice choice, ServiceRule service, TargetCall call, AttemptListener listener) {
         this.state = state;
         this.target = choice.target();
         this.listener = listener;
-        sentRequest = SentRequest.of(state.chooser(), choice, service, call.work(), state.nowMillis());
+        sentRequest = InFlightRequest.of(state.chooser(), choice, service, call.work(), state.nowMillis());
     }
 
     static Attempt send(
             GatewayState state,
-            Choice choice,
+            TargetChoice choice,
             ServiceRule service,
             TargetCall call,
             boolean once,
             AttemptListener listener) {
         LocalAttempt localAttempt = new LocalAttempt(state, choice, service, call, listener);
-        if (localAttempt.sentRequest.isLarge()) {
+        if (localAttempt.sentRequest.isLargePrefill()) {
             state.notifyLargePrefill(choice.target());
         }
         localAttempt.attempt = state.connections().send(choice, call, once, localAttempt);
@@ -49,8 +49,8 @@
     }
 
     @Override
-    public String to() {
-        return target.runText();
+    public String destination() {
+        return target.incarnationText();
     }
 
     @Override
@@ -67,14 +67,14 @@
 
     @Override
     public void content(ByteBuf bytes) {
-        sentRequest.part(success, state.nowMillis());
+        sentRequest.recordEvent(success, state.nowMillis());
         listener.content(bytes);
     }
 
     @Override
-    public void ended() {
-        sentRequest.ended(success, state.nowMillis());
-        listener.ended();
+    public void completed() {
+        sentRequest.recordEnd(success, state.nowMillis());
+        listener.completed();
     }
 
     @Override
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -10,16 +10,16 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.Choice;
-import org.rattanplank.core.gateway.Demand;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.GatewayTarget;
 import org.rattanplank.core.gateway.Mechanism;
-import org.rattanplank.core.gateway.Outlook;
 import org.rattanplank.core.gateway.Placement;
+import org.rattanplank.core.gateway.PlacementRequest;
 import org.rattanplank.core.gateway.RouteKind;
 import org.rattanplank.core.gateway.RouteRule;
+import org.rattanplank.core.gateway.ServiceEstimate;
 import org.rattanplank.core.gateway.ServiceRule;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.core.gateway.Urgency;
 import org.rattanplank.core.gateway.Work;
 import org.rattanplank.gateway.GatewayMetrics;
@@ -85,7 +85,7 @@
      * The service estimate of the target or region to which it was last sent, or would have been sent when it was
      * rejected.
      */
-    private Outlook estimate = Outlook.NONE;
+    private ServiceEstimate estimate = ServiceEstimate.NONE;
 
     private boolean awaitingConfiguration;
     private boolean finished;
@@ -112,7 +112,7 @@
         if (finished) {
             return;
         }
-        if (!state.mayStartAny()) {
+        if (!state.mayAcceptAny()) {
             reject(STOPPING_REASON);
             return;
         }
@@ -131,8 +131,8 @@
             return;
         }
         route = found.get();
-        work = request.work().with(state.uses(Mechanism.RANK) ? Urgency.of(route.rank()) : Urgency.MIDDLE);
-        String name = route.service(state.nextRandom());
+        work = request.work().withUrgency(state.uses(Mechanism.RANK) ? Urgency.of(route.rank()) : Urgency.MIDDLE);
+        String name = route.pickService(state.nextRandom());
         Option<ServiceRule> configured = configuration.service(name);
         if (configured.isEmpty()) {
             reject("the service of its route is not configured");
@@ -141,7 +141,7 @@
         service = configured.get();
         deadlineMillis = arrivedAtMillis
                 + Math.min(route.timeoutMillis(), request.timeoutMillis().getOrElse(Long.MAX_VALUE));
-        work = work.within(deadlineMillis - arrivedAtMillis);
+        work = work.withRemainingMillis(deadlineMillis - arrivedAtMillis);
         response.expectResponse(
                 route.kind() == RouteKind.STREAM, request.lastEventId().getOrElse(""));
         send();
@@ -167,7 +167,7 @@
         state.recordDuration(route, nowMillis - arrivedAtMillis);
         if (isStalled(nowMillis)) {
             Attempt stalled = attempt;
-            localTarget.unreachable(nowMillis);
+            localTarget.recordUnreachable(nowMillis);
             stalled.cancel();
             attemptFailed(AttemptFailure.UNKNOWN, "the target is unresponsive");
         }
@@ -218,13 +218,13 @@
                 && route.isIdempotent()
                 && attemptsSent < route.maxAttempts()
                 && nowMillis - attemptAtMillis > STALL_TIMEOUT_MILLIS
-                && localTarget.isSilent(nowMillis)
-                && state.retryBudget().left(service.name(), nowMillis) > 0
-                && routingOptions().placement().local().isDefined();
+                && localTarget.isUnresponsive(nowMillis)
+                && state.retryBudget().remaining(service.name(), nowMillis) > 0
+                && routingOptions().placement().localChoice().isDefined();
     }
 
     private RoutingOptions routingOptions() {
-        return state.routingOptions(new Demand(route, service, remainingWork(), tried));
+        return state.routingOptions(new PlacementRequest(route, service, remainingWork(), tried));
     }
 
     private void send() {
@@ -232,33 +232,33 @@
         Placement placement = options.placement();
         // Checked also before a retry: the remaining targets and regions are often full. Symptom: requests sent where
         // the estimate is several times their latency objective, and callers that disconnect.
-        if (!mayHaveRun && !response.isStarted() && placement.shouldRefuse()) {
-            estimate = placement.outlook();
+        if (!mayHaveRun && !response.isStarted() && placement.shouldReject()) {
+            estimate = placement.estimate();
             reject("the expected queue wait is too long");
             return;
         }
-        if (!mayHaveRun && !response.isStarted() && !state.mayStart(route)) {
+        if (!mayHaveRun && !response.isStarted() && !state.mayAccept(route)) {
             reject(STOPPING_REASON);
             return;
         }
-        Option<String> region = placement.region();
+        Option<String> region = placement.forwardRegion();
         if (region.isDefined()) {
-            estimate = placement.outlook(region.get());
+            estimate = placement.estimate(region.get());
             forward(options, region.get());
-        } else if (placement.local().isDefined()) {
-            estimate = placement.localOutlook();
-            sendLocally(placement.local().get());
+        } else if (placement.localChoice().isDefined()) {
+            estimate = placement.localEstimate();
+            sendLocally(placement.localChoice().get());
         } else {
             fail("no target is available");
         }
     }
 
-    private void sendLocally(Choice choice) {
+    private void sendLocally(TargetChoice choice) {
         attemptAtMillis = state.nowMillis();
         localTarget = choice.target();
         recordSend();
         decisionLog.sent(choice, service, work, attemptAtMillis, deadlineMillis, attemptsSent);
-        AttemptHandler handler = new AttemptHandler(choice.target().runText());
+        AttemptHandler handler = new AttemptHandler(choice.target().incarnationText());
         Attempt started = LocalAttempt.send(state, choice, service, targetCall(), !route.isIdempotent(), handler);
         setAttempt(handler, started);
     }
@@ -269,12 +269,12 @@
         localTarget = null;
         recordSend();
         int hosts = state.regionView().hosts().size();
-        state.regionLoads().sent(region, service.name(), work.urgency(), Placement.units(work), hosts);
+        state.regionLoads().recordSent(region, service.name(), work.urgency(), Placement.workUnits(work), hosts);
         decisionLog.forwarded(options, region, service, attemptsSent);
         TargetCall call = targetCall();
         AttemptHandler handler = new AttemptHandler(region);
-        Attempt started = link.ask(
-                number -> new PeerFrame.Ask(
+        Attempt started = link.sendRequest(
+                number -> new PeerFrame.CallRequest(
                         number,
                         state.configurationVersion(),
                         service.name(),
@@ -282,7 +282,7 @@
                         request.method(),
                         request.uri(),
                         request.authority(),
-                        PeerLink.flat(request.headers()),
+                        PeerLink.flatten(request.headers()),
                         request.body(),
                         call.remainingMillis(),
                         link.state().sentAtMillis(),
@@ -306,7 +306,7 @@
         if (!firstSendRecorded) {
             firstSendRecorded = true;
             state.metrics().record(Latency.BEFORE_SEND, state.nowMillis() - arrivedAtMillis);
-            state.retryBudget().first(service.name(), state.nowMillis());
+            state.retryBudget().recordFirstAttempt(service.name(), state.nowMillis());
         }
         state.metrics().sent(attemptsSent);
     }
@@ -317,7 +317,7 @@
 
     /** Returns its work, limited to the remaining time. */
     private Work remainingWork() {
-        return work.within(Math.max(1, deadlineMillis - state.nowMillis()));
+        return work.withRemainingMillis(Math.max(1, deadlineMillis - state.nowMillis()));
     }
 
     private void attemptFailed(AttemptFailure failure, String reason) {
@@ -349,7 +349,7 @@
         return state.uses(Mechanism.REPEAT)
                 && attemptsSent < route.maxAttempts()
                 && response.canContinue()
-                && state.retryBudget().spend(service.name(), state.nowMillis());
+                && state.retryBudget().trySpend(service.name(), state.nowMillis());
     }
 
     private void fail(String reason) {
@@ -469,11 +469,11 @@
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             if (!active || finished) {
                 return;
             }
-            lastTarget = attempt == null ? destination : attempt.to();
+            lastTarget = attempt == null ? destination : attempt.destination();
             active = false;
             attempt = null;
             response.complete();
@@ -487,9 +487,9 @@
             }
             active = false;
             tried.add(destination);
-            lastTarget = attempt == null ? destination : attempt.to();
+            lastTarget = attempt == null ? destination : attempt.destination();
             if (localTarget == null && !failure.mayHaveRun()) {
-                state.regionLoads().refused(destination, service.name(), work.urgency());
+                state.regionLoads().recordRejected(destination, service.name(), work.urgency());
             }
             attemptFailed(failure, reason);
         }
@@ -498,11 +498,11 @@
         private boolean mayRetryFailure() {
             if (!state.uses(Mechanism.REPEAT)
                     || attemptsSent >= route.maxAttempts()
-                    || state.retryBudget().left(service.name(), state.nowMillis()) < 1) {
+                    || state.retryBudget().remaining(service.name(), state.nowMillis()) < 1) {
                 return false;
             }
             tried.add(destination);
-            return routingOptions().placement().isPossible();
+            return routingOptions().placement().hasCandidate();
         }
 
         private void abandon(String reason) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
@@ -4,9 +4,9 @@
 import java.util.Objects;
 
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.gateway.RegionStreams;
-import org.rattanplank.core.gateway.SentWork;
-import org.rattanplank.core.gateway.StreamPace;
+import org.rattanplank.core.gateway.InFlightWork;
+import org.rattanplank.core.gateway.RegionStreamStats;
+import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
 import org.rattanplank.gateway.store.StoreItem;
 
@@ -30,20 +30,20 @@
      * @param echoedMillis the receiver's clock in the last state received from it, zero if none was received
      * @param echoAgeMillis the time since that state was received
      * @param periodMillis the maximum time until the next state report
-     * @param takesCallers whether callers should be directed to the sender
+     * @param acceptsCallers whether callers should be directed to the sender
      * @param configurationVersion the version of the configuration that the sender applies
      * @param storeDigest a digest of the sender's local copy of the store
-     * @param followsStore whether the sender watches the store itself
+     * @param watchesStore whether the sender watches the store itself
      * @param storeHealthy whether the store responds to the sender
-     * @param sent the sender's work at each target; sent to hosts of its own region only
+     * @param targetWork the sender's work at each target; sent to hosts of its own region only
      * @param regionLoads how soon the sender's region is expected to respond; sent to hosts of other regions only
      * @param newestRevision the revision of the newest change of the store that the sender has; zero if not reported
-     * @param workMillis how long work may be sent to the sender: {@link #FOR_GOOD} if it accepts callers, less if it is the
+     * @param acceptMillis how long work may be sent to the sender: {@link #UNLIMITED_MILLIS} if it accepts callers, less if it is the
      *     last host of its region and is leaving, zero if it accepts no work
      * @param knownRevision the revision up to which the sender's local copy is complete; zero if it is empty,
-     *     {@link #UNTOLD} if not reported
+     *     {@link #UNREPORTED} if not reported
      * @param linkBytesPerMilli the bandwidth of the sender's link in bytes per millisecond, zero if not reported
-     * @param readsLargeReads whether the sender accepts {@link LargeRead}; a host of an earlier version closes the link on
+     * @param supportsLargePrefillNotices whether the sender accepts {@link LargePrefillNotice}; a host of an earlier version closes the link on
      *     receiving one
      */
     record State(
@@ -51,34 +51,34 @@
             long echoedMillis,
             long echoAgeMillis,
             long periodMillis,
-            boolean takesCallers,
+            boolean acceptsCallers,
             long configurationVersion,
             long storeDigest,
-            boolean followsStore,
+            boolean watchesStore,
             boolean storeHealthy,
-            List<TargetWork> sent,
+            List<TargetWork> targetWork,
             List<RegionLoad> regionLoads,
             long newestRevision,
-            long workMillis,
+            long acceptMillis,
             long knownRevision,
             long linkBytesPerMilli,
-            boolean readsLargeReads)
+            boolean supportsLargePrefillNotices)
             implements PeerFrame {
-        /** The {@link #workMillis} of a host that accepts callers. */
-        public static final long FOR_GOOD = Long.MAX_VALUE;
+        /** The {@link #acceptMillis} of a host that accepts callers. */
+        public static final long UNLIMITED_MILLIS = Long.MAX_VALUE;
 
         /** The known revision of a host of an earlier version, which does not report it. */
-        public static final long UNTOLD = -1;
+        public static final long UNREPORTED = -1;
 
         /** The state of a host that has not reported one yet. */
         static final State NONE =
-                new State(0, 0, 0, 0, false, 0, 0, false, true, List.of(), List.of(), 0, 0, UNTOLD, 0, false);
+                new State(0, 0, 0, 0, false, 0, 0, false, true, List.of(), List.of(), 0, 0, UNREPORTED, 0, false);
 
         /** The newest revision of a host whose local copy is empty; revisions of the store are above it. */
-        public static final long KNOWS_NOTHING = 1;
+        public static final long EMPTY_REVISION = 1;
 
         public State {
-            sent = List.copyOf(sent);
+            targetWork = List.copyOf(targetWork);
             regionLoads = List.copyOf(regionLoads);
         }
 
@@ -87,8 +87,8 @@
          *
          * @return whether it is the last of its region
          */
-        public boolean isLastOfItsRegion() {
-            return workMillis > 0 && !takesCallers;
+        public boolean isLastOfRegion() {
+            return acceptMillis > 0 && !acceptsCallers;
         }
     }
 
@@ -97,16 +97,16 @@
      *
      * @param target the text of the target's incarnation; the receiver ignores one that it doesn't know to be alive
      * @param work the work
-     * @param pace the inter-token latency of the host's streams there
+     * @param streamStats the inter-token latency of the host's streams there
      */
-    record TargetWork(String target, SentWork work, StreamPace pace) {}
+    record TargetWork(String target, InFlightWork work, StreamStats streamStats) {}
 
     /**
      * A large prefill notice: a host's work at one target, sent ahead of its next state report after a large change.
      *
      * @param work the work
      */
-    record LargeRead(TargetWork work) implements PeerFrame {}
+    record LargePrefillNotice(TargetWork work) implements PeerFrame {}
 
     /**
      * How soon a region is expected to respond for a service.
@@ -118,7 +118,7 @@
      * @param streams the state of the service's streams there
      */
     record RegionLoad(
-            String service, Urgency urgency, double expectedMillis, double perTokenMillis, RegionStreams streams) {
+            String service, Urgency urgency, double expectedMillis, double perTokenMillis, RegionStreamStats streams) {
         /**
          * Creates the load of a region that reports no stream state.
          *
@@ -128,19 +128,20 @@
          * @param perTokenMillis the latency that each further token adds, averaged over its targets
          */
         public RegionLoad(String service, Urgency urgency, double expectedMillis, double perTokenMillis) {
-            this(service, urgency, expectedMillis, perTokenMillis, RegionStreams.NONE);
+            this(service, urgency, expectedMillis, perTokenMillis, RegionStreamStats.NONE);
         }
     }
 
     /**
      * Contents of the store, for a host that doesn't watch it.
      *
-     * @param base the revision since which the items are all changes; zero if they are all items of the store
+     * @param baseRevision the revision since which the items are all changes; zero if they are all items of the store
      * @param revision the revision up to which the items are complete; zero if they are only some of the changes
-     * @param lenientMillis how much longer removed entries may be registered again after an outage of the store
+     * @param removalGraceMillis how much longer removed entries may be registered again after an outage of the store
      * @param items the items
      */
-    record StoreItems(long base, long revision, long lenientMillis, List<StoreItem> items) implements PeerFrame {
+    record StoreItems(long baseRevision, long revision, long removalGraceMillis, List<StoreItem> items)
+            implements PeerFrame {
         public StoreItems {
             items = List.copyOf(items);
         }
@@ -171,10 +172,10 @@
      * @param echoAgeMillis the time since the sender received that state
      * @param lastEventId the event after which a stream is to be resumed, or empty
      * @param urgency the urgency
-     * @param once whether the request must run at most once
-     * @param excluded the texts of the incarnations of targets that must not receive the request
+     * @param atMostOnce whether the request must run at most once
+     * @param excludedTargets the texts of the incarnations of targets that must not receive the request
      */
-    record Ask(
+    record CallRequest(
             long call,
             long configurationVersion,
             String service,
@@ -189,12 +190,12 @@
             long echoAgeMillis,
             String lastEventId,
             Urgency urgency,
-            boolean once,
-            List<String> excluded)
+            boolean atMostOnce,
+            List<String> excludedTargets)
             implements PeerFrame {
-        public Ask {
+        public CallRequest {
             headers = List.copyOf(headers);
-            excluded = List.copyOf(excluded);
+            excludedTargets = List.copyOf(excludedTargets);
         }
     }
 
@@ -206,8 +207,8 @@
      * @param headers alternating names and values
      * @param target the target that responds
      */
-    record AnswerHead(long call, int status, List<String> headers, String target) implements PeerFrame {
-        public AnswerHead {
+    record ResponseHead(long call, int status, List<String> headers, String target) implements PeerFrame {
+        public ResponseHead {
             headers = List.copyOf(headers);
         }
     }
@@ -218,14 +219,14 @@
      * @param call the call
      * @param bytes the chunk
      */
-    record AnswerContent(long call, byte[] bytes) implements PeerFrame {}
+    record ResponseChunk(long call, byte[] bytes) implements PeerFrame {}
 
     /**
      * The end of a complete response.
      *
      * @param call the call
      */
-    record AnswerEnd(long call) implements PeerFrame {}
+    record ResponseEnd(long call) implements PeerFrame {}
 
     /**
      * The end of a call without a complete response.
@@ -235,14 +236,14 @@
      * @param reason what happened
      * @param target the target that received the request, or empty
      */
-    record AnswerFailed(long call, String failure, String reason, String target) implements PeerFrame {}
+    record CallFailed(long call, String failure, String reason, String target) implements PeerFrame {}
 
     /**
      * Cancels a call on behalf of the requester.
      *
      * @param call the call
      */
-    record Cancel(long call) implements PeerFrame {}
+    record CallCancel(long call) implements PeerFrame {}
 
     /**
      * The last frame of a host that is leaving: it has responded to all calls that it accepted, and accepts no more.
