--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
@@ -12,11 +12,11 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.gateway.RegionStreams;
-import org.rattanplank.core.gateway.SentWork;
-import org.rattanplank.core.gateway.StreamPace;
+import org.rattanplank.core.gateway.InFlightWork;
+import org.rattanplank.core.gateway.PrefillBacklog;
+import org.rattanplank.core.gateway.RegionStreamStats;
+import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.gateway.WaitingTokens;
 import org.rattanplank.core.host.Place;
 import org.rattanplank.gateway.store.StoreItem;
 
@@ -124,40 +124,40 @@
         } else if (frame instanceof PeerFrame.State state) {
             write(state, out);
         } else if (frame instanceof PeerFrame.StoreItems items) {
-            if (items.base() == 0) {
+            if (items.baseRevision() == 0) {
                 out.packInt(STORE_ITEMS);
             } else {
-                out.packInt(STORE_CHANGES).packLong(items.base());
+                out.packInt(STORE_CHANGES).packLong(items.baseRevision());
             }
-            out.packLong(items.revision()).packLong(items.lenientMillis());
+            out.packLong(items.revision()).packLong(items.removalGraceMillis());
             out.packArrayHeader(items.items().size());
             for (StoreItem item : items.items()) {
                 out.packString(item.key()).packLong(item.revision()).packBoolean(item.removed());
                 write(item.value(), out);
             }
-        } else if (frame instanceof PeerFrame.Ask request) {
+        } else if (frame instanceof PeerFrame.CallRequest request) {
             write(request, out);
-        } else if (frame instanceof PeerFrame.AnswerHead head) {
+        } else if (frame instanceof PeerFrame.ResponseHead head) {
             out.packInt(RESPONSE_HEAD).packLong(head.call()).packInt(head.status());
             write(head.headers(), out);
             out.packString(head.target());
-        } else if (frame instanceof PeerFrame.AnswerContent chunk) {
+        } else if (frame instanceof PeerFrame.ResponseChunk chunk) {
             out.packInt(RESPONSE_CHUNK).packLong(chunk.call());
             write(chunk.bytes(), out);
-        } else if (frame instanceof PeerFrame.AnswerEnd end) {
+        } else if (frame instanceof PeerFrame.ResponseEnd end) {
             out.packInt(RESPONSE_END).packLong(end.call());
-        } else if (frame instanceof PeerFrame.AnswerFailed failed) {
+        } else if (frame instanceof PeerFrame.CallFailed failed) {
             out.packInt(CALL_FAILED).packLong(failed.call());
             out.packString(failed.failure()).packString(failed.reason()).packString(failed.target());
-        } else if (frame instanceof PeerFrame.Cancel cancel) {
+        } else if (frame instanceof PeerFrame.CallCancel cancel) {
             out.packInt(CALL_CANCEL).packLong(cancel.call());
         } else if (frame instanceof PeerFrame.Fragment fragment) {
             out.packInt(FRAGMENT).packBoolean(fragment.last());
             write(fragment.bytes(), out);
-        } else if (frame instanceof PeerFrame.LargeRead notice) {
+        } else if (frame instanceof PeerFrame.LargePrefillNotice notice) {
             out.packInt(LARGE_PREFILL_NOTICE);
             write(notice.work(), out);
-            write(notice.work().pace(), out);
+            write(notice.work().streamStats(), out);
         } else if (frame instanceof PeerFrame.Leaving leaving) {
             out.packInt(LEAVING).packLong(leaving.lastCall());
         }
@@ -166,12 +166,12 @@
     private static void write(PeerFrame.State state, MessageBufferPacker out) throws IOException {
         out.packInt(STATE).packLong(state.sentAtMillis());
         out.packLong(state.echoedMillis()).packLong(state.echoAgeMillis()).packLong(state.periodMillis());
-        out.packBoolean(state.takesCallers());
+        out.packBoolean(state.acceptsCallers());
         out.packLong(state.configurationVersion()).packLong(state.storeDigest());
-        out.packBoolean(state.followsStore());
+        out.packBoolean(state.watchesStore());
         out.packBoolean(state.storeHealthy());
-        out.packArrayHeader(state.sent().size());
-        for (PeerFrame.TargetWork work : state.sent()) {
+        out.packArrayHeader(state.targetWork().size());
+        for (PeerFrame.TargetWork work : state.targetWork()) {
             write(work, out);
         }
         out.packArrayHeader(state.regionLoads().size());
@@ -180,30 +180,32 @@
             out.packFloat((float) load.expectedMillis()).packFloat((float) load.perTokenMillis());
         }
         out.packLong(state.newestRevision());
-        out.packLong(state.workMillis());
+        out.packLong(state.acceptMillis());
         out.packLong(state.knownRevision()).packLong(state.linkBytesPerMilli());
-        for (PeerFrame.TargetWork work : state.sent()) {
-            write(work.pace(), out);
+        for (PeerFrame.TargetWork work : state.targetWork()) {
+            write(work.streamStats(), out);
         }
         for (PeerFrame.RegionLoad load : state.regionLoads()) {
-            RegionStreams streams = load.streams();
-            out.packFloat((float) streams.paceMillis()).packFloat((float) streams.delayCostMillisPerToken());
+            RegionStreamStats streams = load.streams();
+            out.packFloat((float) streams.interTokenMillis()).packFloat((float) streams.delayCostMillisPerToken());
         }
-        out.packBoolean(state.readsLargeReads());
+        out.packBoolean(state.supportsLargePrefillNotices());
     }
 
     private static void write(PeerFrame.TargetWork work, MessageBufferPacker out) throws IOException {
         out.packString(work.target()).packInt(work.work().requests());
-        WaitingTokens waiting = work.work().waiting();
+        PrefillBacklog waiting = work.work().prefillBacklog();
         out.packLong(waiting.first()).packLong(waiting.middle()).packLong(waiting.last());
-        out.packLong(work.work().memoryTokens());
+        out.packLong(work.work().kvCacheTokens());
     }
 
-    private static void write(StreamPace latency, MessageBufferPacker out) throws IOException {
-        out.packInt(latency.streams()).packFloat((float) latency.totalMillis()).packInt(latency.behind());
+    private static void write(StreamStats latency, MessageBufferPacker out) throws IOException {
+        out.packInt(latency.streams())
+                .packFloat((float) latency.totalInterTokenMillis())
+                .packInt(latency.lagging());
     }
 
-    private static void write(PeerFrame.Ask request, MessageBufferPacker out) throws IOException {
+    private static void write(PeerFrame.CallRequest request, MessageBufferPacker out) throws IOException {
         out.packInt(CALL_REQUEST).packLong(request.call()).packLong(request.configurationVersion());
         out.packString(request.service()).packString(request.requestId()).packString(request.method());
         out.packString(request.uri()).packString(request.authority());
@@ -211,13 +213,13 @@
         write(request.body(), out);
         out.packLong(request.remainingMillis()).packLong(request.echoedMillis()).packLong(request.echoAgeMillis());
         out.packString(request.lastEventId());
-        out.packInt(request.urgency().ordinal()).packBoolean(request.once());
-        write(request.excluded(), out);
+        out.packInt(request.urgency().ordinal()).packBoolean(request.atMostOnce());
+        write(request.excludedTargets(), out);
     }
 
     private static void write(GatewayHost host, MessageBufferPacker out) throws IOException {
         out.packString(host.name()).packLong(host.incarnation());
-        out.packString(host.place().region()).packString(host.place().dataCentre());
+        out.packString(host.location().region()).packString(host.location().dataCentre());
         out.packString(host.callerAddress()).packString(host.peerAddress());
     }
 
@@ -241,15 +243,15 @@
             case STORE_CHANGES -> readItems(in.unpackLong(), in);
             case FRAGMENT -> new PeerFrame.Fragment(in.unpackBoolean(), readBytes(in));
             case CALL_REQUEST -> readCallRequest(in);
-            case RESPONSE_HEAD -> new PeerFrame.AnswerHead(
+            case RESPONSE_HEAD -> new PeerFrame.ResponseHead(
                     in.unpackLong(), in.unpackInt(), readStrings(in), in.unpackString());
-            case RESPONSE_CHUNK -> new PeerFrame.AnswerContent(in.unpackLong(), readBytes(in));
-            case RESPONSE_END -> new PeerFrame.AnswerEnd(in.unpackLong());
-            case CALL_FAILED -> new PeerFrame.AnswerFailed(
+            case RESPONSE_CHUNK -> new PeerFrame.ResponseChunk(in.unpackLong(), readBytes(in));
+            case RESPONSE_END -> new PeerFrame.ResponseEnd(in.unpackLong());
+            case CALL_FAILED -> new PeerFrame.CallFailed(
                     in.unpackLong(), in.unpackString(), in.unpackString(), in.unpackString());
             case COMPRESSED -> decompress(in);
-            case CALL_CANCEL -> new PeerFrame.Cancel(in.unpackLong());
-            case LARGE_PREFILL_NOTICE -> new PeerFrame.LargeRead(withStreamLatency(readTargetWork(in), in));
+            case CALL_CANCEL -> new PeerFrame.CallCancel(in.unpackLong());
+            case LARGE_PREFILL_NOTICE -> new PeerFrame.LargePrefillNotice(withStreamLatency(readTargetWork(in), in));
             case LEAVING -> new PeerFrame.Leaving(in.unpackLong());
             default -> throw new IOException("unknown frame kind " + kind);
         };
@@ -276,8 +278,8 @@
         }
         // The state of a host of an earlier version ends here or before one of the following fields.
         long newestRevision = in.hasNext() ? in.unpackLong() : 0;
-        long acceptsWorkMillis = in.hasNext() ? in.unpackLong() : acceptsCallers ? PeerFrame.State.FOR_GOOD : 0;
-        long knownRevision = in.hasNext() ? in.unpackLong() : PeerFrame.State.UNTOLD;
+        long acceptsWorkMillis = in.hasNext() ? in.unpackLong() : acceptsCallers ? PeerFrame.State.UNLIMITED_MILLIS : 0;
+        long knownRevision = in.hasNext() ? in.unpackLong() : PeerFrame.State.UNREPORTED;
         long linkBytesPerMilli = in.hasNext() ? in.unpackLong() : 0;
         for (int i = 0; i < targetWork.size() && in.hasNext(); i++) {
             targetWork.set(i, withStreamLatency(targetWork.get(i), in));
@@ -308,13 +310,13 @@
     private static PeerFrame.TargetWork readTargetWork(MessageUnpacker in) throws IOException {
         String target = in.unpackString();
         int requests = in.unpackInt();
-        WaitingTokens waiting = new WaitingTokens(in.unpackLong(), in.unpackLong(), in.unpackLong());
-        return new PeerFrame.TargetWork(target, new SentWork(requests, waiting, in.unpackLong()), StreamPace.NONE);
+        PrefillBacklog waiting = new PrefillBacklog(in.unpackLong(), in.unpackLong(), in.unpackLong());
+        return new PeerFrame.TargetWork(target, new InFlightWork(requests, waiting, in.unpackLong()), StreamStats.NONE);
     }
 
     private static PeerFrame.TargetWork withStreamLatency(PeerFrame.TargetWork work, MessageUnpacker in)
             throws IOException {
-        StreamPace latency = new StreamPace(in.unpackInt(), in.unpackFloat(), in.unpackInt());
+        StreamStats latency = new StreamStats(in.unpackInt(), in.unpackFloat(), in.unpackInt());
         return new PeerFrame.TargetWork(work.target(), work.work(), latency);
     }
 
@@ -324,7 +326,7 @@
                 load.urgency(),
                 load.expectedMillis(),
                 load.perTokenMillis(),
-                new RegionStreams(in.unpackFloat(), in.unpackFloat()));
+                new RegionStreamStats(in.unpackFloat(), in.unpackFloat()));
     }
 
     private static PeerFrame readItems(long baseRevision, MessageUnpacker in) throws IOException {
@@ -341,7 +343,7 @@
     }
 
     private static PeerFrame readCallRequest(MessageUnpacker in) throws IOException {
-        return new PeerFrame.Ask(
+        return new PeerFrame.CallRequest(
                 in.unpackLong(),
                 in.unpackLong(),
                 in.unpackString(),
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -23,7 +23,7 @@
 import io.vavr.control.Option;
 import io.vavr.control.Try;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.http.Headers;
 import org.rattanplank.gateway.http.WaitingBytes;
 import org.rattanplank.gateway.target.Attempt;
@@ -48,7 +48,7 @@
     private static final double ROUND_TRIP_SMOOTHING = 0.2;
 
     private final PeerLinks owner;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private final boolean outgoing;
     private final Map<Long, PeerAttempt> calls = new HashMap<>();
     private Channel channel;
@@ -64,7 +64,7 @@
     private long stateAtMillis;
     private double roundTripMillis;
 
-    PeerLink(PeerLinks owner, SteadyClock clock, boolean outgoing) {
+    PeerLink(PeerLinks owner, MonotonicClock clock, boolean outgoing) {
         this.owner = owner;
         this.outgoing = outgoing;
         this.clock = clock;
@@ -118,7 +118,7 @@
     }
 
     @Override
-    public boolean isOwnRegion() {
+    public boolean isInOwnRegion() {
         return inOwnRegion;
     }
 
@@ -161,7 +161,7 @@
      * @param frame the frame
      * @return the encoded frame
      */
-    public static byte[] written(PeerFrame frame) {
+    public static byte[] encode(PeerFrame frame) {
         return PeerFrameCodec.encode(frame);
     }
 
@@ -177,7 +177,7 @@
 
     /** Returns the bytes that have not left this host, as its link or the other host is too slow. */
     @Override
-    public long waitingBytes() {
+    public long pendingBytes() {
         ChannelOutboundBuffer outbound =
                 channel == null ? null : channel.unsafe().outboundBuffer();
         return outbound == null ? 0 : outbound.totalPendingWriteBytes();
@@ -190,7 +190,7 @@
      * @param listener receives the events of the attempt
      * @return the attempt
      */
-    public Attempt ask(LongFunction<PeerFrame.Ask> request, AttemptListener listener) {
+    public Attempt sendRequest(LongFunction<PeerFrame.CallRequest> request, AttemptListener listener) {
         long number = nextCall++;
         PeerAttempt attempt = new PeerAttempt(number, listener);
         if (!isOpen() || peerLeaving) {
@@ -210,7 +210,7 @@
      * @param headers the headers
      * @return the names and values
      */
-    public static List<String> flat(HttpHeaders headers) {
+    public static List<String> flatten(HttpHeaders headers) {
         List<String> flat = new ArrayList<>(headers.size() * 2);
         headers.iteratorAsString().forEachRemaining(entry -> {
             flat.add(entry.getKey());
@@ -225,7 +225,7 @@
      * @param flat the names and values
      * @return the headers
      */
-    public static HttpHeaders headers(List<String> flat) {
+    public static HttpHeaders unflatten(List<String> flat) {
         HttpHeaders headers = Headers.unchecked();
         for (int i = 0; i + 1 < flat.size(); i += 2) {
             headers.add(flat.get(i), flat.get(i + 1));
@@ -306,7 +306,8 @@
     private void handle(PeerFrame frame) {
         if (frame instanceof PeerFrame.Hello hello) {
             host = hello.host();
-            inOwnRegion = host.place().region().equals(owner.self().place().region());
+            inOwnRegion =
+                    host.location().region().equals(owner.self().location().region());
             owner.helloReceived(this);
         } else if (host == null) {
             close();
@@ -320,22 +321,22 @@
                         ? sampleMillis
                         : roundTripMillis + ROUND_TRIP_SMOOTHING * (sampleMillis - roundTripMillis);
             }
-            owner.listener().state(this, newState);
-        } else if (frame instanceof PeerFrame.LargeRead notice) {
-            owner.listener().largeRead(this, notice.work());
+            owner.listener().stateReceived(this, newState);
+        } else if (frame instanceof PeerFrame.LargePrefillNotice notice) {
+            owner.listener().largePrefillNoticeReceived(this, notice.work());
         } else if (frame instanceof PeerFrame.StoreItems items) {
-            owner.listener().storeItems(items);
+            owner.listener().storeItemsReceived(items);
         } else if (frame instanceof PeerFrame.Fragment fragment) {
             handleFragment(fragment);
-        } else if (frame instanceof PeerFrame.Ask request) {
+        } else if (frame instanceof PeerFrame.CallRequest request) {
             if (!closing) {
                 lastAcceptedCall = Math.max(lastAcceptedCall, request.call());
-                owner.listener().asked(this, request);
+                owner.listener().requestReceived(this, request);
             }
         } else if (frame instanceof PeerFrame.Leaving leaving) {
             peerLeft(leaving.lastCall());
-        } else if (frame instanceof PeerFrame.Cancel cancel) {
-            owner.listener().cancelled(this, cancel.call());
+        } else if (frame instanceof PeerFrame.CallCancel cancel) {
+            owner.listener().callCancelled(this, cancel.call());
         } else {
             readAnswer(frame);
         }
@@ -365,20 +366,20 @@
     }
 
     private void readAnswer(PeerFrame frame) {
-        if (frame instanceof PeerFrame.AnswerHead head) {
+        if (frame instanceof PeerFrame.ResponseHead head) {
             PeerAttempt call = calls.get(head.call());
             if (call != null) {
                 call.target = head.target();
-                call.listener.head(head.status(), headers(head.headers()));
+                call.listener.head(head.status(), unflatten(head.headers()));
             }
-        } else if (frame instanceof PeerFrame.AnswerContent chunk) {
+        } else if (frame instanceof PeerFrame.ResponseChunk chunk) {
             PeerAttempt call = calls.get(chunk.call());
             if (call != null) {
                 call.listener.content(Unpooled.wrappedBuffer(chunk.bytes()));
             }
-        } else if (frame instanceof PeerFrame.AnswerEnd end) {
-            Option.of(calls.remove(end.call())).forEach(call -> call.listener.ended());
-        } else if (frame instanceof PeerFrame.AnswerFailed failed) {
+        } else if (frame instanceof PeerFrame.ResponseEnd end) {
+            Option.of(calls.remove(end.call())).forEach(call -> call.listener.completed());
+        } else if (frame instanceof PeerFrame.CallFailed failed) {
             AttemptFailure failure =
                     Try.of(() -> AttemptFailure.valueOf(failed.failure())).getOrElse(AttemptFailure.UNKNOWN);
             Option.of(calls.remove(failed.call())).forEach(call -> {
@@ -399,14 +400,14 @@
         }
 
         @Override
-        public String to() {
+        public String destination() {
             return target.isEmpty() ? host.name() : target;
         }
 
         @Override
         public void cancel() {
             if (calls.remove(number) != null) {
-                send(new PeerFrame.Cancel(number));
+                send(new PeerFrame.CallCancel(number));
             }
         }
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
@@ -24,7 +24,7 @@
 import io.netty.handler.codec.LengthFieldPrepender;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.core.host.Rendezvous;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.http.ByteWatch;
 
 /**
@@ -65,7 +65,7 @@
 
     private final GatewayHost self;
     private final EventLoopGroup group;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private final PeerListener listener;
     private final PeerTraffic traffic = new PeerTraffic();
     private final Map<String, KnownHost> hostsByName = new HashMap<>();
@@ -88,7 +88,7 @@
     public PeerLinks(
             GatewayHost self,
             EventLoopGroup group,
-            SteadyClock clock,
+            MonotonicClock clock,
             LongSupplier inputReadUntilMillis,
             PeerListener listener) {
         this.self = self;
@@ -120,7 +120,7 @@
      *
      * @param host the host
      */
-    public void entered(GatewayHost host) {
+    public void hostRegistered(GatewayHost host) {
         if (!host.name().equals(self.name())) {
             observed(host);
             hostsByName.get(host.name()).registered = true;
@@ -142,7 +142,7 @@
      *
      * @param name its name
      */
-    public void removed(String name) {
+    public void hostRemoved(String name) {
         KnownHost host = hostsByName.get(name);
         if (host != null) {
             host.registered = false;
@@ -154,7 +154,7 @@
      *
      * @return their names
      */
-    public Set<String> enteredInOwnRegion() {
+    public Set<String> registeredInOwnRegion() {
         Set<String> names = new HashSet<>();
         for (KnownHost each : hostsByName.values()) {
             if (each.registered && isOwnRegion(each.host)) {
@@ -178,7 +178,7 @@
      *
      * @return the number of hosts that were registered or connected recently, including this one
      */
-    public int knownHosts() {
+    public int knownHostCount() {
         return hostsByName.size() + 1;
     }
 
@@ -187,7 +187,7 @@
      *
      * @return the links
      */
-    public List<PeerLink> alive() {
+    public List<PeerLink> aliveLinks() {
         List<PeerLink> alive = new ArrayList<>();
         for (PeerLink link : links.values()) {
             if (link.isAlive()) {
@@ -234,8 +234,8 @@
      *
      * @return the bytes
      */
-    public long waitingBytes() {
-        return links.values().stream().mapToLong(PeerLink::waitingBytes).sum();
+    public long pendingBytes() {
+        return links.values().stream().mapToLong(PeerLink::pendingBytes).sum();
     }
 
     /**
@@ -243,8 +243,8 @@
      *
      * @return the bytes
      */
-    public long mostWaitingBytes() {
-        return links.values().stream().mapToLong(PeerLink::waitingBytes).max().orElse(0);
+    public long maxPendingBytes() {
+        return links.values().stream().mapToLong(PeerLink::pendingBytes).max().orElse(0);
     }
 
     /**
@@ -257,7 +257,7 @@
     }
 
     /** Stops accepting new links. */
-    public void closePort() {
+    public void stopListening() {
         serverChannel.close();
     }
 
@@ -266,7 +266,7 @@
      *
      * @param hasWork returns whether a call of another host is in progress
      */
-    public void end(BooleanSupplier hasWork) {
+    public void closeGracefully(BooleanSupplier hasWork) {
         for (PeerLink link : List.copyOf(openLinks)) {
             link.closeGracefully(hasWork);
         }
@@ -277,7 +277,7 @@
      *
      * @return whether none is open
      */
-    public boolean areEnded() {
+    public boolean areClosed() {
         return openLinks.isEmpty();
     }
 
@@ -362,7 +362,7 @@
     }
 
     private boolean shouldConnect(KnownHost each, Map<String, List<String>> chosenByRegion, long nowMillis) {
-        String region = each.host.place().region();
+        String region = each.host.location().region();
         if (!isOwnRegion(each.host)
                 && !chosenByRegion.computeIfAbsent(region, this::chooseHosts).contains(each.host.name())) {
             return false;
@@ -378,7 +378,7 @@
     private List<String> chooseHosts(String region) {
         List<String> names = hostsByName.values().stream()
                 .map(each -> each.host)
-                .filter(host -> host.place().region().equals(region))
+                .filter(host -> host.location().region().equals(region))
                 .map(GatewayHost::name)
                 .toList();
         return Rendezvous.rank(names, self.name()).stream()
@@ -387,14 +387,14 @@
     }
 
     private boolean isOwnRegion(GatewayHost host) {
-        return host.place().region().equals(self.place().region());
+        return host.location().region().equals(self.location().region());
     }
 
     private void remove(PeerLink link, String reason) {
         String name = link.host().map(GatewayHost::name).getOrElse("");
         if (links.get(name) == link) {
             links.remove(name);
-            listener.lost(link, reason);
+            listener.disconnected(link, reason);
         }
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerListener.java
@@ -15,7 +15,7 @@
      * @param link the link to it
      * @param reason how the loss was detected
      */
-    void lost(PeerLink link, String reason);
+    void disconnected(PeerLink link, String reason);
 
     /**
      * Called when a host has reported its state.
@@ -23,7 +23,7 @@
      * @param link the link to it
      * @param state the reported state
      */
-    void state(PeerLink link, PeerFrame.State state);
+    void stateReceived(PeerLink link, PeerFrame.State state);
 
     /**
      * Called when a host has sent a large prefill notice for one target.
@@ -31,14 +31,14 @@
      * @param link the link to it
      * @param work its work at the target
      */
-    void largeRead(PeerLink link, PeerFrame.TargetWork work);
+    void largePrefillNoticeReceived(PeerLink link, PeerFrame.TargetWork work);
 
     /**
      * Called when a host has sent contents of the store.
      *
      * @param items the items
      */
-    void storeItems(PeerFrame.StoreItems items);
+    void storeItemsReceived(PeerFrame.StoreItems items);
 
     /**
      * Called when a host forwards a request to this one.
@@ -46,7 +46,7 @@
      * @param link the link to it
      * @param request the request
      */
-    void asked(PeerLink link, PeerFrame.Ask request);
+    void requestReceived(PeerLink link, PeerFrame.CallRequest request);
 
     /**
      * Called when a host cancels a call.
@@ -54,5 +54,5 @@
      * @param link the link to it
      * @param call the number of the call
      */
-    void cancelled(PeerLink link, long call);
+    void callCancelled(PeerLink link, long call);
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerTraffic.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerTraffic.java
@@ -23,7 +23,7 @@
      * @param kind the kind of traffic
      * @return the bytes
      */
-    public long bytes(Kind kind) {
+    public long sentBytes(Kind kind) {
         return sentByKind.get(kind).sum();
     }
 
@@ -67,7 +67,7 @@
                 return STORE;
             }
             boolean isState = frame instanceof PeerFrame.State
-                    || frame instanceof PeerFrame.LargeRead
+                    || frame instanceof PeerFrame.LargePrefillNotice
                     || frame instanceof PeerFrame.Hello;
             return isState ? STATES : REQUESTS;
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/ReceiverProgress.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/ReceiverProgress.java
@@ -44,7 +44,7 @@
 
     /** Returns whether the host accepts fragments and changes; a host of an earlier version accepts only full listings. */
     boolean supportsFragments() {
-        return receiver.state().knownRevision() != PeerFrame.State.UNTOLD;
+        return receiver.state().knownRevision() != PeerFrame.State.UNREPORTED;
     }
 
     /** Returns whether the host accepts compressed items; hosts that report their newest revision do. */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReceiver.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReceiver.java
@@ -14,7 +14,7 @@
      *
      * @return whether it is; false until it has identified itself
      */
-    boolean isOwnRegion();
+    boolean isInOwnRegion();
 
     /**
      * Returns the state that the host reported last.
@@ -28,7 +28,7 @@
      *
      * @return the bytes
      */
-    long waitingBytes();
+    long pendingBytes();
 
     /**
      * Sends a frame.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
@@ -10,7 +10,7 @@
 import java.util.function.LongUnaryOperator;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.LinkShare;
+import org.rattanplank.core.gateway.LinkRateLimiter;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
 import org.rattanplank.gateway.store.StoreCopy;
@@ -42,8 +42,8 @@
     private final StoreCopy copy;
     private final LongUnaryOperator graceMillis;
     private final Consumer<LogLine> log;
-    private final LinkShare relayShare;
-    private final LinkShare catchUpShare;
+    private final LinkRateLimiter relayShare;
+    private final LinkRateLimiter catchUpShare;
     private final Map<StoreReceiver, ReceiverProgress> progressByReceiver = new HashMap<>();
     private Option<EncodedFrame> lastEncoded = Option.none();
 
@@ -61,8 +61,8 @@
         this.copy = copy;
         this.graceMillis = graceMillis;
         this.log = log;
-        relayShare = LinkShare.of(linkBytesPerMilli, RELAY_SHARE);
-        catchUpShare = LinkShare.of(linkBytesPerMilli, CATCH_UP_SHARE);
+        relayShare = LinkRateLimiter.of(linkBytesPerMilli, RELAY_SHARE);
+        catchUpShare = LinkRateLimiter.of(linkBytesPerMilli, CATCH_UP_SHARE);
     }
 
     /**
@@ -70,7 +70,7 @@
      *
      * @param receiver the host
      */
-    public void lost(StoreReceiver receiver) {
+    public void disconnected(StoreReceiver receiver) {
         progressByReceiver.remove(receiver);
     }
 
@@ -112,7 +112,7 @@
         long revision = copy.revision();
         if (host.sentSmallItemsRevision() >= revision
                 || !relayShare.isAvailable(nowMillis)
-                || host.receiver().waitingBytes() > 0) {
+                || host.receiver().pendingBytes() > 0) {
             return;
         }
         boolean complete = host.transfer().isEmpty()
@@ -153,7 +153,7 @@
         }
     }
 
-    private void startTransfer(ReceiverProgress host, LinkShare share, long nowMillis) {
+    private void startTransfer(ReceiverProgress host, LinkRateLimiter share, long nowMillis) {
         long baseRevision = host.sentRevision();
         List<StoreItem> items = new ArrayList<>();
         for (StoreItem item : baseRevision == 0 ? copy.items() : changesSince(baseRevision)) {
@@ -181,7 +181,7 @@
     private static void sendFragments(ReceiverProgress host, StoreTransfer transfer, long nowMillis) {
         while (!transfer.isDone()
                 && transfer.share().isAvailable(nowMillis)
-                && host.receiver().waitingBytes() == 0) {
+                && host.receiver().pendingBytes() == 0) {
             PeerFrame.Fragment fragment = transfer.nextFragment();
             byte[] bytes = PeerFrameCodec.encode(fragment);
             host.receiver().send(fragment, bytes);
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreTransfer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreTransfer.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-import org.rattanplank.core.gateway.LinkShare;
+import org.rattanplank.core.gateway.LinkRateLimiter;
 
 /**
  * Splits an encoded frame into fragments for transfer to another host. Confined to the event loop.
@@ -14,7 +14,7 @@
     static final int FRAGMENT_BYTES = 8 << 10;
 
     private final byte[] frame;
-    private final LinkShare share;
+    private final LinkRateLimiter share;
     private final long revision;
     private int sentBytes;
 
@@ -25,13 +25,13 @@
      * @param share the link share that its bytes are counted against
      * @param revision the revision up to which the receiver is complete once it has the frame
      */
-    StoreTransfer(byte[] frame, LinkShare share, long revision) {
+    StoreTransfer(byte[] frame, LinkRateLimiter share, long revision) {
         this.frame = frame;
         this.share = share;
         this.revision = revision;
     }
 
-    LinkShare share() {
+    LinkRateLimiter share() {
         return share;
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterFact.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterEvent.java
@@ -9,14 +9,14 @@
 import org.rattanplank.core.intent.Document;
 
 /** A change to the cluster, decoded from an item of the store. Immutable and thread safe. */
-public sealed interface ClusterFact {
+public sealed interface ClusterEvent {
     /**
      * The configuration in force has changed.
      *
      * @param configuration the configuration
      */
-    record Configured(GatewayConfiguration configuration) implements ClusterFact {
-        public Configured {
+    record ConfigurationChanged(GatewayConfiguration configuration) implements ClusterEvent {
+        public ConfigurationChanged {
             Objects.requireNonNull(configuration, "configuration");
         }
     }
@@ -26,8 +26,8 @@
      *
      * @param document the intents
      */
-    record IntentsApplied(Document document) implements ClusterFact {
-        public IntentsApplied {
+    record IntentsChanged(Document document) implements ClusterEvent {
+        public IntentsChanged {
             Objects.requireNonNull(document, "document");
         }
     }
@@ -37,8 +37,8 @@
      *
      * @param entry the entry
      */
-    record TargetEntered(TargetEntry entry) implements ClusterFact {
-        public TargetEntered {
+    record TargetRegistered(TargetEntry entry) implements ClusterEvent {
+        public TargetRegistered {
             Objects.requireNonNull(entry, "entry");
         }
     }
@@ -48,7 +48,7 @@
      *
      * @param id the target's identifier
      */
-    record TargetRemoved(String id) implements ClusterFact {}
+    record TargetRemoved(String id) implements ClusterEvent {}
 
     /**
      * The evacuation of a data centre has started or ended.
@@ -56,15 +56,15 @@
      * @param dataCentre the data centre
      * @param active whether the data centre is to receive no work
      */
-    record Evacuation(String dataCentre, boolean active) implements ClusterFact {}
+    record EvacuationChanged(String dataCentre, boolean active) implements ClusterEvent {}
 
     /**
      * An entry host has registered or changed its entry.
      *
      * @param host the host
      */
-    record HostEntered(GatewayHost host) implements ClusterFact {
-        public HostEntered {
+    record HostRegistered(GatewayHost host) implements ClusterEvent {
+        public HostRegistered {
             Objects.requireNonNull(host, "host");
         }
     }
@@ -74,10 +74,10 @@
      *
      * @param name the host's name
      */
-    record HostRemoved(String name) implements ClusterFact {}
+    record HostRemoved(String name) implements ClusterEvent {}
 
     /** An item that does not concern this host. */
-    record Unrelated() implements ClusterFact {}
+    record Unrelated() implements ClusterEvent {}
 
     /**
      * An item that can't be decoded. If it is a target's entry, the target receives no work until an entry can be decoded;
@@ -86,7 +86,7 @@
      * @param target the identifier of the target whose entry it is, or none
      * @param reason why decoding failed
      */
-    record Unreadable(Option<String> target, String reason) implements ClusterFact {
+    record Unreadable(Option<String> target, String reason) implements ClusterEvent {
         public Unreadable {
             Objects.requireNonNull(target, "target");
             Objects.requireNonNull(reason, "reason");
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterStore.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterStore.java
@@ -52,14 +52,14 @@
      * @param lease its identifier
      * @param reply receives its identifier
      */
-    void keepLease(long lease, Consumer<Either<StoreFailure, Long>> reply);
+    void renewLease(long lease, Consumer<Either<StoreFailure, Long>> reply);
 
     /**
      * Revokes a lease, which removes its keys.
      *
      * @param lease its identifier
      */
-    void endLease(long lease);
+    void revokeLease(long lease);
 
     /**
      * Writes a key.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
@@ -8,14 +8,14 @@
      * @param item the item, or its removal
      * @param event the change that the item describes
      */
-    void learnt(StoreItem item, ClusterFact event);
+    void itemChanged(StoreItem item, ClusterEvent event);
 
     /**
      * Called when the store has responded to a call that it does not hold.
      *
      * @param tookMillis the latency of the call
      */
-    void storeAnswered(long tookMillis);
+    void storeResponded(long tookMillis);
 
     /**
      * Called when a page of items or changes was received.
@@ -25,15 +25,15 @@
      * @param items the number of items
      * @param tookMillis the time from the call to its response
      */
-    void read(FeedReading reading, long bytes, int items, long tookMillis);
+    void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis);
 
     /** Called when the store responds again after an outage; entries that expired meanwhile may be registered again. */
-    void storeReturned();
+    void storeRecovered();
 
     /**
      * Called when the store has become unavailable.
      *
      * @param reason the failure by which that was detected
      */
-    void storeLost(StoreFailure reason);
+    void storeUnavailable(StoreFailure reason);
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/HostLease.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/HostLease.java
@@ -76,15 +76,15 @@
     }
 
     /** Records that this host's key was removed; the next step registers the host again. */
-    public void keyLost() {
+    public void keyRemoved() {
         registered = false;
     }
 
     /** Removes this host from the store by revoking its lease. */
-    public void leave() {
+    public void deregister() {
         deregistered = true;
         if (lease != 0) {
-            store.endLease(lease);
+            store.revokeLease(lease);
         }
     }
 
@@ -98,7 +98,7 @@
             StoreItem item = format.write(self);
             store.put(item.key(), item.value(), lease, Option.none(), this::entryWritten);
         } else {
-            store.keepLease(lease, this::leaseRenewed);
+            store.renewLease(lease, this::leaseRenewed);
         }
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
@@ -8,9 +8,9 @@
 
 import io.netty.channel.EventLoop;
 import io.vavr.control.Either;
-import org.rattanplank.core.gateway.LinkShare;
+import org.rattanplank.core.gateway.LinkRateLimiter;
 import org.rattanplank.core.store.Backoff;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 
 /**
  * Watches the store's items: lists them once, then waits for changes, and lists again when the store no longer has the
@@ -55,9 +55,9 @@
     private final StoreFormat format;
     private final FeedListener listener;
     private final EventLoop loop;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final LinkShare readShare;
+    private final LinkRateLimiter readShare;
     private final StoreCopy copy = new StoreCopy();
     private final Set<String> listedKeys = new HashSet<>();
     private Backoff backoff = Backoff.of(0, MIN_RETRY_MILLIS, MAX_RETRY_MILLIS);
@@ -75,7 +75,7 @@
             StoreFormat format,
             FeedListener listener,
             EventLoop loop,
-            SteadyClock clock,
+            MonotonicClock clock,
             RandomGenerator random,
             long linkBytesPerMilli) {
         this.store = store;
@@ -84,7 +84,7 @@
         this.loop = loop;
         this.clock = clock;
         this.random = random;
-        readShare = LinkShare.of(linkBytesPerMilli, READ_SHARE);
+        readShare = LinkRateLimiter.of(linkBytesPerMilli, READ_SHARE);
         lastResponseMillis = clock.nowMillis();
     }
 
@@ -105,7 +105,7 @@
             StoreFormat format,
             FeedListener listener,
             EventLoop loop,
-            SteadyClock clock,
+            MonotonicClock clock,
             RandomGenerator random,
             long linkBytesPerMilli) {
         return new StoreFeed(store, format, listener, loop, clock, random, linkBytesPerMilli);
@@ -123,7 +123,7 @@
      *
      * @param wanted whether to watch
      */
-    public void follow(boolean wanted) {
+    public void setWatching(boolean wanted) {
         if (watching && !wanted && unavailable) {
             unavailableAtMillis = clock.nowMillis();
         }
@@ -143,7 +143,7 @@
      *
      * @return whether it does
      */
-    public boolean isFollowing() {
+    public boolean isWatching() {
         return watching;
     }
 
@@ -152,7 +152,7 @@
      *
      * @param responds whether it does
      */
-    public void leaseAnswered(boolean responds) {
+    public void updateLeaseHealth(boolean responds) {
         leaseFailing = !responds;
     }
 
@@ -181,7 +181,7 @@
      *
      * @return milliseconds
      */
-    public long ageMillis() {
+    public long lastResponseAgeMillis() {
         return clock.nowMillis() - lastResponseMillis;
     }
 
@@ -201,7 +201,7 @@
      * @param revision the revision up to which they are complete; zero if they are only some of the changes
      * @param received the items and removals
      */
-    public void takeFromPeer(long baseRevision, long revision, List<StoreItem> received) {
+    public void mergeFromPeer(long baseRevision, long revision, List<StoreItem> received) {
         copy.merge(baseRevision, revision, received).forEach(this::notifyListener);
     }
 
@@ -212,7 +212,7 @@
     }
 
     private void notifyListener(StoreItem item) {
-        listener.learnt(item, format.read(item));
+        listener.itemChanged(item, format.read(item));
     }
 
     private void list(String after) {
@@ -234,9 +234,9 @@
             return;
         }
         responseReceived();
-        listener.storeAnswered(clock.nowMillis() - calledAtMillis);
+        listener.storeResponded(clock.nowMillis() - calledAtMillis);
         StorePage page = reply.get();
-        recordPage(FeedReading.LIST, page);
+        recordPage(StoreReadKind.LIST, page);
         // Pages are not a snapshot: only the first page's revision is definitely covered by all of them.
         listRevision = Math.min(listRevision, page.revision());
         page.items().forEach(item -> {
@@ -269,7 +269,7 @@
         responseReceived();
         backoff = backoff.succeeded();
         StorePage page = reply.get();
-        recordPage(FeedReading.WATCH, page);
+        recordPage(StoreReadKind.WATCH, page);
         page.items().forEach(this::apply);
         copy.completeUpTo(page.revision());
         if (page.items().isEmpty()) {
@@ -285,7 +285,7 @@
         if (failure == StoreFailure.HISTORY_GONE) {
             long pauseMillis = readShare.delayMillis(clock.nowMillis());
             loop.schedule(() -> list(""), pauseMillis, TimeUnit.MILLISECONDS);
-        } else if (failure == StoreFailure.NO_ANSWER && ageMillis() < WATCH_TIMEOUT_MILLIS) {
+        } else if (failure == StoreFailure.NO_ANSWER && lastResponseAgeMillis() < WATCH_TIMEOUT_MILLIS) {
             // A waiting watch may be closed although the store is healthy; watching again costs one call.
             scheduleRetry(this::watch);
         } else {
@@ -294,24 +294,24 @@
         }
     }
 
-    private void recordPage(FeedReading kind, StorePage page) {
+    private void recordPage(StoreReadKind kind, StorePage page) {
         long bytes = page.valueBytes();
         readShare.consume(Math.round(bytes * BASE64_BYTES_PER_BYTE), clock.nowMillis());
-        listener.read(kind, bytes, page.items().size(), clock.nowMillis() - calledAtMillis);
+        listener.pageReceived(kind, bytes, page.items().size(), clock.nowMillis() - calledAtMillis);
     }
 
     private void responseReceived() {
         lastResponseMillis = clock.nowMillis();
         if (unavailable) {
             unavailable = false;
-            listener.storeReturned();
+            listener.storeRecovered();
         }
     }
 
     private void markUnavailableAndRetry(StoreFailure failure, Runnable next) {
         if (!unavailable) {
             unavailable = true;
-            listener.storeLost(failure);
+            listener.storeUnavailable(failure);
         }
         scheduleRetry(next);
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFormat.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFormat.java
@@ -17,7 +17,7 @@
      * @param item the item, or its removal
      * @return the change that it describes
      */
-    ClusterFact read(StoreItem item);
+    ClusterEvent read(StoreItem item);
 
     /**
      * Encodes a host's entry.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/Attempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/Attempt.java
@@ -7,7 +7,7 @@
      *
      * @return the text of the target's incarnation, or the other host's name
      */
-    String to();
+    String destination();
 
     /** Cancels the request without notifying the listener; the connection is closed so that the target stops. */
     void cancel();
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
@@ -24,7 +24,7 @@
     void content(ByteBuf bytes);
 
     /** Called when the response is complete. */
-    void ended();
+    void completed();
 
     /**
      * Called when the attempt failed before the head or within the body of the response.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
@@ -12,11 +12,11 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.Choice;
 import org.rattanplank.core.gateway.GatewayTarget;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.gateway.GatewayRequest;
 import org.rattanplank.gateway.HeaderNames;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.http.Headers;
 
 /**
@@ -35,15 +35,16 @@
     private final TargetCall call;
     private final HeaderNames names;
     private final AttemptListener listener;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private Channel connectingChannel;
     private TargetConnection connection;
     private boolean rejected;
     private boolean finished;
 
-    TargetAttempt(Choice choice, TargetCall call, HeaderNames names, AttemptListener listener, SteadyClock clock) {
+    TargetAttempt(
+            TargetChoice choice, TargetCall call, HeaderNames names, AttemptListener listener, MonotonicClock clock) {
         target = choice.target();
-        transferSource = choice.source();
+        transferSource = choice.transferSource();
         this.call = call;
         this.names = names;
         this.listener = listener;
@@ -51,8 +52,8 @@
     }
 
     @Override
-    public String to() {
-        return target.runText();
+    public String destination() {
+        return target.incarnationText();
     }
 
     @Override
@@ -93,31 +94,31 @@
         if (finished) {
             return;
         }
-        target.unreachable(clock.nowMillis());
+        target.recordUnreachable(clock.nowMillis());
         failed(AttemptFailure.NOT_SENT, "connection failed: " + cause.getMessage());
     }
 
     void dataReceived() {
-        target.heard(clock.nowMillis());
+        target.recordActivity(clock.nowMillis());
     }
 
     void head(int status, HttpHeaders headers) {
         if (finished) {
             return;
         }
-        if (status == MISDIRECTED || headers.contains(names.refused())) {
+        if (status == MISDIRECTED || headers.contains(names.notExecuted())) {
             rejected = true;
             if (status == MISDIRECTED) {
-                target.leave();
+                target.markLeaving();
             } else {
-                target.full(FULL_TARGET_PAUSE_MILLIS, clock.nowMillis());
+                target.backOff(FULL_TARGET_PAUSE_MILLIS, clock.nowMillis());
             }
             return;
         }
         if (status >= HttpResponseStatus.INTERNAL_SERVER_ERROR.code()) {
-            target.failed(clock.nowMillis());
+            target.recordFailure(clock.nowMillis());
         } else {
-            target.succeeded();
+            target.recordSuccess();
         }
         listener.head(status, headers);
     }
@@ -139,7 +140,7 @@
             return;
         }
         finished = true;
-        listener.ended();
+        listener.completed();
     }
 
     void failed(AttemptFailure failure, String reason) {
@@ -148,7 +149,7 @@
         }
         finished = true;
         if (failure.mayHaveRun()) {
-            target.failed(clock.nowMillis());
+            target.recordFailure(clock.nowMillis());
         }
         listener.failed(failure, reason);
     }
@@ -161,7 +162,7 @@
         headers.set(names.urgency(), Integer.toString(call.work().urgency().level()));
         transferSource
                 .map(GatewayTarget::entry)
-                .forEach(from -> headers.set(names.copyFrom(), from.ip() + ':' + from.port()));
+                .forEach(from -> headers.set(names.transferSource(), from.ip() + ':' + from.port()));
         if (!call.lastEventId().isEmpty()) {
             headers.set(names.lastEventId(), call.lastEventId());
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetConnections.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetConnections.java
@@ -19,10 +19,10 @@
 import io.netty.handler.codec.http.HttpRequestEncoder;
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseDecoder;
-import org.rattanplank.core.gateway.Choice;
 import org.rattanplank.core.gateway.GatewayTarget;
+import org.rattanplank.core.gateway.TargetChoice;
 import org.rattanplank.gateway.HeaderNames;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 
 /**
  * A pool of connections to targets.
@@ -45,7 +45,7 @@
 
     private final Bootstrap bootstrap;
     private final HeaderNames names;
-    private final SteadyClock clock;
+    private final MonotonicClock clock;
     private final Map<GatewayTarget, ArrayDeque<TargetConnection>> idleByTarget = new HashMap<>();
     private final Map<TargetConnection, GatewayTarget> targetByConnection = new HashMap<>();
     private long openedCount;
@@ -57,7 +57,7 @@
      * @param names the names of headers
      * @param clock the clock
      */
-    public TargetConnections(EventLoopGroup group, HeaderNames names, SteadyClock clock) {
+    public TargetConnections(EventLoopGroup group, HeaderNames names, MonotonicClock clock) {
         this.names = names;
         this.clock = clock;
         bootstrap = new Bootstrap()
@@ -76,7 +76,7 @@
      * @param listener receives the events of the attempt
      * @return the attempt
      */
-    public Attempt send(Choice choice, TargetCall call, boolean atMostOnce, AttemptListener listener) {
+    public Attempt send(TargetChoice choice, TargetCall call, boolean atMostOnce, AttemptListener listener) {
         GatewayTarget target = choice.target();
         TargetAttempt attempt = new TargetAttempt(choice, call, names, listener, clock);
         TargetConnection reused = takeIdle(target, atMostOnce ? AT_MOST_ONCE_IDLE_FRACTION : 1);
@@ -111,7 +111,7 @@
      *
      * @param target the incarnation
      */
-    public void end(GatewayTarget target) {
+    public void closeAll(GatewayTarget target) {
         idleByTarget.remove(target);
         List.copyOf(targetByConnection.entrySet()).stream()
                 .filter(each -> each.getValue() == target)
@@ -123,7 +123,7 @@
      *
      * @return the number
      */
-    public long opened() {
+    public long openedConnections() {
         return openedCount;
     }
 
@@ -180,7 +180,7 @@
                 })
                 .connect(address)
                 .addListener(done -> {
-                    if (done.isSuccess() && target.hasEnded()) {
+                    if (done.isSuccess() && target.isTerminated()) {
                         connection.close();
                         attempt.connectFailed(new ConnectException("the target has restarted"));
                     } else if (done.isSuccess()) {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.rattanplank.core.gateway.RouteKind;
-import org.rattanplank.core.gateway.TargetRun;
+import org.rattanplank.core.gateway.TargetIncarnation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -432,12 +432,12 @@
                 TestTarget restarted = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "later")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1);
-            gateway.enterTarget(new TargetRun("t1", 1_000), previous.port());
+            gateway.enterTarget(new TargetIncarnation("t1", 1_000), previous.port());
             gateway.awaitTargets(1);
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
             previous.nextRequest();
 
-            gateway.enterTarget(new TargetRun("t1", 2_000), restarted.port());
+            gateway.enterTarget(new TargetIncarnation("t1", 2_000), restarted.port());
 
             assertTrue(waiting.readUntil("\r\n\r\n").startsWith("HTTP/1.1 502"));
             assertTrue(
@@ -463,7 +463,7 @@
                     .send(request("q1", "b"))
                     .readUntil("\r\n\r\n")
                     .startsWith("HTTP/1.1 503"));
-            gateway.enterTarget(new TargetRun("t1", 0), target.port());
+            gateway.enterTarget(new TargetIncarnation("t1", 0), target.port());
             gateway.target("t2", target.port());
             assertTrue(
                     gateway.caller().send(request("q2", "b")).readUntil("done").startsWith("HTTP/1.1 200"));
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayLogTest.java
@@ -209,7 +209,7 @@
                 caller.readAll();
             }
             gateway.caller().send(generation("q2")).readAll();
-            peer.ask("q3", 20_000, state, Urgency.FIRST, 120);
+            peer.sendRequest("q3", 20_000, state, Urgency.FIRST, 120);
 
             assertInterTokenLatency(gateway.linesOf("q2"), "\"event\":\"sent\"");
             assertInterTokenLatency(gateway.linesOf("q3"), "\"event\":\"forward_taken\"");
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import org.rattanplank.core.gateway.TargetRun;
+import org.rattanplank.core.gateway.TargetIncarnation;
 import org.rattanplank.core.gateway.Urgency;
 import org.rattanplank.gateway.peer.PeerFrame;
 import org.rattanplank.gateway.peer.TestPeer;
@@ -21,7 +21,7 @@
 class LargePrefillFlowTest {
     private static final int LARGE_TOKENS = 12_000;
     private static final int SMALL_TOKENS = 100;
-    private static final String TARGET = new TargetRun("t1", 0).text();
+    private static final String TARGET = new TargetIncarnation("t1", 0).text();
 
     private TestGateway gateway;
 
@@ -67,24 +67,24 @@
      * reply.
      */
     private static List<PeerFrame> unreadFrames(TestPeer peer, boolean readsLargeReads) throws IOException {
-        peer.sayItIsIdle(readsLargeReads);
-        return peer.framesUntilHeard();
+        peer.reportIdle(readsLargeReads);
+        return peer.framesUntilEchoed();
     }
 
     private static void assertNoLargePrefillNotice(TestPeer peer, boolean readsLargeReads) throws IOException {
         List<PeerFrame> frames = unreadFrames(peer, readsLargeReads);
-        assertTrue(frames.stream().noneMatch(PeerFrame.LargeRead.class::isInstance), frames::toString);
+        assertTrue(frames.stream().noneMatch(PeerFrame.LargePrefillNotice.class::isInstance), frames::toString);
     }
 
     private static boolean reportsWork(PeerFrame frame) {
-        return frame instanceof PeerFrame.LargeRead
-                || frame instanceof PeerFrame.State state && !state.sent().isEmpty();
+        return frame instanceof PeerFrame.LargePrefillNotice
+                || frame instanceof PeerFrame.State state && !state.targetWork().isEmpty();
     }
 
     /** Waits until all frames sent by a peer were processed: a request after its deadline is rejected at once. */
     private static void awaitProcessed(TestPeer peer, PeerFrame.State gatewayState) throws IOException {
-        peer.ask("late", 0, gatewayState);
-        peer.await(PeerFrame.AnswerFailed.class);
+        peer.sendRequest("late", 0, gatewayState);
+        peer.await(PeerFrame.CallFailed.class);
     }
 
     /** Sends a small generation and checks the number of queued tokens in its log line. */
@@ -114,10 +114,10 @@
                     .orElseThrow();
 
             PeerFrame.TargetWork reported =
-                    assertInstanceOf(PeerFrame.LargeRead.class, first).work();
+                    assertInstanceOf(PeerFrame.LargePrefillNotice.class, first).work();
             assertEquals(TARGET, reported.target());
             assertEquals(1, reported.work().requests());
-            assertEquals(LARGE_TOKENS, reported.work().waiting().ahead(Urgency.MIDDLE));
+            assertEquals(LARGE_TOKENS, reported.work().prefillBacklog().ahead(Urgency.MIDDLE));
         }
     }
 
@@ -177,7 +177,7 @@
             gateway.target("t1", target.port());
             PeerFrame.State gatewayState = exchangeStates(peer, true);
 
-            peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
+            peer.sendLargePrefillNotice(TARGET, LARGE_TOKENS);
             awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(LARGE_TOKENS);
@@ -195,8 +195,8 @@
             gateway.target("t1", target.port());
             PeerFrame.State gatewayState = exchangeStates(peer, true);
 
-            peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
-            peer.sayItIsIdle(true);
+            peer.sendLargePrefillNotice(TARGET, LARGE_TOKENS);
+            peer.reportIdle(true);
             awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(0);
@@ -211,7 +211,7 @@
             gateway.target("t1", target.port());
             PeerFrame.State gatewayState = exchangeStates(peer, true);
 
-            peer.tellOfLargeRead(TARGET, LARGE_TOKENS);
+            peer.sendLargePrefillNotice(TARGET, LARGE_TOKENS);
             awaitProcessed(peer, gatewayState);
 
             assertQueuedTokens(0);
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
@@ -92,8 +92,8 @@
             gateway.target("t1", target.port());
             queueBacklog(target);
 
-            peer.ask("q1", 10_000, peer.await(PeerFrame.State.class), Urgency.LAST, SMALL_TOKENS);
-            PeerFrame.AnswerFailed answer = peer.await(PeerFrame.AnswerFailed.class);
+            peer.sendRequest("q1", 10_000, peer.await(PeerFrame.State.class), Urgency.LAST, SMALL_TOKENS);
+            PeerFrame.CallFailed answer = peer.await(PeerFrame.CallFailed.class);
 
             assertEquals(AttemptFailure.NOT_SENT.name(), answer.failure());
             assertEquals(0, target.unreadRequests());
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
@@ -43,9 +43,9 @@
                 TestPeer peer = gateway.peer()) {
             gateway.configure(RouteKind.UNSAFE, false, 1).target("t1", target.port());
 
-            peer.ask("q1", 20_000, peer.await(PeerFrame.State.class));
+            peer.sendRequest("q1", 20_000, peer.await(PeerFrame.State.class));
 
-            assertEquals(200, peer.await(PeerFrame.AnswerHead.class).status());
+            assertEquals(200, peer.await(PeerFrame.ResponseHead.class).status());
         }
     }
 
@@ -64,11 +64,11 @@
             long timeLeftMillis = 300;
             Thread.sleep(2 * timeLeftMillis);
 
-            peer.ask("q1", timeLeftMillis, state);
+            peer.sendRequest("q1", timeLeftMillis, state);
 
             assertEquals(
                     AttemptFailure.NOT_SENT.name(),
-                    peer.await(PeerFrame.AnswerFailed.class).failure());
+                    peer.await(PeerFrame.CallFailed.class).failure());
             assertEquals(0, target.unreadRequests());
         }
     }
@@ -80,11 +80,11 @@
     @Test
     void shouldKeepALinkWhenThisHostPausedAndHasNotReadYet() throws Exception {
         try (TestPeer peer = gateway.peer()) {
-            peer.sayItKnows(0, 1);
+            peer.reportState(0, 1);
             gateway.awaitLogged("\"event\":\"peer_connected\"");
             CountDownLatch resume = gateway.pauseBeforeTimers();
             Thread.sleep(LONG_PAUSE_MILLIS);
-            peer.sayItKnows(0, 1);
+            peer.reportState(0, 1);
             resume.countDown();
             gateway.awaitLogged("\"event\":\"loop_late\"");
 
@@ -101,14 +101,14 @@
     void shouldAnswerServiceUnavailableWhenThePeerTerminatedBeforeAcceptingTheRequest() throws Exception {
         gateway.configure(RouteKind.UNSAFE, false, 1);
         try (TestPeer peer = gateway.peer()) {
-            peer.sayItServes("desk");
+            peer.reportRegionLoad("desk");
             gateway.awaitLogged("\"event\":\"peer_connected\"");
             TestCaller caller = gateway.caller();
             caller.send("POST /a/x HTTP/1.1\r\nHost: desk.example\r\nRequest-Id: q1\r\nTime-Left: 5000\r\n"
                     + "Content-Length: 4\r\n\r\nseal");
-            peer.await(PeerFrame.Ask.class);
+            peer.await(PeerFrame.CallRequest.class);
 
-            peer.leave(0);
+            peer.sendLeaving(0);
             peer.close();
 
             String answer = caller.readUntil("\r\n\r\n");
@@ -129,12 +129,12 @@
             PeerFrame.State state = peer.await(PeerFrame.State.class);
             TestGateway.EventLoopPause pause = gateway.stopAndPause(STOP_PAUSE_MILLIS);
             pause.awaitLastRead();
-            peer.ask("q1", 20_000, state);
+            peer.sendRequest("q1", 20_000, state);
             pause.resume();
 
-            assertEquals(200, peer.await(PeerFrame.AnswerHead.class).status());
+            assertEquals(200, peer.await(PeerFrame.ResponseHead.class).status());
             assertEquals(1, peer.await(PeerFrame.Leaving.class).lastCall());
-            assertTrue(peer.readsToTheEnd());
+            assertTrue(peer.readsUntilClosed());
         }
     }
 
@@ -150,7 +150,7 @@
         gateway.loseStore();
         gateway.awaitStoreLost();
         try (TestPeer peer = gateway.peer()) {
-            peer.sayItKnowsNothing();
+            peer.reportEmptyCopy();
 
             assertEquals(1, peer.await(PeerFrame.StoreItems.class).items().size());
         }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/RequestReaderTest.java
@@ -88,7 +88,7 @@
         assertEquals(1_460, request.work().promptTokens());
         assertEquals(20, request.work().outputTokens());
         assertEquals(1_210, request.work().sharedTokens());
-        assertEquals(270, request.work().ownTokens());
+        assertEquals(270, request.work().exclusiveTokens());
     }
 
     /**
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -63,7 +63,7 @@
                 gateway.putIncompressible("large", LARGE_BYTES);
             }
             for (TestPeer peer : peers) {
-                peer.sayItKnows(i, 1);
+                peer.reportState(i, 1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
@@ -108,7 +108,7 @@
         gateway.awaitLogged("\"event\":\"lease_failed\"");
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer follower : followers) {
-                follower.sayItFollows(1);
+                follower.reportWatching(1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
@@ -127,7 +127,7 @@
     void shouldNotRelayPeerUpdatesWhenTheStoreRejectsThisHost() throws Exception {
         List<TestPeer> followers = followers();
         try (TestPeer peer = gateway.sameRegionPeer("n1")) {
-            peer.readOn();
+            peer.drainInBackground();
             awaitFollowing(followers.get(0), false);
             gateway.loseStore();
             keepReporting(followers, peer);
@@ -163,9 +163,9 @@
     void shouldApplyAnItemWhenItsPartsAreInterleavedWithOtherFrames() throws Exception {
         long revision = 1_000_000;
         try (TestPeer sender = gateway.sameRegionPeer("n1")) {
-            sender.sendInParts(revision, LARGE_BYTES, LARGE_BYTES / 7);
+            sender.sendInFragments(revision, LARGE_BYTES, LARGE_BYTES / 7);
             while (sender.await(PeerFrame.State.class).newestRevision() < revision) {
-                sender.sayItKnows(0, 1);
+                sender.reportState(0, 1);
             }
         }
     }
@@ -174,9 +174,9 @@
     private static void keepReporting(List<TestPeer> followers, TestPeer peer) throws Exception {
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer follower : followers) {
-                follower.sayItFollows(1);
+                follower.reportWatching(1);
             }
-            peer.sayItKnows(0, Long.MAX_VALUE);
+            peer.reportState(0, Long.MAX_VALUE);
             Thread.sleep(ROUND_MILLIS);
         }
     }
@@ -192,15 +192,15 @@
         List<TestPeer> followers = new ArrayList<>();
         for (String name : names) {
             TestPeer follower = gateway.sameRegionPeer(name);
-            follower.sayItFollows(1);
+            follower.reportWatching(1);
             followers.add(follower);
         }
         return followers;
     }
 
     private static void awaitFollowing(TestPeer peer, boolean following) throws IOException {
-        while (peer.await(PeerFrame.State.class).followsStore() != following) {
-            peer.sayItFollows(1);
+        while (peer.await(PeerFrame.State.class).watchesStore() != following) {
+            peer.reportWatching(1);
         }
     }
 }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
@@ -61,7 +61,7 @@
         long startedNanos = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer peer : peers) {
-                peer.sayItKnows(i, 1);
+                peer.reportState(i, 1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
@@ -87,12 +87,12 @@
     void shouldQueueNoFurtherVersionsWhenAHostHasNotReceivedTheLast() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         try (TestPeer slow = gateway.sameRegionPeer("slow")) {
-            slow.sayItKnows(1, 1);
+            slow.reportState(1, 1);
             gateway.awaitLogged("\"peer\":\"slow\"");
 
             for (int i = 0; i < ROUNDS; i++) {
                 gateway.putIncompressible("large", LARGE_BYTES);
-                slow.sayItKnows(1, Long.MAX_VALUE);
+                slow.reportState(1, Long.MAX_VALUE);
                 Thread.sleep(ROUND_MILLIS);
             }
 
@@ -110,8 +110,8 @@
     void shouldKeepALinkWhenALargeItemArrivesSlowly() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
         try (TestPeer slow = gateway.sameRegionPeer("slow")) {
-            slow.readOn();
-            slow.sayItKnows(1, 1);
+            slow.drainInBackground();
+            slow.reportState(1, 1);
             slow.sendSlowly(STORE_BYTES, ROUNDS, ROUND_MILLIS);
 
             assertEquals(0, gateway.countLogged("\"event\":\"peer_lost\""));
@@ -128,11 +128,11 @@
         gateway.configure(RouteKind.SAFE, false, 1);
         try (TestPeer ahead = gateway.sameRegionPeer("ahead");
                 TestPeer behind = gateway.sameRegionPeer("behind")) {
-            ahead.readOn();
-            behind.readOn();
+            ahead.drainInBackground();
+            behind.drainInBackground();
             while (gateway.countLogged("\"peer\":\"behind\",\"items\"") == 0) {
-                ahead.sayItKnows(1, Long.MAX_VALUE);
-                behind.sayItKnows(1, 1);
+                ahead.reportState(1, Long.MAX_VALUE);
+                behind.reportState(1, 1);
                 Thread.sleep(ROUND_MILLIS);
             }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -23,20 +23,20 @@
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.vavr.control.Option;
-import org.rattanplank.core.gateway.CallerBounds;
+import org.rattanplank.core.gateway.CallerLimits;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.Mechanisms;
 import org.rattanplank.core.gateway.RouteKind;
 import org.rattanplank.core.gateway.RouteRule;
 import org.rattanplank.core.gateway.ServiceRule;
 import org.rattanplank.core.gateway.TargetEntry;
-import org.rattanplank.core.gateway.TargetRun;
+import org.rattanplank.core.gateway.TargetIncarnation;
 import org.rattanplank.core.gateway.WeightedService;
 import org.rattanplank.core.host.Place;
 import org.rattanplank.core.intent.Document;
 import org.rattanplank.gateway.log.EventLog;
 import org.rattanplank.gateway.peer.TestPeer;
-import org.rattanplank.gateway.store.ClusterFact;
+import org.rattanplank.gateway.store.ClusterEvent;
 
 /** A gateway of one region with an in-memory store. */
 final class TestGateway implements AutoCloseable {
@@ -104,7 +104,7 @@
                 new SharedLimits(graceMillis, 0.2, 160, 10_000, 1, 1_000),
                 Mechanisms.ALL);
         EventLog log = EventLog.start("h1", logged, System::nanoTime);
-        gateway = Gateway.of(settings, new AdapterNames(NAMES, store, new Directory()), group, store, log, 1);
+        gateway = Gateway.of(settings, new PlatformFormats(NAMES, store, new Directory()), group, store, log, 1);
         gateway.start();
     }
 
@@ -136,11 +136,11 @@
                 Set.of());
         store.put(
                 "configuration",
-                new ClusterFact.Configured(GatewayConfiguration.of(
+                new ClusterEvent.ConfigurationChanged(GatewayConfiguration.of(
                         version,
                         List.of(route),
                         List.of(new ServiceRule("desk", 50, 0, 0, 0, 0, kvCacheTokens)),
-                        new CallerBounds(4_096, 10_000, 3_000, 15_000))),
+                        new CallerLimits(4_096, 10_000, 3_000, 15_000))),
                 false);
         awaitMetric("configuration_version " + version);
         return this;
@@ -148,7 +148,7 @@
 
     /** Adds a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
-        enterTarget(new TargetRun(id, 0), port);
+        enterTarget(new TargetIncarnation(id, 0), port);
         targets++;
         awaitMetric("targets " + targets);
         return this;
@@ -161,7 +161,7 @@
 
     /** Puts an unreadable entry under the key of a target. */
     void putUnreadableTarget(String id) {
-        store.put("targets/" + id, new ClusterFact.Unreadable(Option.some(id), "no address"), false);
+        store.put("targets/" + id, new ClusterEvent.Unreadable(Option.some(id), "no address"), false);
     }
 
     /** Waits until that many unreadable items were counted. */
@@ -178,9 +178,9 @@
     }
 
     /** Adds an incarnation of a target. */
-    void enterTarget(TargetRun run, int port) {
+    void enterTarget(TargetIncarnation run, int port) {
         TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
-        store.put("targets/" + run.id(), new ClusterFact.TargetEntered(entry), false);
+        store.put("targets/" + run.id(), new ClusterEvent.TargetRegistered(entry), false);
     }
 
     /** Waits for the final log line of a request, and returns all its lines. */
@@ -202,8 +202,8 @@
 
     /** Puts an older version under the key of the configuration, as a host that was partitioned would do. */
     void putOlderConfiguration(long olderVersion) {
-        GatewayConfiguration older = GatewayConfiguration.of(olderVersion, List.of(), List.of(), CallerBounds.DEFAULTS);
-        store.put("configuration", new ClusterFact.Configured(older), false);
+        GatewayConfiguration older = GatewayConfiguration.of(olderVersion, List.of(), List.of(), CallerLimits.DEFAULTS);
+        store.put("configuration", new ClusterEvent.ConfigurationChanged(older), false);
     }
 
     long configurationVersion() throws IOException {
@@ -220,7 +220,7 @@
         files.put(
                 "50-retire.yaml",
                 JsonNodeFactory.instance.objectNode().put("kind", "retire").put("name", host));
-        store.put("intents", new ClusterFact.IntentsApplied(Document.empty().next(files, "change")), false);
+        store.put("intents", new ClusterEvent.IntentsChanged(Document.empty().next(files, "change")), false);
         awaitMetric("intents_generation 1");
     }
 
@@ -289,7 +289,7 @@
         List<TestPeer> connectedPeers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             TestPeer peer = sameRegionPeer("n" + i);
-            peer.readOn();
+            peer.drainInBackground();
             connectedPeers.add(peer);
         }
         return connectedPeers;
@@ -297,14 +297,14 @@
 
     /** Puts an item of the given size into the store that a gateway can't interpret. */
     void putBytes(String key, int bytes) {
-        store.put(key, new byte[bytes], new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
+        store.put(key, new byte[bytes], new ClusterEvent.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
     /** Puts incompressible bytes into the store. */
     void putIncompressible(String key, int bytes) {
         byte[] incompressible = new byte[bytes];
         new Random(bytes).nextBytes(incompressible);
-        store.put(key, incompressible, new ClusterFact.Unreadable(Option.none(), "a test's bytes"), false);
+        store.put(key, incompressible, new ClusterEvent.Unreadable(Option.none(), "a test's bytes"), false);
     }
 
     /** Returns how often all items of the store were listed. */
@@ -444,21 +444,21 @@
         return new InetSocketAddress(ip, nextPort++);
     }
 
-    private static final class Directory implements AdapterNames.DirectoryFormat {
+    private static final class Directory implements PlatformFormats.DirectoryFormat {
         @Override
-        public Option<AdapterNames.Question> read(String uri) {
+        public Option<PlatformFormats.EntryHostsQuery> parse(String uri) {
             return uri.startsWith("/hosts")
-                    ? Option.some(new AdapterNames.Question("desk.example", "suva", DATA_CENTRE))
+                    ? Option.some(new PlatformFormats.EntryHostsQuery("desk.example", "suva", DATA_CENTRE))
                     : Option.none();
         }
 
         @Override
-        public AdminAnswer write(List<String> addresses, int seconds) {
-            return AdminAnswer.text(String.join(",", addresses));
+        public AdminResponse format(List<String> addresses, int seconds) {
+            return AdminResponse.text(String.join(",", addresses));
         }
 
         @Override
-        public boolean asksReadiness(String uri) {
+        public boolean isReadinessProbe(String uri) {
             return uri.startsWith("/ready");
         }
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
@@ -12,7 +12,7 @@
 import io.vavr.control.Option;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.gateway.http.CallTraffic;
-import org.rattanplank.gateway.store.ClusterFact;
+import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.ClusterStore;
 import org.rattanplank.gateway.store.StoreFailure;
 import org.rattanplank.gateway.store.StoreFormat;
@@ -24,7 +24,7 @@
     private final EventLoop loop;
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
     private final TreeMap<Long, StoreItem> history = new TreeMap<>();
-    private final TreeMap<Long, ClusterFact> facts = new TreeMap<>();
+    private final TreeMap<Long, ClusterEvent> facts = new TreeMap<>();
     private final List<Runnable> waiting = new ArrayList<>();
     private final AtomicLong lists = new AtomicLong();
     private long revision = 1;
@@ -35,11 +35,11 @@
     }
 
     /** Puts an item, or removes it. */
-    void put(String key, ClusterFact fact, boolean removed) {
+    void put(String key, ClusterEvent fact, boolean removed) {
         put(key, new byte[0], fact, removed);
     }
 
-    void put(String key, byte[] value, ClusterFact fact, boolean removed) {
+    void put(String key, byte[] value, ClusterEvent fact, boolean removed) {
         loop.submit(() -> {
                     revision++;
                     StoreItem item = new StoreItem(key, value, revision, removed);
@@ -110,12 +110,12 @@
     }
 
     @Override
-    public void keepLease(long lease, Consumer<Either<StoreFailure, Long>> reply) {
+    public void renewLease(long lease, Consumer<Either<StoreFailure, Long>> reply) {
         reply(reply, () -> lease);
     }
 
     @Override
-    public void endLease(long lease) {
+    public void revokeLease(long lease) {
         // Leases don't expire in this store.
     }
 
@@ -135,7 +135,7 @@
     }
 
     @Override
-    public ClusterFact read(StoreItem item) {
+    public ClusterEvent read(StoreItem item) {
         return facts.get(item.revision());
     }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
@@ -8,11 +8,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.gateway.RegionStreams;
-import org.rattanplank.core.gateway.SentWork;
-import org.rattanplank.core.gateway.StreamPace;
+import org.rattanplank.core.gateway.InFlightWork;
+import org.rattanplank.core.gateway.PrefillBacklog;
+import org.rattanplank.core.gateway.RegionStreamStats;
+import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.gateway.WaitingTokens;
 import org.rattanplank.core.host.Place;
 import org.rattanplank.gateway.store.StoreItem;
 
@@ -46,19 +46,22 @@
                         false,
                         true,
                         List.of(new PeerFrame.TargetWork(
-                                "t", new SentWork(2, new WaitingTokens(1, 2, 3), 4), new StreamPace(2, 120.5, 1))),
-                        List.of(new PeerFrame.RegionLoad("s", Urgency.LAST, 1.5, 0.25, new RegionStreams(80.5, 0.5))),
+                                "t",
+                                new InFlightWork(2, new PrefillBacklog(1, 2, 3), 4),
+                                new StreamStats(2, 120.5, 1))),
+                        List.of(new PeerFrame.RegionLoad(
+                                "s", Urgency.LAST, 1.5, 0.25, new RegionStreamStats(80.5, 0.5))),
                         11,
                         1_000,
                         10,
                         1_250,
                         true),
-                new PeerFrame.AnswerHead(4, 200, List.of("a", "b"), "t"),
-                new PeerFrame.LargeRead(new PeerFrame.TargetWork(
-                        "t", new SentWork(2, new WaitingTokens(1, 2, 3), 4), new StreamPace(2, 120.5, 1))),
-                new PeerFrame.AnswerEnd(4),
-                new PeerFrame.AnswerFailed(4, "UNKNOWN", "why", "t"),
-                new PeerFrame.Cancel(4),
+                new PeerFrame.ResponseHead(4, 200, List.of("a", "b"), "t"),
+                new PeerFrame.LargePrefillNotice(new PeerFrame.TargetWork(
+                        "t", new InFlightWork(2, new PrefillBacklog(1, 2, 3), 4), new StreamStats(2, 120.5, 1))),
+                new PeerFrame.ResponseEnd(4),
+                new PeerFrame.CallFailed(4, "UNKNOWN", "why", "t"),
+                new PeerFrame.CallCancel(4),
                 new PeerFrame.Leaving(4));
 
         frames.forEach(frame -> assertEquals(frame, roundTrip(frame)));
@@ -76,7 +79,7 @@
 
         assertTrue(compressed.length * 10 < PeerFrameCodec.encode(items, false).length, "bytes: " + compressed.length);
         assertEquals(7, decoded.revision());
-        assertEquals(30, decoded.lenientMillis());
+        assertEquals(30, decoded.removalGraceMillis());
         assertArrayEquals(value, decoded.items().get(0).value());
     }
 
@@ -105,8 +108,8 @@
                 List.of(),
                 List.of(),
                 0,
-                PeerFrame.State.FOR_GOOD,
-                PeerFrame.State.UNTOLD,
+                PeerFrame.State.UNLIMITED_MILLIS,
+                PeerFrame.State.UNREPORTED,
                 0,
                 false);
         byte[] bytes = PeerFrameCodec.encode(state);
@@ -120,7 +123,7 @@
     @Test
     void shouldDecodeARequestWhenItsBodyHoldsAnyBytes() {
         byte[] body = {0, -1, 13, 10, 127};
-        PeerFrame.Ask request = new PeerFrame.Ask(
+        PeerFrame.CallRequest request = new PeerFrame.CallRequest(
                 1,
                 2,
                 "s",
@@ -138,7 +141,7 @@
                 true,
                 List.of("t"));
 
-        PeerFrame.Ask decoded = (PeerFrame.Ask) roundTrip(request);
+        PeerFrame.CallRequest decoded = (PeerFrame.CallRequest) roundTrip(request);
 
         assertEquals(request.headers(), decoded.headers());
         assertEquals(
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.rattanplank.gateway.SteadyClock;
+import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.target.AttemptFailure;
 import org.rattanplank.gateway.target.AttemptListener;
 
@@ -40,10 +40,10 @@
      */
     @Example
     void shouldFailAtOnceWhenARequestIsSentOverAClosedLink() {
-        PeerLink link = new PeerLink(null, SteadyClock.ofProcess(), true);
+        PeerLink link = new PeerLink(null, MonotonicClock.ofProcess(), true);
         List<AttemptFailure> failures = new ArrayList<>();
 
-        link.ask(number -> null, new AttemptListener() {
+        link.sendRequest(number -> null, new AttemptListener() {
             @Override
             public void head(int status, HttpHeaders headers) {
                 throw new AssertionError("unexpected response");
@@ -55,7 +55,7 @@
             }
 
             @Override
-            public void ended() {
+            public void completed() {
                 throw new AssertionError("unexpected completion");
             }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
@@ -12,10 +12,10 @@
 import java.util.List;
 
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.gateway.SentWork;
-import org.rattanplank.core.gateway.StreamPace;
+import org.rattanplank.core.gateway.InFlightWork;
+import org.rattanplank.core.gateway.PrefillBacklog;
+import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.gateway.WaitingTokens;
 import org.rattanplank.core.host.Place;
 import org.rattanplank.gateway.store.StoreItem;
 
@@ -64,8 +64,8 @@
      * @param receivedState the state
      * @throws IOException if the link was closed
      */
-    public void ask(String requestId, long remainingMillis, PeerFrame.State receivedState) throws IOException {
-        ask(requestId, remainingMillis, receivedState, Urgency.FIRST, List.of("Request-Id", requestId));
+    public void sendRequest(String requestId, long remainingMillis, PeerFrame.State receivedState) throws IOException {
+        sendRequest(requestId, remainingMillis, receivedState, Urgency.FIRST, List.of("Request-Id", requestId));
     }
 
     /**
@@ -78,21 +78,21 @@
      * @param promptTokens the number of prompt tokens
      * @throws IOException if the link was closed
      */
-    public void ask(
+    public void sendRequest(
             String requestId, long remainingMillis, PeerFrame.State receivedState, Urgency urgency, int promptTokens)
             throws IOException {
         List<String> headers = List.of("Request-Id", requestId, "Tokens", promptTokens + ",10");
-        ask(requestId, remainingMillis, receivedState, urgency, headers);
+        sendRequest(requestId, remainingMillis, receivedState, urgency, headers);
     }
 
-    private void ask(
+    private void sendRequest(
             String requestId,
             long remainingMillis,
             PeerFrame.State receivedState,
             Urgency urgency,
             List<String> headers)
             throws IOException {
-        send(new PeerFrame.Ask(
+        send(new PeerFrame.CallRequest(
                 1,
                 1,
                 "desk",
@@ -116,7 +116,7 @@
      *
      * @throws IOException if the link was closed
      */
-    public void sayItKnowsNothing() throws IOException {
+    public void reportEmptyCopy() throws IOException {
         send(new PeerFrame.State(
                 1, 0, 0, 500, false, 0, 0, true, false, List.of(), List.of(), 0, 0, 0, LINK_BYTES_PER_MILLI, false));
     }
@@ -128,11 +128,11 @@
      * @param newestRevision the revision of the newest change that it has
      * @throws IOException if the link was closed
      */
-    public void sayItKnows(long storeDigest, long newestRevision) throws IOException {
-        sayItKnows(storeDigest, newestRevision, false, 0);
+    public void reportState(long storeDigest, long newestRevision) throws IOException {
+        reportState(storeDigest, newestRevision, false, 0);
     }
 
-    private void sayItKnows(long storeDigest, long newestRevision, boolean watchesStore, long linkBytesPerMilli)
+    private void reportState(long storeDigest, long newestRevision, boolean watchesStore, long linkBytesPerMilli)
             throws IOException {
         send(new PeerFrame.State(
                 1,
@@ -159,8 +159,8 @@
      * @param newestRevision the revision of the newest change that it has
      * @throws IOException if the link was closed
      */
-    public void sayItFollows(long newestRevision) throws IOException {
-        sayItKnows(0, newestRevision, true, LINK_BYTES_PER_MILLI);
+    public void reportWatching(long newestRevision) throws IOException {
+        reportState(0, newestRevision, true, LINK_BYTES_PER_MILLI);
     }
 
     /**
@@ -192,18 +192,18 @@
      * @param fragmentBytes the size of each fragment but the last
      * @throws IOException if the link was closed
      */
-    public void sendInParts(long revision, int bytes, int fragmentBytes) throws IOException {
+    public void sendInFragments(long revision, int bytes, int fragmentBytes) throws IOException {
         byte[] frame = PeerFrameCodec.encode(
                 new PeerFrame.StoreItems(0, 0, 0, List.of(new StoreItem("parts", new byte[bytes], revision, false))));
         for (int offset = 0; offset < frame.length; offset += fragmentBytes) {
             int end = Math.min(frame.length, offset + fragmentBytes);
             send(new PeerFrame.Fragment(end == frame.length, Arrays.copyOfRange(frame, offset, end)));
-            sayItKnows(0, 1);
+            reportState(0, 1);
         }
     }
 
     /** Reads and discards all input on a separate thread until the link is closed. */
-    public void readOn() {
+    public void drainInBackground() {
         Thread reader = new Thread(() -> {
             try {
                 in.transferTo(OutputStream.nullOutputStream());
@@ -222,7 +222,7 @@
      * @param lastCall the number of the call
      * @throws IOException if the link was closed
      */
-    public void leave(long lastCall) throws IOException {
+    public void sendLeaving(long lastCall) throws IOException {
         send(new PeerFrame.Leaving(lastCall));
     }
 
@@ -232,7 +232,7 @@
      * @param service the service
      * @throws IOException if the link was closed
      */
-    public void sayItServes(String service) throws IOException {
+    public void reportRegionLoad(String service) throws IOException {
         List<PeerFrame.RegionLoad> loads = List.of(
                 new PeerFrame.RegionLoad(service, Urgency.FIRST, 1, 0),
                 new PeerFrame.RegionLoad(service, Urgency.MIDDLE, 1, 0),
@@ -247,7 +247,7 @@
      * @param supportsLargePrefillNotices whether it accepts large prefill notices
      * @throws IOException if the link was closed
      */
-    public void sayItIsIdle(boolean supportsLargePrefillNotices) throws IOException {
+    public void reportIdle(boolean supportsLargePrefillNotices) throws IOException {
         lastStateAtMillis++;
         send(new PeerFrame.State(
                 lastStateAtMillis,
@@ -275,9 +275,9 @@
      * @param tokens the number of prompt tokens
      * @throws IOException if the link was closed
      */
-    public void tellOfLargeRead(String target, int tokens) throws IOException {
-        SentWork work = new SentWork(1, WaitingTokens.of(Urgency.FIRST, tokens), tokens);
-        send(new PeerFrame.LargeRead(new PeerFrame.TargetWork(target, work, StreamPace.NONE)));
+    public void sendLargePrefillNotice(String target, int tokens) throws IOException {
+        InFlightWork work = new InFlightWork(1, PrefillBacklog.of(Urgency.FIRST, tokens), tokens);
+        send(new PeerFrame.LargePrefillNotice(new PeerFrame.TargetWork(target, work, StreamStats.NONE)));
     }
 
     /**
@@ -286,7 +286,7 @@
      * @return the frames received before that echo, and the echo
      * @throws IOException if the link was closed
      */
-    public List<PeerFrame> framesUntilHeard() throws IOException {
+    public List<PeerFrame> framesUntilEchoed() throws IOException {
         List<PeerFrame> frames = new ArrayList<>();
         while (true) {
             PeerFrame frame = await(PeerFrame.class);
@@ -320,7 +320,7 @@
      * @return whether the link was closed after a complete frame, and each frame could be decoded
      * @throws IOException if the connection failed
      */
-    public boolean readsToTheEnd() throws IOException {
+    public boolean readsUntilClosed() throws IOException {
         byte[] length = in.readNBytes(Integer.BYTES);
         while (length.length == Integer.BYTES) {
             if (PeerFrameCodec.decode(in.readNBytes(ByteBuffer.wrap(length).getInt()))
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestRegion.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Random;
 
-import org.rattanplank.core.gateway.StoreFollowers;
+import org.rattanplank.core.gateway.StoreWatchers;
 import org.rattanplank.gateway.store.StoreCopy;
 import org.rattanplank.gateway.store.StoreItem;
 
@@ -85,7 +85,7 @@
         private final StoreReplicator replicator;
         private final Map<Host, SimulatedLink> links = new HashMap<>();
         private final List<long[]> sent = new ArrayList<>();
-        private StoreFollowers watchers = StoreFollowers.of(List.of());
+        private StoreWatchers watchers = StoreWatchers.of(List.of());
         private PeerFrame.State lastState = PeerFrame.State.NONE;
         private boolean alive = true;
         private boolean rejectedByStore;
@@ -108,7 +108,7 @@
         }
 
         boolean isWatcher() {
-            return alive && watchers.follows(name);
+            return alive && watchers.isWatcher(name);
         }
 
         boolean hasItem(String key) {
@@ -163,15 +163,15 @@
             replicator.tick(receivers, this, nowMillis);
         }
 
-        private StoreFollowers chooseWatchers() {
-            List<StoreFollowers.Candidate> candidates = new ArrayList<>();
+        private StoreWatchers chooseWatchers() {
+            List<StoreWatchers.Candidate> candidates = new ArrayList<>();
             for (Host host : hosts) {
                 if (host.alive || nowMillis - host.terminatedAtMillis < UNRESPONSIVE_MILLIS) {
                     candidates.add(
-                            new StoreFollowers.Candidate(host.name, !host.rejectedByStore, host.linkBytesPerMilli));
+                            new StoreWatchers.Candidate(host.name, !host.rejectedByStore, host.linkBytesPerMilli));
                 }
             }
-            return StoreFollowers.of(candidates);
+            return StoreWatchers.of(candidates);
         }
 
         private boolean isHealthyWatcher() {
@@ -193,12 +193,12 @@
         @Override
         public long catchUpAfterMillis(StoreReceiver receiver) {
             return isHealthyWatcher() && needsRelay(receiver)
-                    ? CATCH_UP_AFTER_MILLIS + CATCH_UP_TURN_MILLIS * watchers.turn(name)
+                    ? CATCH_UP_AFTER_MILLIS + CATCH_UP_TURN_MILLIS * watchers.position(name)
                     : NEVER;
         }
 
         private boolean needsRelay(StoreReceiver receiver) {
-            return !receiver.state().followsStore() || !receiver.state().storeHealthy();
+            return !receiver.state().watchesStore() || !receiver.state().storeHealthy();
         }
     }
 
@@ -220,7 +220,7 @@
         }
 
         @Override
-        public boolean isOwnRegion() {
+        public boolean isInOwnRegion() {
             return true;
         }
 
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public long waitingBytes() {
+        public long pendingBytes() {
             return inFlight.stream().mapToLong(each -> each.bytes().length).sum();
         }
 
@@ -250,7 +250,7 @@
 
         private void receive(PeerFrame frame) {
             if (frame instanceof PeerFrame.StoreItems items) {
-                to.copy.merge(items.base(), items.revision(), items.items());
+                to.copy.merge(items.baseRevision(), items.revision(), items.items());
             } else if (frame instanceof PeerFrame.Fragment fragment) {
                 fragments.add(fragment.bytes());
                 if (fragment.last()) {
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.core.host.Place;
-import org.rattanplank.gateway.SteadyClock;
-import org.rattanplank.gateway.store.ClusterFact;
+import org.rattanplank.gateway.MonotonicClock;
+import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.FeedListener;
-import org.rattanplank.gateway.store.FeedReading;
 import org.rattanplank.gateway.store.HostLease;
 import org.rattanplank.gateway.store.StoreFailure;
 import org.rattanplank.gateway.store.StoreFeed;
 import org.rattanplank.gateway.store.StoreItem;
+import org.rattanplank.gateway.store.StoreReadKind;
 import org.rattanplank.platform.PlatformItems;
 import org.rattanplank.platform.PlatformStore;
 import org.rattanplank.standins.http.Addresses;
@@ -48,7 +48,7 @@
 
     private final EventLoop storeLoop = EventLoop.of();
     private final EventLoop loop = EventLoop.of();
-    private final BlockingQueue<ClusterFact> learnt = new LinkedBlockingQueue<>();
+    private final BlockingQueue<ClusterEvent> learnt = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> store = new LinkedBlockingQueue<>();
     private SiteStore site;
     private SiteStoreClient operator;
@@ -65,7 +65,7 @@
                 new PlatformItems(),
                 new Listener(),
                 loop.group().next(),
-                SteadyClock.ofProcess(),
+                MonotonicClock.ofProcess(),
                 new Random(1),
                 LINK_BYTES_PER_MILLI);
         loop.after(0, feed::start);
@@ -77,8 +77,8 @@
         storeLoop.close();
     }
 
-    private ClusterFact next() throws InterruptedException {
-        ClusterFact fact = learnt.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
+    private ClusterEvent next() throws InterruptedException {
+        ClusterEvent fact = learnt.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
         if (fact == null) {
             throw new AssertionError("nothing was learnt");
         }
@@ -94,19 +94,19 @@
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
         assertEquals(
                 "t1",
-                assertInstanceOf(ClusterFact.TargetEntered.class, next())
+                assertInstanceOf(ClusterEvent.TargetRegistered.class, next())
                         .entry()
                         .id());
 
         operator.configure(SiteConfigurations.of(3));
         assertEquals(
                 3,
-                assertInstanceOf(ClusterFact.Configured.class, next())
+                assertInstanceOf(ClusterEvent.ConfigurationChanged.class, next())
                         .configuration()
                         .version());
 
         operator.removeTarget("t1");
-        assertEquals(new ClusterFact.TargetRemoved("t1"), next());
+        assertEquals(new ClusterEvent.TargetRemoved("t1"), next());
     }
 
     /**
@@ -121,7 +121,7 @@
         site.forgetHistory();
         operator.removeTarget("t1");
 
-        assertEquals(new ClusterFact.TargetRemoved("t1"), next());
+        assertEquals(new ClusterEvent.TargetRemoved("t1"), next());
     }
 
     /**
@@ -140,7 +140,7 @@
 
         assertEquals(
                 2,
-                assertInstanceOf(ClusterFact.Configured.class, next())
+                assertInstanceOf(ClusterEvent.ConfigurationChanged.class, next())
                         .configuration()
                         .version());
     }
@@ -169,7 +169,7 @@
         site.down(false);
         operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
 
-        assertInstanceOf(ClusterFact.TargetEntered.class, next());
+        assertInstanceOf(ClusterEvent.TargetRegistered.class, next());
     }
 
     /**
@@ -182,20 +182,20 @@
         loop.after(0, () -> HostLease.of(
                         client, new PlatformItems(), HOST, loop.group().next(), 0, told -> {})
                 .start());
-        assertInstanceOf(ClusterFact.HostEntered.class, next());
+        assertInstanceOf(ClusterEvent.HostRegistered.class, next());
         loop.after(0, () -> client.grantLease(1_000, lease -> granted.add(lease.get())));
         long other = granted.poll(LIMIT_SECONDS, TimeUnit.SECONDS);
 
-        loop.after(0, () -> client.endLease(other - 1));
+        loop.after(0, () -> client.revokeLease(other - 1));
 
-        assertEquals(new ClusterFact.HostRemoved("h1"), next());
-        assertInstanceOf(ClusterFact.HostEntered.class, next());
+        assertEquals(new ClusterEvent.HostRemoved("h1"), next());
+        assertInstanceOf(ClusterEvent.HostRegistered.class, next());
     }
 
     @Test
     void shouldSayThatALeaseIsGoneWhenItIsRenewedTooLate() throws Exception {
         BlockingQueue<Either<StoreFailure, Long>> replies = new LinkedBlockingQueue<>();
-        loop.after(0, () -> client.keepLease(99, replies::add));
+        loop.after(0, () -> client.renewLease(99, replies::add));
 
         assertEquals(
                 StoreFailure.NOT_FOUND,
@@ -213,27 +213,27 @@
 
     private final class Listener implements FeedListener {
         @Override
-        public void learnt(StoreItem item, ClusterFact fact) {
+        public void itemChanged(StoreItem item, ClusterEvent fact) {
             learnt.add(fact);
         }
 
         @Override
-        public void storeAnswered(long tookMillis) {
+        public void storeResponded(long tookMillis) {
             // How long it takes says nothing of what is learnt.
         }
 
         @Override
-        public void read(FeedReading reading, long bytes, int items, long tookMillis) {
+        public void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis) {
             // Sizes are not looked at here.
         }
 
         @Override
-        public void storeReturned() {
+        public void storeRecovered() {
             store.add("returned");
         }
 
         @Override
-        public void storeLost(StoreFailure reason) {
+        public void storeUnavailable(StoreFailure reason) {
             store.add("lost " + reason);
         }
     }
