--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllWay.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/claim/WriteAllWay.java
@@ -13,7 +13,7 @@
 import org.rattanplank.core.claim.ClaimKey;
 import org.rattanplank.core.claim.ClaimResult;
 import org.rattanplank.core.claim.Claims;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /** The claims of the core on every host, over links with a modelled delay. Not thread safe. */
 final class WriteAllWay implements ClaimWay {
@@ -21,7 +21,7 @@
     static final long LINK_MEAN_MORE_MICROS = 50;
 
     private static final long TICK_MICROS = 100_000;
-    private static final Place PLACE = Place.of("suva", "suva-hall");
+    private static final Location PLACE = Location.of("suva", "suva-hall");
 
     private final VirtualTime time;
     private final ModelStore store;
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/LoneNode.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/LoneNode.java
@@ -21,8 +21,8 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.intent.Document;
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.route.TargetLoad;
@@ -45,7 +45,7 @@
     private static final long CHANGE_MILLIS = 86_400_000L / 3_700;
     private static final int FRAME_HEADER_BYTES = 4;
     private static final int REGIONS = 30;
-    private static final Place HERE = Place.of("region-0", "centre-0");
+    private static final Location HERE = Location.of("region-0", "centre-0");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     private final ObjectMapper messagePack = new ObjectMapper(new MessagePackFactory());
@@ -79,7 +79,7 @@
                     "target-" + i, HostRole.TARGET, HERE, "127.0.0.1", 1, 0, "model-" + i % services, false));
         }
         document = FleetDocuments.of(1, REGIONS, accounts, services);
-        store.write(org.rattanplank.core.intent.Configurations.KEY, document.toText());
+        store.write(org.rattanplank.core.intent.ConfigurationManager.KEY, document.toText());
         handle(new Event.HostsListed(list()));
         peers.forEach(peer -> handle(new Event.PeerConnected(peer, 1, HERE.region(), HERE.dataCentre())));
     }
@@ -148,8 +148,8 @@
         return new HostList(1, hosts);
     }
 
-    private static Place placeOf(int centre) {
-        return centre == 0 ? HERE : Place.of("region-" + centre % REGIONS, "centre-" + centre);
+    private static Location placeOf(int centre) {
+        return centre == 0 ? HERE : Location.of("region-" + centre % REGIONS, "centre-" + centre);
     }
 
     private void fromPeers() {
@@ -188,7 +188,7 @@
             long running = (nowMillis / TICK_MILLIS * 31 + service * 17L + centre) % 20;
             loads.put("model-" + service, List.of(2L, 16L, running, 0L));
         }
-        Place place = placeOf(centre);
+        Location place = placeOf(centre);
         return new RegionSummary(place.region(), place.dataCentre(), document.generation(), hosts, loads, List.of());
     }
 
@@ -213,10 +213,10 @@
                         .put("kind", "retire")
                         .put("name", "gone-" + generation));
         document = document.next(files, "c" + generation);
-        var entry = store.write(org.rattanplank.core.intent.Configurations.KEY, document.toText());
+        var entry = store.write(org.rattanplank.core.intent.ConfigurationManager.KEY, document.toText());
         handle(new Event.StoreChanged(
                 org.rattanplank.core.store.StoreOwner.CONFIGURATION,
-                org.rattanplank.core.intent.Configurations.KEY,
+                org.rattanplank.core.intent.ConfigurationManager.KEY,
                 List.of(entry),
                 entry.modRevision()));
     }
@@ -265,7 +265,7 @@
         for (String host : hosts) {
             int centre = centreOf(host);
             if (centre != 0 && links.add(host)) {
-                Place place = placeOf(centre);
+                Location place = placeOf(centre);
                 handle(new Event.PeerConnected(host, 1, place.region(), place.dataCentre()));
             }
         }
@@ -283,7 +283,7 @@
     private boolean speaksFirstTo(int centre) {
         Set<String> all = new TreeSet<>(peers);
         all.add("host-0-0");
-        return Rendezvous.rank(all, "speaker/centre-" + centre).get(0).equals("host-0-0");
+        return RendezvousHashing.rank(all, "speaker/centre-" + centre).get(0).equals("host-0-0");
     }
 
     private byte[] encode(PeerMessage message) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/VirtualFleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/fleet/VirtualFleet.java
@@ -18,8 +18,8 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.intent.Configurations;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.intent.ConfigurationManager;
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreEntry;
@@ -117,7 +117,7 @@
      * @return this fleet
      */
     public VirtualFleet add(String name, String region, String dataCentre) {
-        Place place = Place.of(region, dataCentre);
+        Location place = Location.of(region, dataCentre);
         hosts.put(name, new Host(new ListedHost(name, HostRole.ENTRY, place, "127.0.0.1", 1, 1, "", false)));
         return start(name);
     }
@@ -132,8 +132,8 @@
      * @return this fleet
      */
     public VirtualFleet target(String name, String service, String region, String dataCentre) {
-        targets.add(
-                new ListedHost(name, HostRole.TARGET, Place.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
+        targets.add(new ListedHost(
+                name, HostRole.TARGET, Location.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
         return this;
     }
 
@@ -145,7 +145,7 @@
      */
     public VirtualFleet start(String name) {
         Host host = hosts.get(name);
-        host.identity = new NodeIdentity(name, nowMillis, host.listed.place());
+        host.identity = new NodeIdentity(name, nowMillis, host.listed.location());
         host.node = Node.of(host.identity, Policy.COST, name.hashCode());
         Node process = host.node;
         long offset = Math.floorMod(name.hashCode(), TICK_MILLIS);
@@ -293,11 +293,12 @@
      * @return this fleet
      */
     public VirtualFleet configure(String document) {
-        StoreEntry entry = store.write(Configurations.KEY, document);
+        StoreEntry entry = store.write(ConfigurationManager.KEY, document);
         watches.forEach((key, prefix) -> {
             String host = key.substring(0, key.indexOf(' '));
-            boolean cut = cutFromStore.contains(hosts.get(host).listed.place().dataCentre());
-            if (Configurations.KEY.startsWith(prefix) && !silentWatches.contains(key) && !cut) {
+            boolean cut =
+                    cutFromStore.contains(hosts.get(host).listed.location().dataCentre());
+            if (ConfigurationManager.KEY.startsWith(prefix) && !silentWatches.contains(key) && !cut) {
                 Event event =
                         new Event.StoreChanged(StoreOwner.CONFIGURATION, prefix, List.of(entry), entry.modRevision());
                 at(storeDelayMillis, () -> feed(host, event));
@@ -434,8 +435,8 @@
                     new Event.PeerConnected(
                             other,
                             peer.incarnation(),
-                            peer.place().region(),
-                            peer.place().dataCentre()));
+                            peer.location().region(),
+                            peer.location().dataCentre()));
         }
     }
 
@@ -458,7 +459,7 @@
         storeCallsOfPart.merge(call.owner().name(), 1, Integer::sum);
         if (storeDown) {
             reply(name, call, new StoreReply.Unavailable("down"), 1);
-        } else if (cutFromStore.contains(hosts.get(name).listed.place().dataCentre())) {
+        } else if (cutFromStore.contains(hosts.get(name).listed.location().dataCentre())) {
             reply(name, call, new StoreReply.Unsure("no answer"), STORE_TIMEOUT_MILLIS);
         } else if (call.command() instanceof StoreCommand.Watch watch) {
             String key = name + " " + call.owner();
@@ -489,14 +490,14 @@
     }
 
     private boolean isCut(Host one, Host other) {
-        String left = one.listed.place().dataCentre();
-        String right = other.listed.place().dataCentre();
+        String left = one.listed.location().dataCentre();
+        String right = other.listed.location().dataCentre();
         return !left.equals(right) && cutCentres.contains(Set.of(left, right));
     }
 
     private long delayMillis(String one, String other) {
-        String left = hosts.get(one).listed.place().dataCentre();
-        return left.equals(hosts.get(other).listed.place().dataCentre()) ? LOCAL_DELAY_MILLIS : REMOTE_DELAY_MILLIS;
+        String left = hosts.get(one).listed.location().dataCentre();
+        return left.equals(hosts.get(other).listed.location().dataCentre()) ? LOCAL_DELAY_MILLIS : REMOTE_DELAY_MILLIS;
     }
 
     private void at(long afterMillis, Runnable work) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/GatewayFleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/GatewayFleet.java
@@ -13,7 +13,7 @@
 import io.netty.channel.nio.NioEventLoopGroup;
 import io.netty.util.concurrent.SingleThreadEventExecutor;
 import org.rattanplank.core.gateway.Mechanisms;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.gateway.Gateway;
 import org.rattanplank.gateway.GatewaySettings;
 import org.rattanplank.gateway.SharedLimits;
@@ -105,7 +105,7 @@
         REGIONS.forEach(each -> centres.put(each + "-hall", each));
         GatewaySettings settings = new GatewaySettings(
                 "h" + number,
-                Place.of(region, region + "-hall"),
+                Location.of(region, region + "-hall"),
                 centres,
                 address(number, 0),
                 address(number, 1),
@@ -120,7 +120,7 @@
         groups.add(group);
         callerAddresses.add(settings.callers());
         EventLog log = EventLog.start(settings.name(), OutputStream.nullOutputStream(), System::nanoTime);
-        Gateway.of(settings, PlatformNames.all(), group, PlatformStore.of(group, store), log, number + 1)
+        Gateway.of(settings, PlatformNames.formats(), group, PlatformStore.of(group, store), log, number + 1)
                 .start();
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Http.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Http.java
@@ -9,7 +9,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.vavr.control.Try;
-import org.rattanplank.cli.WholeExchange;
+import org.rattanplank.cli.BoundedHttpExchange;
 import org.rattanplank.standins.http.Json;
 
 /** Sends JSON requests to the control and operator ports. Thread safe. */
@@ -34,7 +34,7 @@
 
     private JsonNode send(HttpRequest.Builder request) throws IOException {
         try {
-            HttpResponse<String> response = WholeExchange.send(client, request.build(), TIMEOUT);
+            HttpResponse<String> response = BoundedHttpExchange.send(client, request.build(), TIMEOUT);
             return Json.readOrEmpty(response.body());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -145,7 +145,7 @@
             simulation.scheduler().schedule(Simulation.LINK_TIMEOUT_MILLIS, () -> attemptFailed(number, notRun));
             return;
         }
-        Request forwardedRequest = request.passedBy(host.name, false);
+        Request forwardedRequest = request.forwardedBy(host.name, false);
         Call remoteCall = new Call(simulation, other, arrival, forwardedRequest, new OutcomeListener() {
             @Override
             public void answered(int region, long firstTokenMillis) {
@@ -180,7 +180,7 @@
         }
         long elapsedMillis = now() - attemptAtMillis;
         host.router.recordEnd(
-                request, route.get(), new AttemptResult.Whole(EMPTY_RESPONSE, List.of()), elapsedMillis, now());
+                request, route.get(), new AttemptResult.Completed(EMPTY_RESPONSE, List.of()), elapsedMillis, now());
         finish();
         listener.answered(region, firstTokenMillis);
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/DecisionMeasurement.java
@@ -26,7 +26,7 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.core.intent.Service;
@@ -99,7 +99,7 @@
     /** Sets up a router with targets, load reports, regions and client accounts. */
     @Setup
     public void fill() {
-        Place place = Place.of("suva", "suva-hall");
+        Location place = Location.of("suva", "suva-hall");
         router = Router.of(place, Policy.COST, 1);
         SplittableRandom random = new SplittableRandom(1);
         List<ListedHost> listed = new ArrayList<>();
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Host.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.route.RemoteRegion;
 import org.rattanplank.core.route.Router;
@@ -19,7 +19,7 @@
     private final Map<Integer, RemoteRegion> remoteRegions = new TreeMap<>();
     private final Set<Call> forwardedCalls = new LinkedHashSet<>();
 
-    Host(String name, int region, Place place, Policy policy, long seed) {
+    Host(String name, int region, Location place, Policy policy, long seed) {
         this.name = name;
         this.region = region;
         this.router = Router.of(place, policy, seed);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Simulation.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.core.intent.Service;
@@ -169,8 +169,8 @@
         }
     }
 
-    private Place place(int region) {
-        return Place.of(regionName(region), regionName(region) + "-hall");
+    private Location place(int region) {
+        return Location.of(regionName(region), regionName(region) + "-hall");
     }
 
     private void configure(List<Arrival> arrivals) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/StandInTarget.java
@@ -11,7 +11,7 @@
 
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.route.CacheEvent;
 import org.rattanplank.core.route.TargetLoad;
 
@@ -45,7 +45,7 @@
 
     StandInTarget(
             String name,
-            Place place,
+            Location place,
             int region,
             ServiceProfile service,
             int capacityFactor,
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ApplyCommand.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ApplyCommand.java
@@ -12,8 +12,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.vavr.control.Either;
-import org.rattanplank.core.intent.Apply;
-import org.rattanplank.core.intent.ApplyStep;
+import org.rattanplank.core.intent.ApplyOperation;
+import org.rattanplank.core.intent.ApplyState;
 import org.rattanplank.core.intent.ConfigurationChange;
 import org.rattanplank.core.intent.Document;
 
@@ -50,33 +50,33 @@
     private Report apply(Console console, StoreClient store, Document base, SortedMap<String, JsonNode> wanted) {
         ConfigurationChange change =
                 new ConfigurationChange(base, wanted, UUID.randomUUID().toString());
-        ApplyStep result = runToEnd(Apply.of(change), store);
-        if (result instanceof ApplyStep.Done done) {
+        ApplyState result = runToEnd(ApplyOperation.of(change), store);
+        if (result instanceof ApplyState.Done done) {
             return done(console, done, wanted);
         }
-        if (result instanceof ApplyStep.Refused refused) {
+        if (result instanceof ApplyState.Rejected refused) {
             return IntentFolders.faultReport(refused.faults());
         }
-        if (result instanceof ApplyStep.Conflicting conflicting) {
+        if (result instanceof ApplyState.Conflicting conflicting) {
             return ConflictReport.of(conflicting.generation(), conflicting.conflicts());
         }
-        ApplyStep.Failed failed = (ApplyStep.Failed) result;
-        String effect = failed.surelyNotApplied()
+        ApplyState.Failed failed = (ApplyState.Failed) result;
+        String effect = failed.definitelyNotApplied()
                 ? "nothing was applied"
                 : "it is unknown whether the change was applied; apply the same folder again";
         return Report.of(ExitCode.UNREACHABLE, "the store cannot be reached: " + failed.reason() + "; " + effect);
     }
 
-    private static ApplyStep runToEnd(Apply start, StoreClient store) {
-        Apply apply = start;
-        while (apply.step() instanceof ApplyStep.CallStore call) {
+    private static ApplyState runToEnd(ApplyOperation start, StoreClient store) {
+        ApplyOperation apply = start;
+        while (apply.state() instanceof ApplyState.CallStore call) {
             Pause.millis(call.delayMillis());
-            apply = apply.replied(store.call(call.command()));
+            apply = apply.storeReplied(store.call(call.command()));
         }
-        return apply.step();
+        return apply.state();
     }
 
-    private Report done(Console console, ApplyStep.Done done, SortedMap<String, JsonNode> wanted) {
+    private Report done(Console console, ApplyState.Done done, SortedMap<String, JsonNode> wanted) {
         Document applied = new Document(done.generation(), done.digest(), "", List.of(), wanted);
         Either<Report, Path> written = BaseFile.of(folder).write(applied);
         if (written.isLeft()) {
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/WholeExchange.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/BoundedHttpExchange.java
@@ -18,8 +18,8 @@
  * would block the caller forever. Symptom: a command hangs with its thread inside the client's send. Stateless and
  * thread safe.
  */
-public final class WholeExchange {
-    private WholeExchange() {}
+public final class BoundedHttpExchange {
+    private BoundedHttpExchange() {}
 
     /**
      * Sends a request and waits for the complete response.
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/ConflictReport.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/ConflictReport.java
@@ -17,7 +17,7 @@
                 .put("file", conflict.file())
                 .put("reason", conflict.reason().name().toLowerCase(java.util.Locale.ROOT)));
         List<String> lines = io.vavr.collection.List.ofAll(conflicts)
-                .map(conflict -> conflict.file() + ": " + conflict.reason().words())
+                .map(conflict -> conflict.file() + ": " + conflict.reason().description())
                 .append("generation " + generation + " clashes with this folder in " + conflicts.size()
                         + " files; nothing was applied; pull into another folder and compare")
                 .asJava();
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/JsonHttpClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/JsonHttpClient.java
@@ -49,7 +49,7 @@
     private Either<CallFailure, JsonResponse> send(HttpRequest.Builder builder) {
         HttpRequest request = builder.build();
         try {
-            HttpResponse<String> response = WholeExchange.send(client, request, timeout);
+            HttpResponse<String> response = BoundedHttpExchange.send(client, request, timeout);
             return Either.right(new JsonResponse(response.statusCode(), JSON.readTree(response.body())));
         } catch (ConnectException | HttpConnectTimeoutException e) {
             return Either.left(new CallFailure(true, "cannot connect to " + request.uri()));
--- a/rattanplank-cli/src/main/java/org/rattanplank/cli/StoreClient.java
+++ b/rattanplank-cli/src/main/java/org/rattanplank/cli/StoreClient.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import io.vavr.control.Either;
-import org.rattanplank.core.intent.Configurations;
+import org.rattanplank.core.intent.ConfigurationManager;
 import org.rattanplank.core.intent.Document;
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreReply;
@@ -28,7 +28,7 @@
 
     /** Reads the newest document, or returns a report of the failure. */
     default Either<Report, Document> readNewest() {
-        StoreReply reply = call(new StoreCommand.Get(Configurations.KEY));
+        StoreReply reply = call(new StoreCommand.Get(ConfigurationManager.KEY));
         if (reply instanceof StoreReply.Found found) {
             return found.entry()
                     .map(entry -> Document.parse(entry.value())
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
@@ -8,14 +8,14 @@
 import org.rattanplank.core.control.ControlAction;
 import org.rattanplank.core.control.Controller;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
-import org.rattanplank.core.intent.ConfigurationStep;
-import org.rattanplank.core.intent.Configurations;
+import org.rattanplank.core.intent.ConfigurationAction;
+import org.rattanplank.core.intent.ConfigurationManager;
 import org.rattanplank.core.member.EntryHosts;
-import org.rattanplank.core.member.MemberStep;
-import org.rattanplank.core.member.Members;
+import org.rattanplank.core.member.MemberAction;
+import org.rattanplank.core.member.Membership;
 import org.rattanplank.core.member.SelfReport;
 import org.rattanplank.core.route.Policy;
 import org.rattanplank.core.route.Router;
@@ -35,8 +35,8 @@
  */
 public final class Node {
     private final NodeIdentity self;
-    private final Members members;
-    private final Configurations configurations;
+    private final Membership members;
+    private final ConfigurationManager configurations;
     private final Claims claims;
     private final Router router;
     private final Controller controller;
@@ -47,10 +47,10 @@
 
     private Node(NodeIdentity self, Policy policy, ClaimLimits claimLimits, long seed) {
         this.self = self;
-        members = Members.of(self);
-        configurations = Configurations.of(self);
+        members = Membership.of(self);
+        configurations = ConfigurationManager.of(self);
         claims = Claims.of(self, claimLimits);
-        router = Router.of(self.place(), policy, seed);
+        router = Router.of(self.location(), policy, seed);
         controller = Controller.of(self);
         requests = new RequestFlow(self, members, configurations, claims, router, explanations);
     }
@@ -102,7 +102,7 @@
                 .current()
                 .account(account)
                 .map(Account::homeDataCentre)
-                .getOrElse(self.place().dataCentre());
+                .getOrElse(self.location().dataCentre());
         return members.entryHosts(account, home, nowMillis);
     }
 
@@ -138,7 +138,7 @@
                 claims.viewNumber(),
                 requests.inFlight(),
                 requests.isDraining(),
-                members.targetsTakingWork(),
+                members.targetsAcceptingWork(),
                 controller.reports(),
                 members.remoteRegions(),
                 members.leaving());
@@ -192,14 +192,14 @@
         if (event instanceof Event.PeerConnected connected) {
             peerConnected(connected, nowMillis, effects);
         } else if (event instanceof Event.PeerLost lost) {
-            addMemberSteps(members.lost(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
+            addMemberSteps(members.disconnected(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
             effects.addClaimSteps(claims.disconnected(lost.host(), lost.refused(), nowMillis));
             router.updateRegions(members.remoteRegions(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             receive(received.host(), received.incarnation(), received.message(), nowMillis, effects);
         } else if (event instanceof Event.HostsListed listed) {
-            addMemberSteps(members.listed(listed.list(), nowMillis), nowMillis, effects);
-            configurations.peers(members.peerView(), nowMillis);
+            addMemberSteps(members.updateHostList(listed.list(), nowMillis), nowMillis, effects);
+            configurations.updatePeers(members.peerView(), nowMillis);
             effects.addClaimSteps(claims.hostListUpdated(listed.list(), nowMillis));
             refreshTargets(nowMillis);
         } else if (event instanceof Event.StoreReplied replied) {
@@ -207,14 +207,14 @@
         } else if (event instanceof Event.StoreChanged changed) {
             storeChanged(changed, nowMillis, effects);
         } else if (event instanceof Event.WatchBroken broken && broken.owner() == StoreOwner.CONFIGURATION) {
-            addConfigurationSteps(configurations.watchBroken(nowMillis), nowMillis, effects);
+            addConfigurationSteps(configurations.watchFailed(nowMillis), nowMillis, effects);
         }
     }
 
     private void peerConnected(Event.PeerConnected peer, long nowMillis, Effects effects) {
-        Place place = Place.of(peer.region(), peer.dataCentre());
+        Location place = Location.of(peer.region(), peer.dataCentre());
         addMemberSteps(members.connected(peer.host(), peer.incarnation(), place, nowMillis), nowMillis, effects);
-        if (place.dataCentre().equals(self.place().dataCentre())) {
+        if (place.dataCentre().equals(self.location().dataCentre())) {
             effects.addClaimSteps(claims.connected(peer.host(), peer.incarnation(), nowMillis));
         }
         router.updateRegions(members.remoteRegions(), nowMillis);
@@ -265,7 +265,7 @@
     private void tick(long nowMillis, Effects effects) {
         requests.tick(nowMillis, effects);
         effects.addClaimSteps(claims.tick(nowMillis));
-        configurations.peers(members.peerView(), nowMillis);
+        configurations.updatePeers(members.peerView(), nowMillis);
         addConfigurationSteps(configurations.tick(nowMillis), nowMillis, effects);
         controller.candidateChanged(members.isControllerCandidate());
         addControlSteps(controller.tick(nowMillis), effects);
@@ -296,38 +296,40 @@
     }
 
     private void refreshTargets(long nowMillis) {
-        List<ListedHost> targets = members.targetsTakingWork();
+        List<ListedHost> targets = members.targetsAcceptingWork();
         router.updateTargets(targets, nowMillis);
         controller.targetsUpdated(targets, nowMillis);
     }
 
-    private void addMemberSteps(List<MemberStep> steps, long nowMillis, Effects effects) {
-        for (MemberStep step : steps) {
-            if (step instanceof MemberStep.Send send) {
+    private void addMemberSteps(List<MemberAction> steps, long nowMillis, Effects effects) {
+        for (MemberAction step : steps) {
+            if (step instanceof MemberAction.Send send) {
                 effects.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof MemberStep.KeepLinks links) {
+            } else if (step instanceof MemberAction.KeepLinks links) {
                 effects.add(new Action.KeepLinks(links.hosts()));
-            } else if (step instanceof MemberStep.Heard heard) {
+            } else if (step instanceof MemberAction.GenerationReported heard) {
                 addConfigurationSteps(
-                        configurations.heard(heard.host(), heard.generation(), nowMillis), nowMillis, effects);
+                        configurations.generationReported(heard.host(), heard.generation(), nowMillis),
+                        nowMillis,
+                        effects);
             }
         }
     }
 
-    private void addConfigurationSteps(List<ConfigurationStep> steps, long nowMillis, Effects effects) {
-        for (ConfigurationStep step : steps) {
-            if (step instanceof ConfigurationStep.CallStore call) {
+    private void addConfigurationSteps(List<ConfigurationAction> steps, long nowMillis, Effects effects) {
+        for (ConfigurationAction step : steps) {
+            if (step instanceof ConfigurationAction.CallStore call) {
                 effects.add(new Action.CallStore(StoreOwner.CONFIGURATION, call.callId(), call.command()));
-            } else if (step instanceof ConfigurationStep.Send send) {
+            } else if (step instanceof ConfigurationAction.Send send) {
                 effects.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof ConfigurationStep.InForce inForce) {
+            } else if (step instanceof ConfigurationAction.Activated inForce) {
                 applyConfiguration(inForce.configuration(), nowMillis);
             }
         }
     }
 
     private void applyConfiguration(Configuration configuration, long nowMillis) {
-        members.retiring(configuration.retiring(), nowMillis);
+        members.updateRetiring(configuration.retiring(), nowMillis);
         router.applyConfiguration(configuration, nowMillis);
         controller.configurationUpdated(configuration, nowMillis);
         refreshTargets(nowMillis);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
@@ -14,8 +14,8 @@
 import org.rattanplank.core.claim.Claims;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
-import org.rattanplank.core.intent.Configurations;
-import org.rattanplank.core.member.Members;
+import org.rattanplank.core.intent.ConfigurationManager;
+import org.rattanplank.core.member.Membership;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Outcome;
@@ -42,8 +42,8 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final NodeIdentity self;
-    private final Members members;
-    private final Configurations configurations;
+    private final Membership members;
+    private final ConfigurationManager configurations;
     private final Claims claims;
     private final Router router;
     private final Explanations explanations;
@@ -53,8 +53,8 @@
 
     RequestFlow(
             NodeIdentity self,
-            Members members,
-            Configurations configurations,
+            Membership members,
+            ConfigurationManager configurations,
             Claims claims,
             Router router,
             Explanations explanations) {
@@ -132,7 +132,7 @@
             Route route = request.route.get();
             long durationMillis = nowMillis - request.attemptStartedMillis;
             router.recordEnd(request.request, route, event.result(), durationMillis, nowMillis);
-            if (event.result() instanceof AttemptResult.Whole whole) {
+            if (event.result() instanceof AttemptResult.Completed whole) {
                 answered(request, whole, nowMillis, effects);
             } else if (event.result() instanceof AttemptResult.NotRun notRun) {
                 attemptNotRun(request, notRun, nowMillis, effects);
@@ -211,8 +211,8 @@
         String home = configuration
                 .account(request.request.account())
                 .map(Account::homeDataCentre)
-                .getOrElse(self.place().dataCentre());
-        if (home.equals(self.place().dataCentre())) {
+                .getOrElse(self.location().dataCentre());
+        if (home.equals(self.location().dataCentre())) {
             ClaimKey key = ClaimKey.of(
                     request.request.account(), request.request.idempotencyKey().getOrElse(""));
             request.claim = Option.some(key);
@@ -224,7 +224,7 @@
 
     /** Forwards the request to a reachable host of the data centre that manages its key and that has not been tried. */
     private void forwardToHome(InFlightRequest request, String home, long nowMillis, Effects effects) {
-        Option<String> host = Option.ofOptional(members.reachable(home).stream()
+        Option<String> host = Option.ofOptional(members.reachableHosts(home).stream()
                 .filter(name -> !request.triedPeers.contains(name))
                 .findFirst());
         if (request.request.isForwarded() || host.isEmpty()) {
@@ -293,7 +293,7 @@
         request.attemptStartedMillis = nowMillis;
         request.triedPeers.add(route.peer());
         Request outgoing = route instanceof Route.ToHost
-                ? request.request.passedBy(self.host(), request.claim.isDefined())
+                ? request.request.forwardedBy(self.host(), request.claim.isDefined())
                 : request.request;
         long timeoutMillis = request.request.deadlineMillis() + (request.claim.isDefined() ? CLAIM_GRACE_MILLIS : 0);
         router.recordStart(request.request, route, nowMillis);
@@ -301,7 +301,7 @@
                 request.request.id(), request.attempt, route, outgoing, resumeAtStreamEvent, timeoutMillis));
     }
 
-    private void answered(InFlightRequest request, AttemptResult.Whole whole, long nowMillis, Effects effects) {
+    private void answered(InFlightRequest request, AttemptResult.Completed whole, long nowMillis, Effects effects) {
         settleClaim(request, new ClaimResult.Answered(whole.answer()), nowMillis, effects);
         List<String> path = io.vavr.collection.List.of(
                         self.host(), request.route.get().peer())
@@ -330,7 +330,7 @@
 
     private void attemptLost(InFlightRequest request, AttemptResult.Lost lost, long nowMillis, Effects effects) {
         request.mayHaveRun = true;
-        request.deliveredStreamEvents = Math.max(request.deliveredStreamEvents, lost.callerParts());
+        request.deliveredStreamEvents = Math.max(request.deliveredStreamEvents, lost.deliveredEvents());
         if (request.deliveredStreamEvents > 0) {
             resume(request, lost.failure(), nowMillis, effects);
             return;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
@@ -7,7 +7,7 @@
 
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /**
  * Records evidence that a process has terminated, as opposed to being unresponsive.
@@ -17,7 +17,7 @@
  * and joined the view, and yet be considered terminated. Not thread safe; guarded by the lock of {@link Claims}.
  */
 final class TerminationEvidence {
-    private final Place location;
+    private final Location location;
     private final long hostListLagMillis;
     private final Map<String, Long> incarnations = new TreeMap<>();
     private final Set<String> refusedHosts = new TreeSet<>();
@@ -25,7 +25,7 @@
     private final Set<String> unlistedHosts = new TreeSet<>();
     private long viewUpdatedAtMillis;
 
-    TerminationEvidence(Place place, long listLagMillis) {
+    TerminationEvidence(Location place, long listLagMillis) {
         this.location = place;
         this.hostListLagMillis = listLagMillis;
     }
@@ -59,7 +59,7 @@
     void hostListUpdated(HostList list, long nowMillis) {
         Set<String> listed = new TreeSet<>();
         for (ListedHost host : list.entryHosts()) {
-            if (host.place().dataCentre().equals(location.dataCentre())) {
+            if (host.location().dataCentre().equals(location.dataCentre())) {
                 listed.add(host.name());
             }
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -62,13 +62,13 @@
     ViewManager(NodeIdentity identity, ClaimLimits limits, TakeoverRule takeoverRule, ClaimTable table) {
         this.table = table;
         this.self = new ViewMemberId(identity.host(), identity.incarnation());
-        this.dataCentre = identity.place().dataCentre();
+        this.dataCentre = identity.location().dataCentre();
         this.limits = limits;
         this.takeoverRule = takeoverRule;
         reachability = new PeerReachability();
         syncSessions = new SyncSessions(table, reachability, limits.resendMillis());
         syncReceiver = new SyncReceiver(table);
-        evidence = new TerminationEvidence(identity.place(), limits.hostListLagMillis());
+        evidence = new TerminationEvidence(identity.location(), limits.hostListLagMillis());
         store = new ViewStore(dataCentre);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Controller.java
@@ -12,7 +12,7 @@
 import org.rattanplank.core.NodeIdentity;
 import org.rattanplank.core.OrderResult;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.core.intent.Service;
 import org.rattanplank.core.route.TargetLoad;
@@ -45,7 +45,8 @@
     private long nextCallId = 1;
 
     private Controller(NodeIdentity self) {
-        lease = new ControllerLease(self, new SplittableRandom(Rendezvous.hash(self.host()) ^ self.incarnation()));
+        lease = new ControllerLease(
+                self, new SplittableRandom(RendezvousHashing.hash(self.host()) ^ self.incarnation()));
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/ControllerLease.java
@@ -61,7 +61,7 @@
     ControllerLease(NodeIdentity self, RandomGenerator random) {
         this.self = self;
         this.random = random;
-        key = "rattanplank/controller/" + self.place().region();
+        key = "rattanplank/controller/" + self.location().region();
     }
 
     boolean isHeld(long nowMillis) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CatchUpOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CatchUpOrder.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Staggers the hosts that could send a host the store contents it lacks.
@@ -32,6 +32,6 @@
         Set<String> senders = new HashSet<>(hosts);
         senders.add(self);
         senders.remove(other);
-        return STAGGER_MILLIS * Rendezvous.rank(senders, other).indexOf(self);
+        return STAGGER_MILLIS * RendezvousHashing.rank(senders, other).indexOf(self);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EngineStreamCosts.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Estimates, for the choice between engines, whether a new stream would end in time at each of them and how much its
@@ -143,7 +143,7 @@
     }
 
     private static Set<GatewayTarget> reserved(List<GatewayTarget> engines, ServiceRule service) {
-        long hash = Rendezvous.hash(service.name());
+        long hash = RendezvousHashing.hash(service.name());
         List<GatewayTarget> order = new ArrayList<>(engines);
         order.sort(Comparator.comparingLong(engine -> engine.affinityScore(hash)));
         return new HashSet<>(order.subList(0, (int) (RESERVED_FRACTION * order.size())));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayHost.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /**
  * An entry host as registered in the store. Immutable and thread safe.
@@ -13,7 +13,7 @@
  * @param callerAddress the address for callers, IP:PORT
  * @param peerAddress the address for other hosts, IP:PORT
  */
-public record GatewayHost(String name, long incarnation, Place location, String callerAddress, String peerAddress) {
+public record GatewayHost(String name, long incarnation, Location location, String callerAddress, String peerAddress) {
     public GatewayHost {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(location, "location");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * This host's view of one incarnation of a target of its region.
@@ -52,7 +52,7 @@
     GatewayTarget(TargetEntry entry, long nowMillis) {
         incarnation = entry.incarnation();
         incarnationText = incarnation.text();
-        idHash = Rendezvous.hash(incarnation.id());
+        idHash = RendezvousHashing.hash(incarnation.id());
         lastActivityMillis = nowMillis;
         update(entry, nowMillis);
     }
@@ -228,7 +228,7 @@
 
     /** Returns the rendezvous score of this target for a prefix, which is the same on every host. */
     long affinityScore(long prefixHash) {
-        return Rendezvous.mix(idHash ^ prefixHash);
+        return RendezvousHashing.mix(idHash ^ prefixHash);
     }
 
     double kvCacheShortfallTokens(Work work, long kvCacheTokens) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreWatchers.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreWatchers.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Determines which hosts of a region watch the store, and which of these relays its contents to each of the others.
@@ -92,7 +92,7 @@
     private static List<Candidate> rank(Collection<Candidate> candidates) {
         List<String> names = candidates.stream().map(Candidate::name).toList();
         Map<String, Integer> order = new HashMap<>();
-        Rendezvous.rank(names, KEY).forEach(name -> order.put(name, order.size()));
+        RendezvousHashing.rank(names, KEY).forEach(name -> order.put(name, order.size()));
         List<Candidate> ranked = new ArrayList<>(candidates);
         ranked.sort(Comparator.comparing(Candidate::storeReachable)
                 .thenComparing(Candidate::linkBytesPerMilli)
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChooser.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Chooses the target of this host's region that is expected to answer first.
@@ -285,7 +285,7 @@
         if (shared.isEmpty()) {
             return null;
         }
-        long prefixHash = Rendezvous.hash(shared.get(shared.size() - 1).id());
+        long prefixHash = RendezvousHashing.hash(shared.get(shared.size() - 1).id());
         GatewayTarget affinityTarget = null;
         for (GatewayTarget target : eligible) {
             if (affinityTarget == null || target.affinityScore(prefixHash) > affinityTarget.affinityScore(prefixHash)) {
@@ -374,7 +374,9 @@
      */
     private boolean mayWarmUp(GatewayTarget target, ServiceRule service, RegionView regionView, long nowMillis) {
         if (!regionView.complete()
-                || !Rendezvous.rank(regionView.hosts(), target.id()).get(0).equals(self)) {
+                || !RendezvousHashing.rank(regionView.hosts(), target.id())
+                        .get(0)
+                        .equals(self)) {
             return false;
         }
         int maxPerSecond = Math.max(1, (int) Math.floor(service.coldRequestsPerSecond()));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
@@ -7,7 +7,7 @@
  *
  * @param name the host's name, unique over all hosts
  * @param role the host's role
- * @param place the host's location
+ * @param location the host's location
  * @param address the IP address
  * @param port the port for callers of an entry host, or the port of a target
  * @param peerPort the port for other entry hosts, zero for a target
@@ -17,7 +17,7 @@
 public record ListedHost(
         String name,
         HostRole role,
-        Place place,
+        Location location,
         String address,
         int port,
         int peerPort,
@@ -26,7 +26,7 @@
     public ListedHost {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(role, "role");
-        Objects.requireNonNull(place, "location");
+        Objects.requireNonNull(location, "location");
         Objects.requireNonNull(address, "address");
         service = Objects.requireNonNullElse(service, "");
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/Place.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/Location.java
@@ -8,8 +8,8 @@
  * @param region the region's name
  * @param dataCentre the data centre's name, unique over all regions
  */
-public record Place(String region, String dataCentre) {
-    public Place {
+public record Location(String region, String dataCentre) {
+    public Location {
         Objects.requireNonNull(region, "region");
         Objects.requireNonNull(dataCentre, "dataCentre");
         if (region.isEmpty() || dataCentre.isEmpty()) {
@@ -24,7 +24,7 @@
      * @param dataCentre the data centre's name
      * @return the location
      */
-    public static Place of(String region, String dataCentre) {
-        return new Place(region, dataCentre);
+    public static Location of(String region, String dataCentre) {
+        return new Location(region, dataCentre);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/Rendezvous.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/RendezvousHashing.java
@@ -9,11 +9,11 @@
  *
  * <p>Invariant: the relative order of two members does not depend on any other member. Stateless and thread safe.
  */
-public final class Rendezvous {
+public final class RendezvousHashing {
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private Rendezvous() {}
+    private RendezvousHashing() {}
 
     /**
      * Returns the members ranked for a key.
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Apply.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyOperation.java
@@ -23,28 +23,28 @@
  * <p>Invariant: the change creates at most one generation even if replies are lost, because each write names the
  * revision it replaces and carries the identity of the change. Immutable and thread safe.
  */
-public final class Apply {
+public final class ApplyOperation {
     private static final int MAX_FAILURES = 8;
     private static final int MAX_ATTEMPTS = 32;
     private static final long MIN_RETRY_MILLIS = 250;
     private static final long MAX_RETRY_MILLIS = 8_000;
 
     private final ConfigurationChange change;
-    private final ApplyStep step;
+    private final ApplyState state;
     private final Option<Document> written;
     private final boolean writeOutcomeUnknown;
     private final int failures;
     private final int attempts;
 
-    private Apply(
+    private ApplyOperation(
             ConfigurationChange change,
-            ApplyStep step,
+            ApplyState step,
             Option<Document> written,
             boolean unsettled,
             int failures,
             int rounds) {
         this.change = change;
-        this.step = step;
+        this.state = step;
         this.written = written;
         this.writeOutcomeUnknown = unsettled;
         this.failures = failures;
@@ -57,8 +57,8 @@
      * @param change the change
      * @return the operation, which first reads the store
      */
-    public static Apply of(ConfigurationChange change) {
-        return new Apply(change, read(0), Option.none(), false, 0, 0);
+    public static ApplyOperation of(ConfigurationChange change) {
+        return new ApplyOperation(change, read(0), Option.none(), false, 0, 0);
     }
 
     /**
@@ -66,8 +66,8 @@
      *
      * @return the state
      */
-    public ApplyStep step() {
-        return step;
+    public ApplyState state() {
+        return state;
     }
 
     /**
@@ -76,7 +76,7 @@
      * @param reply the reply
      * @return the operation in its next state
      */
-    public Apply replied(StoreReply reply) {
+    public ApplyOperation storeReplied(StoreReply reply) {
         if (attempts >= MAX_ATTEMPTS) {
             return failed("other operators wrote first " + attempts + " times");
         }
@@ -98,7 +98,7 @@
         return failed("the store returned a reply of an unexpected type");
     }
 
-    private Apply merge(Option<StoreEntry> entry) {
+    private ApplyOperation merge(Option<StoreEntry> entry) {
         Either<String, Document> parsed = parseNewest(entry);
         if (parsed.isLeft()) {
             return failed(parsed.getLeft());
@@ -118,44 +118,44 @@
         }
         Either<List<ConfigurationConflict>, Document> next = change.applyTo(newest);
         if (next.isLeft()) {
-            return finished(new ApplyStep.Conflicting(newest.generation(), next.getLeft()));
+            return finished(new ApplyState.Conflicting(newest.generation(), next.getLeft()));
         }
         if (next.get() == newest) {
-            return finished(new ApplyStep.Done(newest.generation(), newest.digest(), false));
+            return finished(new ApplyState.Done(newest.generation(), newest.digest(), false));
         }
         List<IntentFault> faults = IntentChecks.check(next.get().intentFiles());
-        return faults.isEmpty() ? write(next.get(), entry) : finished(new ApplyStep.Refused(faults));
+        return faults.isEmpty() ? write(next.get(), entry) : finished(new ApplyState.Rejected(faults));
     }
 
-    private Apply write(Document next, Option<StoreEntry> entry) {
+    private ApplyOperation write(Document next, Option<StoreEntry> entry) {
         long expected = entry.map(StoreEntry::modRevision).getOrElse(0L);
-        ApplyStep put =
-                new ApplyStep.CallStore(new StoreCommand.Put(Configurations.KEY, next.toText(), expected, 0), 0);
-        return new Apply(change, put, Option.some(next), writeOutcomeUnknown, failures, attempts + 1);
+        ApplyState put =
+                new ApplyState.CallStore(new StoreCommand.Put(ConfigurationManager.KEY, next.toText(), expected, 0), 0);
+        return new ApplyOperation(change, put, Option.some(next), writeOutcomeUnknown, failures, attempts + 1);
     }
 
-    private Apply retry(boolean outcomeUnknown, String reason) {
+    private ApplyOperation retry(boolean outcomeUnknown, String reason) {
         if (failures + 1 >= MAX_FAILURES) {
-            return finished(new ApplyStep.Failed(!outcomeUnknown, reason));
+            return finished(new ApplyState.Failed(!outcomeUnknown, reason));
         }
         long delayMillis = Math.min(MAX_RETRY_MILLIS, MIN_RETRY_MILLIS << failures);
-        return new Apply(change, read(delayMillis), Option.none(), outcomeUnknown, failures + 1, attempts);
+        return new ApplyOperation(change, read(delayMillis), Option.none(), outcomeUnknown, failures + 1, attempts);
     }
 
-    private Apply restart(ApplyStep next) {
-        return new Apply(change, next, Option.none(), writeOutcomeUnknown, failures, attempts + 1);
+    private ApplyOperation restart(ApplyState next) {
+        return new ApplyOperation(change, next, Option.none(), writeOutcomeUnknown, failures, attempts + 1);
     }
 
-    private Apply done(Document document, long generation) {
-        return finished(new ApplyStep.Done(generation, document.digest(), true));
+    private ApplyOperation done(Document document, long generation) {
+        return finished(new ApplyState.Done(generation, document.digest(), true));
     }
 
-    private Apply failed(String reason) {
-        return finished(new ApplyStep.Failed(!writeOutcomeUnknown, reason));
+    private ApplyOperation failed(String reason) {
+        return finished(new ApplyState.Failed(!writeOutcomeUnknown, reason));
     }
 
-    private Apply finished(ApplyStep result) {
-        return new Apply(change, result, Option.none(), writeOutcomeUnknown, failures, attempts);
+    private ApplyOperation finished(ApplyState result) {
+        return new ApplyOperation(change, result, Option.none(), writeOutcomeUnknown, failures, attempts);
     }
 
     private static Either<String, Document> parseNewest(Option<StoreEntry> entry) {
@@ -167,7 +167,7 @@
                 .mapLeft(e -> "the document in the store cannot be parsed: " + e.getMessage());
     }
 
-    private static ApplyStep read(long delayMillis) {
-        return new ApplyStep.CallStore(new StoreCommand.Get(Configurations.KEY), delayMillis);
+    private static ApplyState read(long delayMillis) {
+        return new ApplyState.CallStore(new StoreCommand.Get(ConfigurationManager.KEY), delayMillis);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyState.java
@@ -7,15 +7,15 @@
 import org.rattanplank.schema.intent.IntentFault;
 
 /** State of an apply operation: the next store call, or the result. Immutable and thread safe. */
-public sealed interface ApplyStep {
+public sealed interface ApplyState {
 
     /**
-     * Call the platform's store and pass the reply to {@link Apply#replied}.
+     * Call the platform's store and pass the reply to {@link ApplyOperation#storeReplied}.
      *
      * @param command the command
      * @param delayMillis how long to wait before the call
      */
-    record CallStore(StoreCommand command, long delayMillis) implements ApplyStep {
+    record CallStore(StoreCommand command, long delayMillis) implements ApplyState {
         public CallStore {
             Objects.requireNonNull(command, "command");
         }
@@ -28,15 +28,15 @@
      * @param digest the digest of the newest document that was observed to contain it
      * @param changed whether there was anything to change
      */
-    record Done(long generation, String digest, boolean changed) implements ApplyStep {}
+    record Done(long generation, String digest, boolean changed) implements ApplyState {}
 
     /**
      * Nothing was applied: the folder, merged with the newest document, has faults.
      *
      * @param faults the faults
      */
-    record Refused(List<IntentFault> faults) implements ApplyStep {
-        public Refused {
+    record Rejected(List<IntentFault> faults) implements ApplyState {
+        public Rejected {
             faults = List.copyOf(faults);
         }
     }
@@ -47,7 +47,7 @@
      * @param generation the newest generation
      * @param conflicts the files
      */
-    record Conflicting(long generation, List<ConfigurationConflict> conflicts) implements ApplyStep {
+    record Conflicting(long generation, List<ConfigurationConflict> conflicts) implements ApplyState {
         public Conflicting {
             conflicts = List.copyOf(conflicts);
         }
@@ -56,8 +56,8 @@
     /**
      * The operation was abandoned, for example because store calls failed too often.
      *
-     * @param surelyNotApplied whether the change definitely had no effect; otherwise apply the same folder again
+     * @param definitelyNotApplied whether the change definitely had no effect; otherwise apply the same folder again
      * @param reason a short sentence
      */
-    record Failed(boolean surelyNotApplied, String reason) implements ApplyStep {}
+    record Failed(boolean definitelyNotApplied, String reason) implements ApplyState {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationAction.java
@@ -6,7 +6,7 @@
 import org.rattanplank.schema.message.ControlMessage;
 
 /** An action that the configuration manager of a host requests. Immutable and thread safe. */
-public sealed interface ConfigurationStep {
+public sealed interface ConfigurationAction {
 
     /**
      * Calls the platform's store.
@@ -14,7 +14,7 @@
      * @param callId the id of the call, which its reply carries
      * @param command the command
      */
-    record CallStore(long callId, StoreCommand command) implements ConfigurationStep {
+    record CallStore(long callId, StoreCommand command) implements ConfigurationAction {
         public CallStore {
             Objects.requireNonNull(command, "command");
         }
@@ -26,7 +26,7 @@
      * @param host the other host
      * @param message the message
      */
-    record Send(String host, ControlMessage message) implements ConfigurationStep {
+    record Send(String host, ControlMessage message) implements ConfigurationAction {
         public Send {
             Objects.requireNonNull(message, "message");
         }
@@ -37,8 +37,8 @@
      *
      * @param configuration the configuration
      */
-    record InForce(Configuration configuration) implements ConfigurationStep {
-        public InForce {
+    record Activated(Configuration configuration) implements ConfigurationAction {
+        public Activated {
             Objects.requireNonNull(configuration, "configuration");
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationConflict.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationConflict.java
@@ -36,7 +36,7 @@
          *
          * @return a short sentence
          */
-        public String words() {
+        public String description() {
             return description;
         }
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Configurations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationManager.java
@@ -12,7 +12,7 @@
 
 import io.vavr.control.Option;
 import org.rattanplank.core.NodeIdentity;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.member.LocalPeer;
 import org.rattanplank.core.member.PeerView;
 import org.rattanplank.core.store.StoreCommand;
@@ -31,7 +31,7 @@
  * the store and one peer have answered or the startup grace period has passed, and never a generation older than one
  * that a peer reported. Thread safe; one lock guards all state, and no other lock is taken while it is held.
  */
-public final class Configurations {
+public final class ConfigurationManager {
     /** Store key of the newest generation. */
     public static final String KEY = "rattanplank/configuration";
 
@@ -48,18 +48,18 @@
     private final Map<String, Long> peerGenerations = new TreeMap<>();
     private Configuration current = Configuration.empty();
     private Option<Document> pending = Option.none();
-    private PeerView peers = PeerView.empty();
+    private PeerView updatePeers = PeerView.empty();
     private Option<Long> startMillis = Option.none();
     private boolean anyPeerReported;
     private long maxReportedGeneration;
     private long behindSinceMillis;
     private Option<Long> pullSentMillis = Option.none();
     private int pullCount;
-    private int disagreements;
+    private int digestMismatches;
 
-    private Configurations(NodeIdentity self) {
+    private ConfigurationManager(NodeIdentity self) {
         this.self = self;
-        random = new SplittableRandom(Rendezvous.hash(self.host()) ^ self.incarnation());
+        random = new SplittableRandom(RendezvousHashing.hash(self.host()) ^ self.incarnation());
         readScheduler = new StoreReadScheduler(self.host(), random);
     }
 
@@ -69,8 +69,8 @@
      * @param self the host
      * @return the configuration manager
      */
-    public static Configurations of(NodeIdentity self) {
-        return new Configurations(self);
+    public static ConfigurationManager of(NodeIdentity self) {
+        return new ConfigurationManager(self);
     }
 
     /**
@@ -97,8 +97,8 @@
      *
      * @return the count, which stays zero unless the store lost or forked its history
      */
-    public int disagreements() {
-        return locked(() -> disagreements);
+    public int digestMismatches() {
+        return locked(() -> digestMismatches);
     }
 
     /**
@@ -106,7 +106,7 @@
      *
      * @return the count
      */
-    public int silentWatches() {
+    public int unresponsiveWatches() {
         return locked(readScheduler::unresponsiveWatches);
     }
 
@@ -116,10 +116,10 @@
      * @param view the hosts
      * @param nowMillis the time
      */
-    public void peers(PeerView view, long nowMillis) {
+    public void updatePeers(PeerView view, long nowMillis) {
         locked(() -> {
             recordStart(nowMillis);
-            peers = view;
+            updatePeers = view;
             return List.of();
         });
     }
@@ -132,12 +132,12 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> storeReplied(long callId, StoreReply reply, long nowMillis) {
+    public List<ConfigurationAction> storeReplied(long callId, StoreReply reply, long nowMillis) {
         return locked(() -> {
             recordStart(nowMillis);
-            List<ConfigurationStep> actions = new ArrayList<>();
+            List<ConfigurationAction> actions = new ArrayList<>();
             if (reply instanceof StoreReply.Found found) {
-                Option<Document> document = found.entry().flatMap(Configurations::parse);
+                Option<Document> document = found.entry().flatMap(ConfigurationManager::parse);
                 long generation = document.map(Document::generation).getOrElse(0L);
                 readScheduler.readSucceeded(found.revision(), generation, nowMillis);
                 document.forEach(received -> documentReceived(received, nowMillis, actions));
@@ -157,10 +157,10 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
+    public List<ConfigurationAction> storeChanged(List<StoreEntry> entries, long revision, long nowMillis) {
         return locked(() -> {
             recordStart(nowMillis);
-            List<ConfigurationStep> actions = new ArrayList<>();
+            List<ConfigurationAction> actions = new ArrayList<>();
             for (StoreEntry entry : entries) {
                 if (entry.key().equals(KEY)) {
                     parse(entry).forEach(document -> {
@@ -179,7 +179,7 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> watchBroken(long nowMillis) {
+    public List<ConfigurationAction> watchFailed(long nowMillis) {
         return locked(() -> {
             readScheduler.watchFailed(nowMillis);
             return List.of();
@@ -194,12 +194,12 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> receive(String host, ControlMessage message, long nowMillis) {
+    public List<ConfigurationAction> receive(String host, ControlMessage message, long nowMillis) {
         return locked(() -> {
             recordStart(nowMillis);
-            List<ConfigurationStep> actions = new ArrayList<>();
+            List<ConfigurationAction> actions = new ArrayList<>();
             if (message instanceof ConfigurationPull pull) {
-                answerPull(host, pull).forEach(push -> actions.add(new ConfigurationStep.Send(host, push)));
+                answerPull(host, pull).forEach(push -> actions.add(new ConfigurationAction.Send(host, push)));
             } else if (message instanceof ConfigurationPush push) {
                 pushReceived(host, push, nowMillis, actions);
             }
@@ -215,10 +215,10 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> heard(String host, long generation, long nowMillis) {
+    public List<ConfigurationAction> generationReported(String host, long generation, long nowMillis) {
         return locked(() -> {
             recordStart(nowMillis);
-            List<ConfigurationStep> actions = new ArrayList<>();
+            List<ConfigurationAction> actions = new ArrayList<>();
             peerGenerations.merge(host, generation, Math::max);
             anyPeerReported = true;
             if (generation > maxReportedGeneration) {
@@ -237,13 +237,13 @@
      * @param nowMillis the time
      * @return the actions to perform
      */
-    public List<ConfigurationStep> tick(long nowMillis) {
+    public List<ConfigurationAction> tick(long nowMillis) {
         return locked(() -> {
             recordStart(nowMillis);
-            List<ConfigurationStep> actions = new ArrayList<>();
+            List<ConfigurationAction> actions = new ArrayList<>();
             peerGenerations.keySet().removeIf(host -> !isKnown(host));
-            for (StoreCommand command : readScheduler.tick(KEY, peers, nowMillis)) {
-                actions.add(new ConfigurationStep.CallStore(readScheduler.callId(command), command));
+            for (StoreCommand command : readScheduler.tick(KEY, updatePeers, nowMillis)) {
+                actions.add(new ConfigurationAction.CallStore(readScheduler.callId(command), command));
             }
             activatePending(nowMillis, actions);
             pull(nowMillis, actions);
@@ -259,9 +259,9 @@
         return Document.parse(entry.value()).toOption();
     }
 
-    private void documentReceived(Document document, long nowMillis, List<ConfigurationStep> actions) {
+    private void documentReceived(Document document, long nowMillis, List<ConfigurationAction> actions) {
         if (document.generation() == current.generation() && !document.digest().equals(current.digest())) {
-            disagreements++;
+            digestMismatches++;
         }
         if (document.generation() <= newestKnownGeneration()) {
             return;
@@ -278,11 +278,11 @@
         return Math.max(current.generation(), pending.map(Document::generation).getOrElse(0L));
     }
 
-    private void activatePending(long nowMillis, List<ConfigurationStep> actions) {
+    private void activatePending(long nowMillis, List<ConfigurationAction> actions) {
         // A restarted host has no state. A single stale answer from a lagging store or peer would activate a generation
         // that was already replaced; symptom: a retired host receives work again.
         boolean graceExpired = startMillis.exists(start -> nowMillis - start >= STARTUP_GRACE_MILLIS);
-        boolean peersAnswered = peers.listed().isEmpty() || anyPeerReported;
+        boolean peersAnswered = updatePeers.listed().isEmpty() || anyPeerReported;
         boolean answered = graceExpired || (peersAnswered && readScheduler.hasFirstReadEnded());
         if (answered && pending.exists(document -> document.generation() >= maxReportedGeneration)) {
             Document document = pending.get();
@@ -291,8 +291,8 @@
         }
     }
 
-    private void activate(Document document, List<ConfigurationStep> actions) {
-        Option<Configuration> parsed = Documents.read(document).toOption();
+    private void activate(Document document, List<ConfigurationAction> actions) {
+        Option<Configuration> parsed = ConfigurationParser.parse(document).toOption();
         if (parsed.isEmpty()) {
             return;
         }
@@ -302,13 +302,13 @@
         while (recentDocuments.size() > MAX_RECENT_DOCUMENTS) {
             recentDocuments.removeLast();
         }
-        actions.add(new ConfigurationStep.InForce(current));
+        actions.add(new ConfigurationAction.Activated(current));
         pushToPeers(document, actions);
     }
 
-    private void pushToPeers(Document document, List<ConfigurationStep> actions) {
+    private void pushToPeers(Document document, List<ConfigurationAction> actions) {
         Map<Long, ConfigurationPush> pushes = new TreeMap<>();
-        for (LocalPeer peer : peers.live()) {
+        for (LocalPeer peer : updatePeers.live()) {
             long peerGeneration = peerGenerations.getOrDefault(peer.host(), 0L);
             if (peerGeneration >= document.generation()) {
                 continue;
@@ -317,12 +317,12 @@
             recentDocument(peerGeneration).forEach(base -> {
                 ConfigurationPush push =
                         pushes.computeIfAbsent(peerGeneration, generation -> DocumentDelta.deltaPush(base, document));
-                actions.add(new ConfigurationStep.Send(peer.host(), push));
+                actions.add(new ConfigurationAction.Send(peer.host(), push));
             });
         }
     }
 
-    private void pushReceived(String host, ConfigurationPush push, long nowMillis, List<ConfigurationStep> actions) {
+    private void pushReceived(String host, ConfigurationPush push, long nowMillis, List<ConfigurationAction> actions) {
         peerGenerations.merge(host, push.generation(), Math::max);
         if (push.generation() <= newestKnownGeneration()) {
             return;
@@ -355,7 +355,7 @@
                 .findFirst());
     }
 
-    private void pull(long nowMillis, List<ConfigurationStep> actions) {
+    private void pull(long nowMillis, List<ConfigurationAction> actions) {
         boolean pullPending = pullSentMillis.exists(sent -> nowMillis - sent < PULL_TIMEOUT_MILLIS);
         if (maxReportedGeneration <= newestKnownGeneration() || pullPending) {
             return;
@@ -366,7 +366,7 @@
         }
         String source = sources.get(pullCount++ % sources.size());
         pullSentMillis = Option.some(nowMillis);
-        actions.add(new ConfigurationStep.Send(
+        actions.add(new ConfigurationAction.Send(
                 source, new ConfigurationPull(maxReportedGeneration, current.generation(), current.digest())));
     }
 
@@ -375,12 +375,12 @@
      * time to answer.
      */
     private List<String> pullSources(long nowMillis) {
-        List<String> local =
-                withNewerGeneration(peers.live().stream().map(LocalPeer::host).toList());
+        List<String> local = withNewerGeneration(
+                updatePeers.live().stream().map(LocalPeer::host).toList());
         if (!local.isEmpty() || nowMillis - behindSinceMillis < REMOTE_PULL_DELAY_MILLIS) {
-            return Rendezvous.rank(local, self.host());
+            return RendezvousHashing.rank(local, self.host());
         }
-        return Rendezvous.rank(withNewerGeneration(peers.remote()), self.host());
+        return RendezvousHashing.rank(withNewerGeneration(updatePeers.remote()), self.host());
     }
 
     private List<String> withNewerGeneration(List<String> hosts) {
@@ -390,9 +390,9 @@
     }
 
     private boolean isKnown(String host) {
-        return peers.remote().contains(host)
-                || peers.listed().contains(host)
-                || peers.live().stream().anyMatch(peer -> peer.host().equals(host));
+        return updatePeers.remote().contains(host)
+                || updatePeers.listed().contains(host)
+                || updatePeers.live().stream().anyMatch(peer -> peer.host().equals(host));
     }
 
     private <T> T locked(Supplier<T> operation) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/Documents.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ConfigurationParser.java
@@ -19,8 +19,8 @@
  * are merged in the order of their names, field by field. Unknown kinds and fields are ignored, so that a newer tool
  * can write documents for older hosts.
  */
-public final class Documents {
-    private Documents() {}
+public final class ConfigurationParser {
+    private ConfigurationParser() {}
 
     /**
      * Parses a document.
@@ -28,8 +28,8 @@
      * @param document the document
      * @return the configuration, or the reason why the document cannot be parsed
      */
-    public static Try<Configuration> read(String document) {
-        return Document.parse(document).flatMap(Documents::read);
+    public static Try<Configuration> parse(String document) {
+        return Document.parse(document).flatMap(ConfigurationParser::parse);
     }
 
     /**
@@ -38,7 +38,7 @@
      * @param document the document
      * @return the configuration, or the reason why an intent cannot be parsed
      */
-    public static Try<Configuration> read(Document document) {
+    public static Try<Configuration> parse(Document document) {
         return Try.of(() -> merge(document));
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/IntentChecks.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/IntentChecks.java
@@ -81,7 +81,7 @@
 
     private void checkRegions() {
         for (Intent region : of(IntentKind.REGION)) {
-            for (String dataCentre : Documents.texts(region.content().path("dataCentres"))) {
+            for (String dataCentre : ConfigurationParser.texts(region.content().path("dataCentres"))) {
                 String other = regionOfDataCentre.putIfAbsent(dataCentre, region.name());
                 if (other != null) {
                     faults.add(region.fault("dataCentres", "data centres of one region", dataCentre + " of " + other));
@@ -92,7 +92,7 @@
 
     private void checkResidencies() {
         for (Intent residency : of(IntentKind.RESIDENCY)) {
-            for (String region : Documents.texts(residency.content().path("regions"))) {
+            for (String region : ConfigurationParser.texts(residency.content().path("regions"))) {
                 expect(residency, "regions", IntentKind.REGION, region);
             }
         }
@@ -128,7 +128,7 @@
             return;
         }
         Intent residency = intents.get(IntentKind.RESIDENCY).get(label);
-        List<String> allowed = Documents.texts(residency.content().path("regions"));
+        List<String> allowed = ConfigurationParser.texts(residency.content().path("regions"));
         if (!allowed.contains(homeRegion)) {
             faults.add(account.fault(
                     "residency", "a residency that allows the home region " + homeRegion, label + " " + allowed));
@@ -165,10 +165,10 @@
     private void checkTargets(HostList list) {
         Set<String> running = new TreeSet<>();
         for (ListedHost target : list.targets()) {
-            running.add(target.service() + "/" + target.place().region());
+            running.add(target.service() + "/" + target.location().region());
         }
         for (Intent residency : of(IntentKind.RESIDENCY)) {
-            List<String> regions = Documents.texts(residency.content().path("regions"));
+            List<String> regions = ConfigurationParser.texts(residency.content().path("regions"));
             for (Intent service : of(IntentKind.SERVICE)) {
                 boolean met = regions.stream().anyMatch(region -> running.contains(service.name() + "/" + region));
                 if (!met) {
@@ -184,7 +184,7 @@
             return true;
         }
         String known = String.join(", ", intents.get(kind).keySet());
-        faults.add(intent.fault(field, "a known " + kind.word() + " (" + known + ")", name));
+        faults.add(intent.fault(field, "a known " + kind.label() + " (" + known + ")", name));
         return false;
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/StoreReadScheduler.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/StoreReadScheduler.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.member.LocalPeer;
 import org.rattanplank.core.member.PeerView;
 import org.rattanplank.core.store.Backoff;
@@ -193,7 +193,7 @@
             }
         }
         hosts.add(host);
-        List<String> ranked = Rendezvous.rank(hosts, "configuration");
+        List<String> ranked = RendezvousHashing.rank(hosts, "configuration");
         int rank = ranked.indexOf(host);
         if (rank < READERS) {
             return true;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/Admission.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/AdmissionControl.java
@@ -13,7 +13,7 @@
  * <p>Invariant: without a backlog, a request is rejected only if it could not complete before its deadline on an idle
  * target. Not thread safe; the owner confines it.
  */
-public final class Admission {
+public final class AdmissionControl {
     /** Backlog depth, in mean run times, above which fair shares are enforced. */
     static final double FAIR_SHARE_MIN_DEPTH = 1;
 
@@ -24,7 +24,7 @@
     private final FairShare fairShare = FairShare.empty();
     private final RandomGenerator random;
 
-    private Admission(RandomGenerator random) {
+    private AdmissionControl(RandomGenerator random) {
         this.random = random;
     }
 
@@ -34,8 +34,8 @@
      * @param random the source of jitter for retry times
      * @return the admission control
      */
-    public static Admission of(RandomGenerator random) {
-        return new Admission(random);
+    public static AdmissionControl of(RandomGenerator random) {
+        return new AdmissionControl(random);
     }
 
     /**
@@ -47,9 +47,9 @@
      * @param nowMillis the time
      * @return the rejection, or none if the request is admitted
      */
-    public Option<Refusal> admit(Request request, double weight, Backlog backlog, long nowMillis) {
+    public Option<Rejection> admit(Request request, double weight, Backlog backlog, long nowMillis) {
         fairShare.recordDemand(request.account(), weight, backlog.runMillis(), nowMillis);
-        Option<Refusal> rejection = checkAdmission(request, backlog, nowMillis);
+        Option<Rejection> rejection = checkAdmission(request, backlog, nowMillis);
         if (rejection.isEmpty()) {
             fairShare.recordAdmission(request.account(), backlog.runMillis());
         }
@@ -64,23 +64,23 @@
      * @param nowMillis the time
      * @return the rejection, or none if the request would complete in time
      */
-    public Option<Refusal> late(Request request, Backlog backlog, long nowMillis) {
+    public Option<Rejection> rejectIfLate(Request request, Backlog backlog, long nowMillis) {
         double remainingMillis = request.deadlineMillis() - nowMillis;
         if (backlog.runMillis() > remainingMillis) {
-            return Option.some(new Refusal("the request cannot complete before its deadline", 0));
+            return Option.some(new Rejection("the request cannot complete before its deadline", 0));
         }
-        double excessMillis = backlog.waitMillis() + backlog.runMillis() - remainingMillis;
+        double excessMillis = backlog.queueWaitMillis() + backlog.runMillis() - remainingMillis;
         if (excessMillis <= 0) {
             return Option.none();
         }
-        return Option.some(new Refusal("the backlog exceeds the request's deadline", retryAfterMillis(excessMillis)));
+        return Option.some(new Rejection("the backlog exceeds the request's deadline", retryAfterMillis(excessMillis)));
     }
 
-    private Option<Refusal> checkAdmission(Request request, Backlog backlog, long nowMillis) {
+    private Option<Rejection> checkAdmission(Request request, Backlog backlog, long nowMillis) {
         double maxDepth = maxBacklogDepth(request.workClass());
         if (backlog.depth() > maxDepth) {
-            double excessMillis = backlog.waitMillis() - maxDepth * backlog.meanRunMillis();
-            return Option.some(new Refusal(
+            double excessMillis = backlog.queueWaitMillis() - maxDepth * backlog.meanRunMillis();
+            return Option.some(new Rejection(
                     "requests of this class are shed under the current load", retryAfterMillis(excessMillis)));
         }
         long untilWithinShareMillis =
@@ -88,11 +88,11 @@
         if (untilWithinShareMillis > 0) {
             // The account is admitted again when it is back within its share or when the backlog is gone, whichever
             // comes first.
-            double backlogMillis = backlog.waitMillis() - FAIR_SHARE_MIN_DEPTH * backlog.meanRunMillis();
+            double backlogMillis = backlog.queueWaitMillis() - FAIR_SHARE_MIN_DEPTH * backlog.meanRunMillis();
             long soonestMillis = Math.round(Math.min(untilWithinShareMillis, backlogMillis));
-            return Option.some(new Refusal("the account is over its fair share", retryAfterMillis(soonestMillis)));
+            return Option.some(new Rejection("the account is over its fair share", retryAfterMillis(soonestMillis)));
         }
-        return late(request, backlog, nowMillis);
+        return rejectIfLate(request, backlog, nowMillis);
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/Refusal.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/Rejection.java
@@ -8,8 +8,8 @@
  * @param reason a short sentence
  * @param retryAfterMillis time after which a retry may succeed, zero if a retry does not help
  */
-public record Refusal(String reason, long retryAfterMillis) {
-    public Refusal {
+public record Rejection(String reason, long retryAfterMillis) {
+    public Rejection {
         Objects.requireNonNull(reason, "reason");
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
@@ -3,15 +3,15 @@
 /**
  * A token bucket that limits the retries of a host.
  *
- * <p>Invariant: the retries granted are at most {@link #BURST} plus {@link #PER_REQUEST} times the requests recorded.
+ * <p>Invariant: the retries granted are at most {@link #MAX_BURST_RETRIES} plus {@link #RETRIES_PER_REQUEST} times the requests recorded.
  * Not thread safe; the owner confines it.
  */
 public final class RetryBudget {
     /** Retries added to the budget by each request. */
-    public static final double PER_REQUEST = 0.08;
+    public static final double RETRIES_PER_REQUEST = 0.08;
 
     /** Capacity of the budget: the retries that a host can do at once after an idle period. */
-    public static final double BURST = 10;
+    public static final double MAX_BURST_RETRIES = 10;
 
     private static final int MAX_ATTEMPTS = 3;
 
@@ -27,12 +27,12 @@
      * @return the budget
      */
     public static RetryBudget full() {
-        return new RetryBudget(BURST);
+        return new RetryBudget(MAX_BURST_RETRIES);
     }
 
     /** Records a request, which adds a fraction of a retry to the budget. */
-    public void earn() {
-        tokens = Math.min(BURST, tokens + PER_REQUEST);
+    public void recordRequest() {
+        tokens = Math.min(MAX_BURST_RETRIES, tokens + RETRIES_PER_REQUEST);
     }
 
     /**
@@ -41,7 +41,7 @@
      * @param attempts how many attempts the request has had
      * @return whether the request may be retried
      */
-    public boolean spend(int attempts) {
+    public boolean tryAcquire(int attempts) {
         // Prevents retry storms: if all requests fail, each failed attempt would start another one and overload the
         // remaining targets; symptom: attempts grow while answers do not. The budget bounds retries by new requests,
         // whatever fails.
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHostOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/EntryHostOrder.java
@@ -8,7 +8,7 @@
 
 import io.vavr.control.Option;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Orders entry hosts for a caller: its home data centre first, then its home region, then the rest. Stateless and thread
@@ -28,18 +28,18 @@
         for (ListedHost host : hosts) {
             byName.put(host.name(), host);
             byDataCentre
-                    .computeIfAbsent(host.place().dataCentre(), name -> new ArrayList<>())
+                    .computeIfAbsent(host.location().dataCentre(), name -> new ArrayList<>())
                     .add(host.name());
         }
         Option<String> homeRegion = Option.of(byDataCentre.get(homeDataCentre))
-                .map(names -> byName.get(names.get(0)).place().region());
-        List<String> dataCentres = new ArrayList<>(Rendezvous.rank(byDataCentre.keySet(), account));
+                .map(names -> byName.get(names.get(0)).location().region());
+        List<String> dataCentres = new ArrayList<>(RendezvousHashing.rank(byDataCentre.keySet(), account));
         dataCentres.sort(Comparator.comparingInt(name -> {
-            String region = byName.get(byDataCentre.get(name).get(0)).place().region();
+            String region = byName.get(byDataCentre.get(name).get(0)).location().region();
             return distance(name.equals(homeDataCentre), homeRegion.contains(region));
         }));
         return dataCentres.stream()
-                .flatMap(name -> Rendezvous.rank(byDataCentre.get(name), account).stream())
+                .flatMap(name -> RendezvousHashing.rank(byDataCentre.get(name), account).stream())
                 .limit(MAX_ENTRY_HOSTS)
                 .map(name -> entryHost(byName.get(name)))
                 .toList();
@@ -54,6 +54,6 @@
 
     private static EntryHost entryHost(ListedHost host) {
         return new EntryHost(
-                host.name(), host.place().region(), host.place().dataCentre(), host.address(), host.port());
+                host.name(), host.location().region(), host.location().dataCentre(), host.address(), host.port());
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberStep.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/MemberAction.java
@@ -6,7 +6,7 @@
 import org.rattanplank.schema.message.MemberMessage;
 
 /** An action that the membership of a host requests. Immutable and thread safe. */
-public sealed interface MemberStep {
+public sealed interface MemberAction {
 
     /**
      * Sends a message to another entry host.
@@ -14,7 +14,7 @@
      * @param host the other host
      * @param message the message
      */
-    record Send(String host, MemberMessage message) implements MemberStep {
+    record Send(String host, MemberMessage message) implements MemberAction {
         public Send {
             Objects.requireNonNull(message, "message");
         }
@@ -25,7 +25,7 @@
      *
      * @param hosts the names of the hosts
      */
-    record KeepLinks(List<String> hosts) implements MemberStep {
+    record KeepLinks(List<String> hosts) implements MemberAction {
         public KeepLinks {
             hosts = List.copyOf(hosts);
         }
@@ -37,5 +37,5 @@
      * @param host the other host
      * @param generation its generation
      */
-    record Heard(String host, long generation) implements MemberStep {}
+    record GenerationReported(String host, long generation) implements MemberAction {}
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/Members.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/Membership.java
@@ -13,8 +13,8 @@
 import org.rattanplank.core.NodeIdentity;
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.core.route.RemoteRegion;
 import org.rattanplank.schema.message.CentreBeat;
 import org.rattanplank.schema.message.Heartbeat;
@@ -35,7 +35,7 @@
  * target that was reported as leaving stays leaving under its name until a newer incarnation of it is observed. Thread
  * safe; one lock guards all state, and no other lock is taken while it is held.
  */
-public final class Members {
+public final class Membership {
     private static final long ENTRY_HOSTS_TTL_MILLIS = 2_000;
     private static final long HEARTBEAT_INTERVAL_MILLIS = 500;
     private static final long STARTUP_GRACE_MILLIS = 3_000;
@@ -62,9 +62,9 @@
     private Option<Long> startMillis = Option.none();
     private long nowMillis;
 
-    private Members(NodeIdentity self) {
+    private Membership(NodeIdentity self) {
         this.self = self;
-        peers = new PeerTable(self.place().dataCentre());
+        peers = new PeerTable(self.location().dataCentre());
         remoteDataCentres = new RemoteDataCentres(self);
     }
 
@@ -74,8 +74,8 @@
      * @param self the host
      * @return the membership
      */
-    public static Members of(NodeIdentity self) {
-        return new Members(self);
+    public static Membership of(NodeIdentity self) {
+        return new Membership(self);
     }
 
     /**
@@ -85,7 +85,7 @@
      * @param atMillis the time
      * @return the actions to perform
      */
-    public List<MemberStep> listed(HostList newList, long atMillis) {
+    public List<MemberAction> updateHostList(HostList newList, long atMillis) {
         return update(atMillis, () -> {
             // A lagging member of the platform may return an older list after a newer one, and replaced hosts would
             // reappear for a while. An older list is accepted only after no newer one has arrived for some time,
@@ -117,7 +117,7 @@
      * @param atMillis the time
      * @return the actions to perform
      */
-    public List<MemberStep> connected(String host, long incarnation, Place location, long atMillis) {
+    public List<MemberAction> connected(String host, long incarnation, Location location, long atMillis) {
         return update(atMillis, () -> {
             Option<Peer> sender = recordMessage(host, incarnation, location);
             if (sender.isEmpty()) {
@@ -139,7 +139,7 @@
      * @param atMillis the time
      * @return the actions to perform
      */
-    public List<MemberStep> lost(String host, boolean connectionRefused, long atMillis) {
+    public List<MemberAction> disconnected(String host, boolean connectionRefused, long atMillis) {
         return update(atMillis, () -> {
             peers.disconnected(host, connectionRefused, atMillis);
             refresh();
@@ -156,20 +156,20 @@
      * @param atMillis the time
      * @return the actions to perform
      */
-    public List<MemberStep> receive(String host, long incarnation, MemberMessage message, long atMillis) {
+    public List<MemberAction> receive(String host, long incarnation, MemberMessage message, long atMillis) {
         return update(atMillis, () -> {
-            Option<Place> location = locationOf(host).orElse(() -> locationIn(message));
+            Option<Location> location = locationOf(host).orElse(() -> locationIn(message));
             Option<Peer> sender = location.flatMap(known -> recordMessage(host, incarnation, known));
             return sender.map(peer -> receive(peer, message)).getOrElse(List.of());
         });
     }
 
-    private List<MemberStep> receive(Peer peer, MemberMessage message) {
+    private List<MemberAction> receive(Peer peer, MemberMessage message) {
         if (message instanceof Heartbeat heartbeat) {
             return receive(peer, heartbeat);
         }
         if (message instanceof CentreBeat heartbeat) {
-            return List.of(new MemberStep.Heard(peer.host, heartbeat.generation()));
+            return List.of(new MemberAction.GenerationReported(peer.host, heartbeat.generation()));
         }
         if (message instanceof LeavingNews news) {
             news.notices().forEach(notice -> recordLeaving(notice, true));
@@ -179,7 +179,7 @@
         return List.of();
     }
 
-    private List<MemberStep> receive(Peer peer, Heartbeat heartbeat) {
+    private List<MemberAction> receive(Peer peer, Heartbeat heartbeat) {
         boolean changed = peer.lastHeartbeat().draining() != heartbeat.draining()
                 || !peer.lastHeartbeat().silentDataCentres().equals(heartbeat.silentDataCentres());
         peer.recordHeartbeat(heartbeat);
@@ -189,10 +189,10 @@
         if (changed) {
             refresh();
         }
-        return List.of(new MemberStep.Heard(peer.host, heartbeat.generation()));
+        return List.of(new MemberAction.GenerationReported(peer.host, heartbeat.generation()));
     }
 
-    private List<MemberStep> receive(Peer peer, RegionSummary summary) {
+    private List<MemberAction> receive(Peer peer, RegionSummary summary) {
         boolean local = peers.isLocal(peer);
         boolean isOwnSummary = peer.location.dataCentre().equals(summary.dataCentre());
         if (!local && !isOwnSummary) {
@@ -201,7 +201,7 @@
         boolean changed = remoteDataCentres.recordSummary(summary, nowMillis);
         leavingRegistry.observeAvailable(summary.hosts(), hostList.revision(), nowMillis);
         summary.leaving().forEach(notice -> recordLeaving(notice, false));
-        List<MemberStep> actions = new ArrayList<>();
+        List<MemberAction> actions = new ArrayList<>();
         if (changed) {
             regions = Option.none();
         }
@@ -209,7 +209,7 @@
             sendToLocal(summary, actions);
         }
         if (!local) {
-            actions.add(new MemberStep.Heard(peer.host, summary.generation()));
+            actions.add(new MemberAction.GenerationReported(peer.host, summary.generation()));
         }
         return actions;
     }
@@ -233,7 +233,7 @@
      * @param names all retired hosts and targets
      * @param atMillis the time
      */
-    public void retiring(Set<String> names, long atMillis) {
+    public void updateRetiring(Set<String> names, long atMillis) {
         update(atMillis, () -> {
             leavingRegistry.setRetired(names);
             new TreeSet<>(names).forEach(name -> recordLocalLeaving(name, atMillis));
@@ -248,16 +248,16 @@
      * @param atMillis the time
      * @return the actions to perform
      */
-    public List<MemberStep> tick(SelfReport report, long atMillis) {
+    public List<MemberAction> tick(SelfReport report, long atMillis) {
         return update(atMillis, () -> {
             draining = report.draining();
             peers.removeExpired(atMillis);
             refreshIfChanged();
-            List<MemberStep> actions = new ArrayList<>();
+            List<MemberAction> actions = new ArrayList<>();
             sendLeavingNotices(actions);
             sendHeartbeats(report, actions);
             Map<String, String> chosenHosts = chooseRemoteHosts();
-            MemberStep.KeepLinks links = keepLinks(chosenHosts);
+            MemberAction.KeepLinks links = keepLinks(chosenHosts);
             if (!links.hosts().equals(requestedLinks)) {
                 requestedLinks = links.hosts();
                 actions.add(links);
@@ -267,7 +267,7 @@
         });
     }
 
-    private void sendLeavingNotices(List<MemberStep> actions) {
+    private void sendLeavingNotices(List<MemberAction> actions) {
         if (unsentNotices.isEmpty()) {
             return;
         }
@@ -275,7 +275,7 @@
         unsentNotices.clear();
     }
 
-    private void sendHeartbeats(SelfReport report, List<MemberStep> actions) {
+    private void sendHeartbeats(SelfReport report, List<MemberAction> actions) {
         Heartbeat heartbeat = new Heartbeat(
                 self.incarnation(),
                 report.generation(),
@@ -291,15 +291,15 @@
         for (Peer peer : peers.local()) {
             if (peer.connected && (urgent || nowMillis - peer.heartbeatSentMillis >= HEARTBEAT_INTERVAL_MILLIS)) {
                 peer.heartbeatSentMillis = nowMillis;
-                actions.add(new MemberStep.Send(peer.host, heartbeat));
+                actions.add(new MemberAction.Send(peer.host, heartbeat));
             }
         }
     }
 
-    private List<MemberStep> sendToRemoteDataCentres(SelfReport report, Map<String, String> chosenHosts) {
+    private List<MemberAction> sendToRemoteDataCentres(SelfReport report, Map<String, String> chosenHosts) {
         Set<String> hosts = availableHosts();
         RegionSummary fullSummary = RegionSummaries.of(
-                self.place(),
+                self.location(),
                 report.generation(),
                 hosts,
                 report,
@@ -310,45 +310,45 @@
         return remoteDataCentres.sendSummaries(chosenHosts, peers, summary, heartbeat, nowMillis);
     }
 
-    private List<MemberStep> sendInitialState(String host) {
-        List<MemberStep> actions = new ArrayList<>();
+    private List<MemberAction> sendInitialState(String host) {
+        List<MemberAction> actions = new ArrayList<>();
         List<LeavingNotice> notices = leavingRegistry.all();
         if (!notices.isEmpty()) {
             List<LeavingNotice> newest = notices.subList(0, Math.min(MAX_LEAVING_NOTICES, notices.size()));
-            actions.add(new MemberStep.Send(host, new LeavingNews(newest)));
+            actions.add(new MemberAction.Send(host, new LeavingNews(newest)));
         }
         for (RemoteDataCentre remote : remoteDataCentres.all()) {
             if (remote.representedSinceMillis.isDefined()) {
-                remote.summary.forEach(summary -> actions.add(new MemberStep.Send(host, summary)));
+                remote.summary.forEach(summary -> actions.add(new MemberAction.Send(host, summary)));
             }
         }
         return actions;
     }
 
-    private void sendToLocal(MemberMessage message, List<MemberStep> actions) {
+    private void sendToLocal(MemberMessage message, List<MemberAction> actions) {
         for (Peer peer : peers.local()) {
             if (peer.connected) {
-                actions.add(new MemberStep.Send(peer.host, message));
+                actions.add(new MemberAction.Send(peer.host, message));
             }
         }
     }
 
-    private MemberStep.KeepLinks keepLinks(Map<String, String> chosenHosts) {
+    private MemberAction.KeepLinks keepLinks(Map<String, String> chosenHosts) {
         Set<String> hosts = new TreeSet<>(chosenHosts.values());
         for (ListedHost host : listedEntryHosts.values()) {
-            boolean local = host.place().dataCentre().equals(self.place().dataCentre());
+            boolean local = host.location().dataCentre().equals(self.location().dataCentre());
             if (local && !host.name().equals(self.host())) {
                 hosts.add(host.name());
             }
         }
-        return new MemberStep.KeepLinks(List.copyOf(hosts));
+        return new MemberAction.KeepLinks(List.copyOf(hosts));
     }
 
     private Map<String, String> chooseRemoteHosts() {
         return remoteDataCentres.chooseHosts(peers, host -> !leavingRegistry.contains(host), nowMillis);
     }
 
-    private Option<Peer> recordMessage(String host, long incarnation, Place location) {
+    private Option<Peer> recordMessage(String host, long incarnation, Location location) {
         Option<Peer> peer = peers.recordMessage(host, incarnation, location, nowMillis);
         peer.forEach(known -> {
             leavingRegistry.observeIncarnation(host, incarnation, hostList.revision());
@@ -416,9 +416,10 @@
      *
      * @return the targets
      */
-    public List<ListedHost> targetsTakingWork() {
+    public List<ListedHost> targetsAcceptingWork() {
         return read(() -> hostList.targets().stream()
-                .filter(target -> target.place().region().equals(self.place().region()))
+                .filter(target ->
+                        target.location().region().equals(self.location().region()))
                 .filter(target -> !target.leaving() && !leavingRegistry.contains(target.name()))
                 .toList());
     }
@@ -443,7 +444,7 @@
         Map<String, RemoteDataCentre> newest = new TreeMap<>();
         for (RemoteDataCentre remote : remoteDataCentres.all()) {
             String region = remote.location.region();
-            if (region.equals(self.place().region())) {
+            if (region.equals(self.location().region())) {
                 continue;
             }
             Set<String> available = availableHostsIn(remote);
@@ -465,7 +466,7 @@
                     .flatMap(remote -> remote.summary.map(summary -> RegionSummaries.parseLoads(
                             summary, remoteDataCentres.loadsValidAtMillis(remote, nowMillis))))
                     .getOrElse(Map.of());
-            aggregated.add(new RemoteRegion(region, Rendezvous.rank(names, self.host()), loads));
+            aggregated.add(new RemoteRegion(region, RendezvousHashing.rank(names, self.host()), loads));
         });
         return List.copyOf(aggregated);
     }
@@ -492,16 +493,16 @@
      * @param dataCentre the data centre
      * @return the names of the hosts
      */
-    public List<String> reachable(String dataCentre) {
+    public List<String> reachableHosts(String dataCentre) {
         return read(() -> {
-            if (dataCentre.equals(self.place().dataCentre())) {
+            if (dataCentre.equals(self.location().dataCentre())) {
                 Set<String> hosts = availableHosts();
                 hosts.remove(self.host());
-                return Rendezvous.rank(hosts, self.host());
+                return RendezvousHashing.rank(hosts, self.host());
             }
             return remoteDataCentres
                     .find(dataCentre)
-                    .map(remote -> Rendezvous.rank(availableHostsIn(remote), self.host()))
+                    .map(remote -> RendezvousHashing.rank(availableHostsIn(remote), self.host()))
                     .getOrElse(List.of());
         });
     }
@@ -513,17 +514,17 @@
      * @return its region, or none if the host is not known
      */
     public Option<String> regionOf(String host) {
-        return read(() -> locationOf(host).map(Place::region));
+        return read(() -> locationOf(host).map(Location::region));
     }
 
-    private Option<Place> locationOf(String host) {
+    private Option<Location> locationOf(String host) {
         return peers.find(host)
                 .map(peer -> peer.location)
-                .orElse(() -> Option.of(listedEntryHosts.get(host)).map(ListedHost::place))
+                .orElse(() -> Option.of(listedEntryHosts.get(host)).map(ListedHost::location))
                 .orElse(() -> locationFromSummaries(host));
     }
 
-    private Option<Place> locationFromSummaries(String host) {
+    private Option<Location> locationFromSummaries(String host) {
         for (RemoteDataCentre remote : remoteDataCentres.all()) {
             if (remote.summary.exists(summary -> summary.hosts().contains(host))) {
                 return Option.some(remote.location);
@@ -532,11 +533,11 @@
         return Option.none();
     }
 
-    private static Option<Place> locationIn(MemberMessage message) {
+    private static Option<Location> locationIn(MemberMessage message) {
         if (message instanceof Hello hello
                 && !hello.region().isEmpty()
                 && !hello.dataCentre().isEmpty()) {
-            return Option.some(Place.of(hello.region(), hello.dataCentre()));
+            return Option.some(Location.of(hello.region(), hello.dataCentre()));
         }
         return Option.none();
     }
@@ -572,11 +573,11 @@
             return !draining;
         }
         boolean starting = startMillis.forAll(start -> atMillis - start < STARTUP_GRACE_MILLIS);
-        if (host.place().dataCentre().equals(self.place().dataCentre())) {
+        if (host.location().dataCentre().equals(self.location().dataCentre())) {
             Option<Peer> peer = peers.find(host.name());
             return peer.isEmpty() ? starting : peer.get().isLive(atMillis);
         }
-        Option<RemoteDataCentre> remote = remoteDataCentres.find(host.place().dataCentre());
+        Option<RemoteDataCentre> remote = remoteDataCentres.find(host.location().dataCentre());
         if (remote.exists(known -> known.summary.isEmpty()) && starting) {
             return true;
         }
@@ -601,7 +602,8 @@
         return read(() -> {
             Set<String> listed = new TreeSet<>();
             for (ListedHost host : listedEntryHosts.values()) {
-                boolean local = host.place().dataCentre().equals(self.place().dataCentre());
+                boolean local =
+                        host.location().dataCentre().equals(self.location().dataCentre());
                 if (local && !host.name().equals(self.host()) && !leavingRegistry.contains(host.name())) {
                     listed.add(host.name());
                 }
@@ -624,18 +626,18 @@
         return read(() -> {
             Set<String> hosts = availableHosts();
             for (RemoteDataCentre remote : remoteDataCentres.all()) {
-                if (remote.location.region().equals(self.place().region())) {
+                if (remote.location.region().equals(self.location().region())) {
                     hosts.addAll(availableHostsIn(remote));
                 }
             }
-            List<String> ranked =
-                    Rendezvous.rank(hosts, "controller/" + self.place().region());
+            List<String> ranked = RendezvousHashing.rank(
+                    hosts, "controller/" + self.location().region());
             return ranked.subList(0, Math.min(CONTROLLER_CANDIDATES, ranked.size()))
                     .contains(self.host());
         });
     }
 
-    private List<MemberStep> update(long atMillis, Supplier<List<MemberStep>> operation) {
+    private List<MemberAction> update(long atMillis, Supplier<List<MemberAction>> operation) {
         lock.lock();
         try {
             nowMillis = Math.max(nowMillis, atMillis);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/Peer.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/Peer.java
@@ -1,6 +1,6 @@
 package org.rattanplank.core.member;
 
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.schema.message.Heartbeat;
 
 /** The state of another entry host that this host is connected to or receives messages from. Not thread safe. */
@@ -11,7 +11,7 @@
     private static final Heartbeat NO_HEARTBEAT = new Heartbeat(0, 0, false, 0, false, null);
 
     final String host;
-    final Place location;
+    final Location location;
     final long incarnation;
     boolean connected;
     long heartbeatSentMillis = Long.MIN_VALUE / 2;
@@ -20,7 +20,7 @@
     private long lastMessageMillis;
     private Heartbeat lastHeartbeat = NO_HEARTBEAT;
 
-    Peer(String host, Place location, long incarnation, long nowMillis) {
+    Peer(String host, Location location, long incarnation, long nowMillis) {
         this.host = host;
         this.location = location;
         this.incarnation = incarnation;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerTable.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/PeerTable.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /**
  * The entry hosts that this host is connected to or receives messages from.
@@ -34,7 +34,7 @@
     }
 
     /** Records a message from a host; returns none if a newer incarnation of the host is already known. */
-    Option<Peer> recordMessage(String host, long incarnation, Place location, long nowMillis) {
+    Option<Peer> recordMessage(String host, long incarnation, Location location, long nowMillis) {
         Peer known = peers.get(host);
         if (known != null && known.incarnation > incarnation) {
             return Option.none();
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/RegionSummaries.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/RegionSummaries.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.route.RemoteRegion;
 import org.rattanplank.schema.message.LeavingNotice;
 import org.rattanplank.schema.message.RegionSummary;
@@ -22,7 +22,11 @@
     private RegionSummaries() {}
 
     static RegionSummary of(
-            Place location, long generation, Collection<String> hosts, SelfReport report, List<LeavingNotice> leaving) {
+            Location location,
+            long generation,
+            Collection<String> hosts,
+            SelfReport report,
+            List<LeavingNotice> leaving) {
         Map<String, List<Long>> services = new LinkedHashMap<>();
         new TreeMap<>(report.services()).forEach((name, load) -> {
             if (services.size() < MAX_SERVICES && load.targets() > 0) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/RemoteDataCentre.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/RemoteDataCentre.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.schema.message.RegionSummary;
 
 /** The view that a host has of another data centre, and what it last sent there. Not thread safe. */
 final class RemoteDataCentre {
-    final Place location;
+    final Location location;
     Option<RegionSummary> summary = Option.none();
     long summaryReceivedMillis;
     boolean reachable = true;
@@ -35,7 +35,7 @@
     long summarySentMillis;
     long lastSentMillis;
 
-    RemoteDataCentre(Place location) {
+    RemoteDataCentre(Location location) {
         this.location = location;
     }
 
@@ -43,7 +43,7 @@
     List<String> rank(List<String> hosts, String key) {
         if (!hosts.equals(rankingInput)) {
             rankingInput = hosts;
-            ranking = Rendezvous.rank(hosts, key);
+            ranking = RendezvousHashing.rank(hosts, key);
         }
         return ranking;
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/member/RemoteDataCentres.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/member/RemoteDataCentres.java
@@ -13,8 +13,8 @@
 import org.rattanplank.core.NodeIdentity;
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.schema.message.CentreBeat;
 import org.rattanplank.schema.message.MemberMessage;
 import org.rattanplank.schema.message.RegionSummary;
@@ -63,10 +63,11 @@
     void updateHostList(HostList list) {
         listedHosts.clear();
         for (ListedHost host : list.entryHosts()) {
-            if (isRemote(host.place().dataCentre())) {
-                dataCentres.computeIfAbsent(host.place().dataCentre(), name -> new RemoteDataCentre(host.place()));
+            if (isRemote(host.location().dataCentre())) {
+                dataCentres.computeIfAbsent(
+                        host.location().dataCentre(), name -> new RemoteDataCentre(host.location()));
                 listedHosts
-                        .computeIfAbsent(host.place().dataCentre(), name -> new ArrayList<>())
+                        .computeIfAbsent(host.location().dataCentre(), name -> new ArrayList<>())
                         .add(host.name());
             }
         }
@@ -75,7 +76,7 @@
                 .removeIf(remote -> !listedHosts.containsKey(remote.location.dataCentre()) && remote.summary.isEmpty());
     }
 
-    void recordMessage(Place location, long nowMillis) {
+    void recordMessage(Location location, long nowMillis) {
         if (isRemote(location.dataCentre())) {
             dataCentres.computeIfAbsent(location.dataCentre(), name -> new RemoteDataCentre(location))
                     .lastMessageMillis = nowMillis;
@@ -89,7 +90,7 @@
                 || summary.region().isEmpty()) {
             return false;
         }
-        Place location = Place.of(summary.region(), summary.dataCentre());
+        Location location = Location.of(summary.region(), summary.dataCentre());
         RemoteDataCentre remote =
                 dataCentres.computeIfAbsent(summary.dataCentre(), name -> new RemoteDataCentre(location));
         boolean changed = !remote.summary.contains(summary);
@@ -99,7 +100,7 @@
     }
 
     private List<String> electRepresentatives(String dataCentre) {
-        List<String> ranked = Rendezvous.rank(representativeCandidates, "speaker/" + dataCentre);
+        List<String> ranked = RendezvousHashing.rank(representativeCandidates, "speaker/" + dataCentre);
         return List.copyOf(ranked.subList(0, Math.min(REPRESENTATIVES, ranked.size())));
     }
 
@@ -155,7 +156,7 @@
             String name = remote.location.dataCentre();
             List<String> candidates = hostsOf(remote).stream().filter(usable).toList();
             List<String> ranked =
-                    remote.rank(candidates, "speaker/" + self.place().dataCentre());
+                    remote.rank(candidates, "speaker/" + self.location().dataCentre());
             remote.chooseHost(
                             ranked,
                             remote.representatives.indexOf(self.host()),
@@ -168,22 +169,22 @@
     }
 
     /** Returns the messages that are due to each data centre that this host is a representative for. */
-    List<MemberStep> sendSummaries(
+    List<MemberAction> sendSummaries(
             Map<String, String> chosenHosts,
             PeerTable peers,
             RegionSummary summary,
             CentreBeat heartbeat,
             long nowMillis) {
-        List<MemberStep> actions = new ArrayList<>();
+        List<MemberAction> actions = new ArrayList<>();
         RegionSummary forOwnRegion = RegionSummaries.withoutServices(summary);
         chosenHosts.forEach(
                 (name, host) -> peers.find(host).filter(peer -> peer.connected).forEach(peer -> {
                     RemoteDataCentre remote = dataCentres.get(name);
                     boolean sameRegion =
-                            remote.location.region().equals(self.place().region());
+                            remote.location.region().equals(self.location().region());
                     boolean sendsLoads = remote.representatives.indexOf(self.host()) == 0;
                     nextMessage(remote, peer, sameRegion ? forOwnRegion : summary, heartbeat, sendsLoads, nowMillis)
-                            .forEach(message -> actions.add(new MemberStep.Send(host, message)));
+                            .forEach(message -> actions.add(new MemberAction.Send(host, message)));
                 }));
         return actions;
     }
@@ -220,13 +221,16 @@
      * reachable data centre per region, because all data centres of a region would report the same load.
      */
     boolean reportsLoads() {
-        List<String> inRegion = new ArrayList<>(List.of(self.place().dataCentre()));
+        List<String> inRegion = new ArrayList<>(List.of(self.location().dataCentre()));
         for (RemoteDataCentre remote : dataCentres.values()) {
-            if (remote.reachable && remote.location.region().equals(self.place().region())) {
+            if (remote.reachable
+                    && remote.location.region().equals(self.location().region())) {
                 inRegion.add(remote.location.dataCentre());
             }
         }
-        return Rendezvous.rank(inRegion, "loads").get(0).equals(self.place().dataCentre());
+        return RendezvousHashing.rank(inRegion, "loads")
+                .get(0)
+                .equals(self.location().dataCentre());
     }
 
     /**
@@ -253,6 +257,6 @@
     }
 
     private boolean isRemote(String dataCentre) {
-        return !dataCentre.equals(self.place().dataCentre());
+        return !dataCentre.equals(self.location().dataCentre());
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/AttemptResult.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/AttemptResult.java
@@ -12,8 +12,8 @@
      * @param answer the answer
      * @param path the hosts and the target behind the peer, empty if a target answered directly
      */
-    record Whole(Answer answer, List<String> path) implements AttemptResult {
-        public Whole {
+    record Completed(Answer answer, List<String> path) implements AttemptResult {
+        public Completed {
             Objects.requireNonNull(answer, "answer");
             path = List.copyOf(path);
         }
@@ -36,9 +36,9 @@
      * The answer was lost after bytes had been handed to the transport.
      *
      * @param failure the failure that was observed
-     * @param callerParts number of stream events that were already delivered to the caller
+     * @param deliveredEvents number of stream events that were already delivered to the caller
      */
-    record Lost(Failure failure, long callerParts) implements AttemptResult {
+    record Lost(Failure failure, long deliveredEvents) implements AttemptResult {
         public Lost {
             Objects.requireNonNull(failure, "failure");
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/request/Request.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/request/Request.java
@@ -66,7 +66,7 @@
      * @param claimHeld whether that host holds the claim of the key
      * @return the copy
      */
-    public Request passedBy(String host, boolean claimHeld) {
+    public Request forwardedBy(String host, boolean claimHeld) {
         List<String> passed =
                 io.vavr.collection.List.ofAll(passedHosts).append(host).asJava();
         return new Request(
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/PrefixAffinity.java
@@ -6,7 +6,7 @@
 import java.util.function.Predicate;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * Assigns prompts with a common prefix to a target: the one that the prefix was last sent to, else the one that
@@ -67,7 +67,7 @@
         long firstRank = Long.MIN_VALUE;
         long secondRank = Long.MIN_VALUE;
         for (int i = 0; i < seeds.length; i++) {
-            long rank = Rendezvous.mix(key ^ seeds[i]);
+            long rank = RendezvousHashing.mix(key ^ seeds[i]);
             if (rank <= secondRank || !isSelectable.test(targets[i])) {
                 continue;
             }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
@@ -10,12 +10,12 @@
 
 import io.vavr.control.Option;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Account;
 import org.rattanplank.core.intent.Configuration;
-import org.rattanplank.core.limit.Admission;
+import org.rattanplank.core.limit.AdmissionControl;
 import org.rattanplank.core.limit.Backlog;
-import org.rattanplank.core.limit.Refusal;
+import org.rattanplank.core.limit.Rejection;
 import org.rattanplank.core.limit.RetryBudget;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Failure;
@@ -43,17 +43,17 @@
     private final TargetTable targetTable;
     private final RemoteRegionTable remoteRegions = new RemoteRegionTable();
     private final PrefixAffinity affinity = new PrefixAffinity();
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final RetryBudget retryBudget = RetryBudget.full();
     private final Chooser chooser;
     private final Map<String, Attempt> attempts = new HashMap<>();
     private Configuration configuration = Configuration.empty();
 
-    private Router(Place place, Policy policy, RandomGenerator random) {
+    private Router(Location place, Policy policy, RandomGenerator random) {
         this.region = place.region();
         this.policy = policy;
         this.targetTable = new TargetTable(policy);
-        this.admission = Admission.of(random);
+        this.admission = AdmissionControl.of(random);
         this.chooser = policy.isBaseline()
                 ? new BaselineChooser(region, policy, targetTable, remoteRegions, random)
                 : new ScoredChooser(region, policy, targetTable, remoteRegions, affinity, admission, random);
@@ -67,7 +67,7 @@
      * @param seed the seed of random choices
      * @return the router
      */
-    public static Router of(Place place, Policy policy, long seed) {
+    public static Router of(Location place, Policy policy, long seed) {
         return new Router(place, policy, new SplittableRandom(seed));
     }
 
@@ -176,11 +176,11 @@
         lock.lock();
         try {
             if (attempts.size() >= MAX_ATTEMPTS) {
-                return Option.some(reject(request, new Refusal("too many concurrent requests", RETRY_AFTER_MILLIS)));
+                return Option.some(reject(request, new Rejection("too many concurrent requests", RETRY_AFTER_MILLIS)));
             }
-            Option<Refusal> rejection = policy.isBaseline() ? Option.none() : checkAdmission(request, nowMillis);
+            Option<Rejection> rejection = policy.isBaseline() ? Option.none() : checkAdmission(request, nowMillis);
             if (rejection.isEmpty()) {
-                retryBudget.earn();
+                retryBudget.recordRequest();
             }
             return rejection.map(cause -> reject(request, cause));
         } finally {
@@ -216,7 +216,7 @@
     public boolean mayRetry(Request request, int previousAttempts, long nowMillis) {
         lock.lock();
         try {
-            return policy.isBaseline() ? previousAttempts < 2 : retryBudget.spend(previousAttempts);
+            return policy.isBaseline() ? previousAttempts < 2 : retryBudget.tryAcquire(previousAttempts);
         } finally {
             lock.unlock();
         }
@@ -301,7 +301,7 @@
         }
     }
 
-    private Option<Refusal> checkAdmission(Request request, long nowMillis) {
+    private Option<Rejection> checkAdmission(Request request, long nowMillis) {
         double weight =
                 configuration.account(request.account()).map(Account::weight).getOrElse(1.0);
         return admission.admit(request, weight, backlog(request, nowMillis), nowMillis);
@@ -343,7 +343,7 @@
         return false;
     }
 
-    private static RoutingDecision.Reject reject(Request request, Refusal rejection) {
+    private static RoutingDecision.Reject reject(Request request, Rejection rejection) {
         Failure failure = Failure.of(Step.ADMIT, request.service(), rejection.reason());
         return new RoutingDecision.Reject(failure, rejection.retryAfterMillis(), List.of());
     }
@@ -391,7 +391,7 @@
 
     private void recordResult(
             Request request, Attempt attempt, AttemptResult result, long durationMillis, long nowMillis) {
-        if (result instanceof AttemptResult.Whole whole && whole.answer().status() < MIN_SERVER_ERROR_STATUS) {
+        if (result instanceof AttemptResult.Completed whole && whole.answer().status() < MIN_SERVER_ERROR_STATUS) {
             recordSuccess(request, attempt, durationMillis, nowMillis);
         } else if (result instanceof AttemptResult.NotRun notRun && isRejection(notRun)) {
             long untilMillis = nowMillis + Math.min(maxPauseMillis(attempt), notRun.retryAfterMillis());
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/ScoredChooser.java
@@ -5,9 +5,9 @@
 import java.util.random.RandomGenerator;
 
 import io.vavr.control.Option;
-import org.rattanplank.core.limit.Admission;
+import org.rattanplank.core.limit.AdmissionControl;
 import org.rattanplank.core.limit.Backlog;
-import org.rattanplank.core.limit.Refusal;
+import org.rattanplank.core.limit.Rejection;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Request;
 import org.rattanplank.core.request.Step;
@@ -40,7 +40,7 @@
     private final TargetTable targets;
     private final RemoteRegionTable remoteRegions;
     private final PrefixAffinity affinity;
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final RandomGenerator random;
 
     ScoredChooser(
@@ -49,7 +49,7 @@
             TargetTable targets,
             RemoteRegionTable remoteRegions,
             PrefixAffinity affinity,
-            Admission admission,
+            AdmissionControl admission,
             RandomGenerator random) {
         this.region = region;
         this.policy = policy;
@@ -261,12 +261,12 @@
          * Routes to the first candidate that is expected to meet the deadline, and rejects the request if neither is.
          */
         private RoutingDecision chooseFirstInTime(ScoredRoute first, Option<ScoredRoute> second) {
-            Option<Refusal> rejection = admission.late(request, first.backlog(), nowMillis);
+            Option<Rejection> rejection = admission.rejectIfLate(request, first.backlog(), nowMillis);
             if (rejection.isEmpty()) {
                 return new RoutingDecision.Dispatch(first.route(), candidateLog.candidates());
             }
-            if (second.exists(
-                    other -> admission.late(request, other.backlog(), nowMillis).isEmpty())) {
+            if (second.exists(other ->
+                    admission.rejectIfLate(request, other.backlog(), nowMillis).isEmpty())) {
                 return new RoutingDecision.Dispatch(second.get().route(), candidateLog.candidates());
             }
             Failure failure =
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Target.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * The router's view of one target.
@@ -38,7 +38,7 @@
     private Target(String name, String service, Ramp warmUpShare) {
         this.name = name;
         this.service = service;
-        this.seed = Rendezvous.mix(name.hashCode());
+        this.seed = RendezvousHashing.mix(name.hashCode());
         this.warmUpShare = warmUpShare;
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
@@ -7,7 +7,7 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Outcome;
@@ -22,7 +22,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 class NodeTest {
-    private static final Place SUVA = Place.of("suva", "suva-hall");
+    private static final Location SUVA = Location.of("suva", "suva-hall");
     private static final String DOCUMENT =
             """
             {"generation": 1, "digest": "d", "files": {
@@ -39,7 +39,7 @@
         Action.StartAttempt attempt = assertInstanceOf(Action.StartAttempt.class, started.get(0));
         Answer answer = Answer.of(200, "application/json", new byte[] {1});
         List<Action> ended = node.handle(
-                new Event.AttemptEnded("r1", attempt.attempt(), new AttemptResult.Whole(answer, List.of())), 30);
+                new Event.AttemptEnded("r1", attempt.attempt(), new AttemptResult.Completed(answer, List.of())), 30);
         assertEquals(
                 List.of(new Action.Finish(
                         "r1",
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -12,7 +12,7 @@
 import io.vavr.control.Option;
 import org.rattanplank.core.NodeIdentity;
 import org.rattanplank.core.host.HostList;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreReply;
@@ -92,7 +92,7 @@
     void start(String host) {
         long incarnation = incarnations.merge(host, 1L, Long::sum);
         processes.put(
-                host, Claims.of(new NodeIdentity(host, incarnation, Place.of("suva", "suva-hall")), limits, rule));
+                host, Claims.of(new NodeIdentity(host, incarnation, Location.of("suva", "suva-hall")), limits, rule));
         for (String other : processes.keySet()) {
             if (!other.equals(host) && !isPartitioned(host, other)) {
                 link(host, other).items.add(new FakeLink.Item.Up(incarnation));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
@@ -7,7 +7,7 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.request.Answer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -340,7 +340,7 @@
     }
 
     private static HostList hosts(String... names) {
-        Place place = Place.of("suva", "suva-hall");
+        Location place = Location.of("suva", "suva-hall");
         return new HostList(
                 names.length,
                 List.of(names).stream()
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -11,7 +11,7 @@
 import org.rattanplank.core.OrderResult;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.core.intent.Service;
 import org.rattanplank.core.route.TargetLoad;
@@ -23,7 +23,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class ControllerTest {
-    private static final Place SUVA = Place.of("suva", "suva-hall");
+    private static final Location SUVA = Location.of("suva", "suva-hall");
     private static final long TICK_MILLIS = 100;
     private static final long LOADING_MILLIS = 3_000;
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EngineStreamCostsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EngineStreamCostsTest.java
@@ -8,7 +8,7 @@
 
 import io.vavr.control.Option;
 import org.junit.jupiter.api.Test;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -83,7 +83,7 @@
         for (String id : List.of("a", "b", "c", "d")) {
             engine(id);
         }
-        long hash = Rendezvous.hash(Samples.MODEL);
+        long hash = RendezvousHashing.hash(Samples.MODEL);
         GatewayTarget first = pool.all().stream()
                 .min(Comparator.comparingLong(each -> each.affinityScore(hash)))
                 .get();
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EntryHostDirectoryTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/EntryHostDirectoryTest.java
@@ -4,13 +4,13 @@
 
 import io.vavr.control.Option;
 import org.junit.jupiter.api.Test;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 class EntryHostDirectoryTest {
     private static GatewayHost host(String name, String region) {
-        return new GatewayHost(name, 1, Place.of(region, region + "-hall"), name + ":80", name + ":90");
+        return new GatewayHost(name, 1, Location.of(region, region + "-hall"), name + ":80", name + ":90");
     }
 
     private final GatewayHost suva = host("s", "suva");
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
@@ -6,7 +6,7 @@
 
 import io.vavr.control.Option;
 import org.junit.jupiter.api.Test;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -75,7 +75,7 @@
         private Host(int region, int number) {
             this.region = region;
             String name = "h" + region + number;
-            entry = new GatewayHost(name, 1, Place.of("r" + region, "d" + region), name, name);
+            entry = new GatewayHost(name, 1, Location.of("r" + region, "d" + region), name, name);
         }
 
         private boolean acceptsCallers(long nowMillis) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyOperationTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class ApplyTest {
+class ApplyOperationTest {
     private static final int RUN_COUNT = 3_000;
     private static final int FAULT_PERCENT = 25;
 
@@ -48,12 +48,12 @@
             SortedMap<String, JsonNode> theirs = TestIntentFiles.retiring("a", "b");
             theirs.put("a", TestIntentFiles.retire("a", "theirs"));
             FakeStore store = storeWithBase();
-            List<Apply> finished = run(store, ours, theirs, new Random(seed));
-            long done = finished.stream().filter(ApplyTest::isDone).count();
+            List<ApplyOperation> finished = run(store, ours, theirs, new Random(seed));
+            long done = finished.stream().filter(ApplyOperationTest::isDone).count();
             long conflicts = finished.stream()
-                    .filter(apply -> apply.step() instanceof ApplyStep.Conflicting)
+                    .filter(apply -> apply.state() instanceof ApplyState.Conflicting)
                     .count();
-            boolean anyFailed = finished.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
+            boolean anyFailed = finished.stream().anyMatch(apply -> apply.state() instanceof ApplyState.Failed);
             assertTrue(anyFailed || (done == 1 && conflicts == 1), "seed " + seed + ": " + states(finished));
             String reason = newest(store).files().get("a").path("reason").asText();
             assertEquals(isDone(finished.get(0)), "ours".equals(reason), "seed " + seed + ": " + states(finished));
@@ -66,15 +66,16 @@
         // lost, another operator changes the same file, then the first operation reads the store. The operator would
         // get a conflict with their own file.
         FakeStore store = storeWithBase();
-        Apply apply = Apply.of(new ConfigurationChange(base, TestIntentFiles.retiring("a", "b", "c"), "mine"));
+        ApplyOperation apply =
+                ApplyOperation.of(new ConfigurationChange(base, TestIntentFiles.retiring("a", "b", "c"), "mine"));
         apply = advance(apply, store, FakeStore.Fault.NONE);
         apply = advance(apply, store, FakeStore.Fault.ANSWER_LOST);
         Document mine = newest(store);
         SortedMap<String, JsonNode> later = TestIntentFiles.retiring("a", "b", "c");
         later.put("c", TestIntentFiles.retire("c", "changed later"));
-        store.write(Configurations.KEY, mine.next(later, "other").toText());
+        store.write(ConfigurationManager.KEY, mine.next(later, "other").toText());
         apply = advance(apply, store, FakeStore.Fault.NONE);
-        assertEquals(2, assertInstanceOf(ApplyStep.Done.class, apply.step()).generation());
+        assertEquals(2, assertInstanceOf(ApplyState.Done.class, apply.state()).generation());
     }
 
     @Test
@@ -85,15 +86,15 @@
         FakeStore store = storeWithBase();
         long old = store.revision();
         Document second = base.next(TestIntentFiles.retiring("a", "b", "c"), "c1");
-        store.write(Configurations.KEY, second.toText());
+        store.write(ConfigurationManager.KEY, second.toText());
         SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b", "c");
         desired.put("c", TestIntentFiles.retire("c", "mine"));
-        Apply apply = Apply.of(new ConfigurationChange(second, desired, "mine"));
-        apply = apply.replied(store.staleGet(Configurations.KEY, old));
+        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(second, desired, "mine"));
+        apply = apply.storeReplied(store.staleGet(ConfigurationManager.KEY, old));
         while (!isFinished(apply)) {
             apply = advance(apply, store, FakeStore.Fault.NONE);
         }
-        assertEquals(3, assertInstanceOf(ApplyStep.Done.class, apply.step()).generation());
+        assertEquals(3, assertInstanceOf(ApplyState.Done.class, apply.state()).generation());
     }
 
     @Test
@@ -102,27 +103,27 @@
         SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b");
         desired.put("c", TestIntentFiles.retire("floor", "x").deepCopy());
         ((com.fasterxml.jackson.databind.node.ObjectNode) desired.get("c")).put("kind", "limit");
-        Apply apply = Apply.of(new ConfigurationChange(base, desired, "mine"));
+        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(base, desired, "mine"));
         apply = advance(apply, store, FakeStore.Fault.NONE);
-        assertInstanceOf(ApplyStep.Refused.class, apply.step());
+        assertInstanceOf(ApplyState.Rejected.class, apply.state());
         assertEquals(1, newest(store).generation());
     }
 
     @Test
     void shouldReportThatNothingWasAppliedWhenTheStoreIsDown() {
-        Apply apply = Apply.of(new ConfigurationChange(base, TestIntentFiles.retiring("c"), "mine"));
+        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(base, TestIntentFiles.retiring("c"), "mine"));
         while (!isFinished(apply)) {
-            apply = apply.replied(new StoreReply.Unavailable("down"));
+            apply = apply.storeReplied(new StoreReply.Unavailable("down"));
         }
-        assertTrue(assertInstanceOf(ApplyStep.Failed.class, apply.step()).surelyNotApplied());
+        assertTrue(assertInstanceOf(ApplyState.Failed.class, apply.state()).definitelyNotApplied());
     }
 
     private void race(SortedMap<String, JsonNode> ours, SortedMap<String, JsonNode> theirs, Set<String> expected) {
         for (int seed = 0; seed < RUN_COUNT; seed++) {
             FakeStore store = storeWithBase();
-            List<Apply> finished = run(store, ours, theirs, new Random(seed));
-            boolean bothDone = finished.stream().allMatch(ApplyTest::isDone);
-            boolean anyFailed = finished.stream().anyMatch(apply -> apply.step() instanceof ApplyStep.Failed);
+            List<ApplyOperation> finished = run(store, ours, theirs, new Random(seed));
+            boolean bothDone = finished.stream().allMatch(ApplyOperationTest::isDone);
+            boolean anyFailed = finished.stream().anyMatch(apply -> apply.state() instanceof ApplyState.Failed);
             assertTrue(bothDone || anyFailed, "seed " + seed + ": " + states(finished));
             if (bothDone) {
                 assertEquals(expected, newest(store).files().keySet(), "seed " + seed);
@@ -131,12 +132,12 @@
         }
     }
 
-    private List<Apply> run(
+    private List<ApplyOperation> run(
             FakeStore store, SortedMap<String, JsonNode> ours, SortedMap<String, JsonNode> theirs, Random random) {
-        List<Apply> applies = new ArrayList<>(List.of(
-                Apply.of(new ConfigurationChange(base, ours, "ours")),
-                Apply.of(new ConfigurationChange(base, theirs, "theirs"))));
-        while (!applies.stream().allMatch(ApplyTest::isFinished)) {
+        List<ApplyOperation> applies = new ArrayList<>(List.of(
+                ApplyOperation.of(new ConfigurationChange(base, ours, "ours")),
+                ApplyOperation.of(new ConfigurationChange(base, theirs, "theirs"))));
+        while (!applies.stream().allMatch(ApplyOperationTest::isFinished)) {
             int turn = random.nextInt(applies.size());
             if (!isFinished(applies.get(turn))) {
                 applies.set(turn, advance(applies.get(turn), store, fault(random)));
@@ -154,27 +155,28 @@
 
     private FakeStore storeWithBase() {
         FakeStore store = new FakeStore();
-        store.write(Configurations.KEY, base.toText());
+        store.write(ConfigurationManager.KEY, base.toText());
         return store;
     }
 
-    private static Apply advance(Apply apply, FakeStore store, FakeStore.Fault fault) {
-        return apply.replied(store.call(((ApplyStep.CallStore) apply.step()).command(), fault, 0));
+    private static ApplyOperation advance(ApplyOperation apply, FakeStore store, FakeStore.Fault fault) {
+        return apply.storeReplied(store.call(((ApplyState.CallStore) apply.state()).command(), fault, 0));
     }
 
     private static Document newest(FakeStore store) {
-        return Document.parse(store.entry(Configurations.KEY).get().value()).get();
+        return Document.parse(store.entry(ConfigurationManager.KEY).get().value())
+                .get();
     }
 
-    private static boolean isFinished(Apply apply) {
-        return !(apply.step() instanceof ApplyStep.CallStore);
+    private static boolean isFinished(ApplyOperation apply) {
+        return !(apply.state() instanceof ApplyState.CallStore);
     }
 
-    private static boolean isDone(Apply apply) {
-        return apply.step() instanceof ApplyStep.Done;
+    private static boolean isDone(ApplyOperation apply) {
+        return apply.state() instanceof ApplyState.Done;
     }
 
-    private static List<ApplyStep> states(List<Apply> applies) {
-        return applies.stream().map(Apply::step).toList();
+    private static List<ApplyState> states(List<ApplyOperation> applies) {
+        return applies.stream().map(ApplyOperation::state).toList();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationManagerTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.rattanplank.core.NodeIdentity;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.member.LocalPeer;
 import org.rattanplank.core.member.PeerView;
 import org.rattanplank.core.store.FakeStore;
@@ -21,24 +21,26 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class ConfigurationsTest {
+class ConfigurationManagerTest {
     private static final long TICK_MILLIS = 100;
     private static final int HOST_COUNT = 360;
     private static final int DATA_CENTRE_COUNT = 82;
 
     private final FakeStore store = new FakeStore();
-    private final Configurations configurations = of("suva-1");
+    private final ConfigurationManager configurations = of("suva-1");
 
     @Test
     void shouldKeepActiveGenerationWhenReadIsOlder() {
         // Guards against treating the latest reply as the newest generation: generation 2 is active, and a lagging
         // member of the store answers the next read with generation 1. A retired host would receive work again for some
         // seconds.
-        store.write(Configurations.KEY, TestIntentFiles.document(1, "a").toText());
+        store.write(ConfigurationManager.KEY, TestIntentFiles.document(1, "a").toText());
         long old = store.revision();
-        store.write(Configurations.KEY, TestIntentFiles.document(2, "a", "b").toText());
-        configurations.storeReplied(1, store.call(new StoreCommand.Get(Configurations.KEY), 0), 0);
-        List<ConfigurationStep> actions = configurations.storeReplied(2, store.staleGet(Configurations.KEY, old), 100);
+        store.write(
+                ConfigurationManager.KEY, TestIntentFiles.document(2, "a", "b").toText());
+        configurations.storeReplied(1, store.call(new StoreCommand.Get(ConfigurationManager.KEY), 0), 0);
+        List<ConfigurationAction> actions =
+                configurations.storeReplied(2, store.staleGet(ConfigurationManager.KEY, old), 100);
         assertEquals(List.of(), actions);
         assertEquals(2, configurations.current().generation());
     }
@@ -48,12 +50,12 @@
         // Guards against activating the first answer: generation 2 was active, the host restarts, and the store answers
         // with generation 1 before any peer has reported. The restarted host would serve with an outdated
         // configuration.
-        configurations.peers(new PeerView(Set.of("suva-2"), List.of(), List.of()), 0);
+        configurations.updatePeers(new PeerView(Set.of("suva-2"), List.of(), List.of()), 0);
         StoreReply old = new StoreReply.Found(List.of(entry(TestIntentFiles.document(1, "a"))), 1);
         assertEquals(List.of(), configurations.storeReplied(1, old, 10));
-        configurations.peers(view("suva-2"), 20);
-        List<ConfigurationStep> actions = configurations.heard("suva-2", 2, 20);
-        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) actions.get(0)).message());
+        configurations.updatePeers(view("suva-2"), 20);
+        List<ConfigurationAction> actions = configurations.generationReported("suva-2", 2, 20);
+        assertInstanceOf(ConfigurationPull.class, ((ConfigurationAction.Send) actions.get(0)).message());
         assertEquals(0, configurations.current().generation());
         configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "a", "b")), 30);
         assertEquals(2, configurations.current().generation());
@@ -65,23 +67,23 @@
         configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "b")), 10);
         configurations.storeReplied(2, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "b"))), 2), 20);
         assertEquals(Set.of("a"), configurations.current().retiring());
-        assertEquals(1, configurations.disagreements());
+        assertEquals(1, configurations.digestMismatches());
     }
 
     @Test
     void shouldSendOnlyChangedFilesWhenPeerHasThePreviousGeneration() {
         Document first = TestIntentFiles.document(1, "a", "b");
         Document second = first.next(TestIntentFiles.retiring("a", "c"), "c2");
-        Configurations peer = of("suva-2");
+        ConfigurationManager peer = of("suva-2");
         peer.receive("suva-1", DocumentDelta.fullPush(first), 0);
         peer.tick(5_000);
-        configurations.peers(view("suva-2"), 0);
-        configurations.heard("suva-2", 1, 0);
+        configurations.updatePeers(view("suva-2"), 0);
+        configurations.generationReported("suva-2", 1, 0);
         configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
-        List<ConfigurationStep> actions =
+        List<ConfigurationAction> actions =
                 configurations.storeReplied(2, new StoreReply.Found(List.of(entry(second)), 2), 10);
         ConfigurationPush push =
-                assertInstanceOf(ConfigurationPush.class, ((ConfigurationStep.Send) actions.get(1)).message());
+                assertInstanceOf(ConfigurationPush.class, ((ConfigurationAction.Send) actions.get(1)).message());
         assertEquals("", push.document());
         assertEquals(Set.of("c"), push.changed().keySet());
         assertEquals(List.of("b"), push.removed());
@@ -93,11 +95,11 @@
     void shouldPullWhenDeltaHasAnotherBaseDocument() {
         Document first = TestIntentFiles.document(1, "a");
         configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
-        configurations.peers(view("suva-2"), 0);
+        configurations.updatePeers(view("suva-2"), 0);
         Document other = TestIntentFiles.document(1, "x");
         ConfigurationPush push = DocumentDelta.deltaPush(other, other.next(TestIntentFiles.retiring("x", "y"), "c2"));
-        List<ConfigurationStep> actions = configurations.receive("suva-2", push, 10);
-        assertInstanceOf(ConfigurationPull.class, ((ConfigurationStep.Send) actions.get(0)).message());
+        List<ConfigurationAction> actions = configurations.receive("suva-2", push, 10);
+        assertInstanceOf(ConfigurationPull.class, ((ConfigurationAction.Send) actions.get(0)).message());
         assertEquals(1, configurations.current().generation());
     }
 
@@ -106,8 +108,8 @@
         // Guards against overloading a store that has recovered: 360 hosts wait for it and call at once, because every
         // host reads, or because the readers retry without jitter. The store would reject calls because of their rate
         // and fail again.
-        store.write(Configurations.KEY, TestIntentFiles.document(1, "a").toText());
-        Map<String, Configurations> hosts = new TreeMap<>();
+        store.write(ConfigurationManager.KEY, TestIntentFiles.document(1, "a").toText());
+        Map<String, ConfigurationManager> hosts = new TreeMap<>();
         for (int host = 0; host < HOST_COUNT; host++) {
             hosts.put("host-" + host, of("host-" + host));
         }
@@ -119,14 +121,15 @@
         assertTrue(returned <= 2 * DATA_CENTRE_COUNT, "after an outage " + returned);
     }
 
-    private int maxCallsPerSecond(Map<String, Configurations> hosts, long fromMillis, long toMillis, boolean down) {
+    private int maxCallsPerSecond(
+            Map<String, ConfigurationManager> hosts, long fromMillis, long toMillis, boolean down) {
         Map<Long, Integer> calls = new TreeMap<>();
         for (long nowMillis = fromMillis; nowMillis < toMillis; nowMillis += TICK_MILLIS) {
             long timeMillis = nowMillis;
             hosts.forEach((name, host) -> {
-                host.peers(dataCentreView(Integer.parseInt(name.substring(5)), hosts, timeMillis), timeMillis);
-                for (ConfigurationStep action : host.tick(timeMillis)) {
-                    if (action instanceof ConfigurationStep.CallStore call) {
+                host.updatePeers(dataCentreView(Integer.parseInt(name.substring(5)), hosts, timeMillis), timeMillis);
+                for (ConfigurationAction action : host.tick(timeMillis)) {
+                    if (action instanceof ConfigurationAction.CallStore call) {
                         calls.merge(timeMillis / 1_000, 1, Integer::sum);
                         answer(host, call, timeMillis, down);
                     }
@@ -136,16 +139,16 @@
         return calls.values().stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    private void answer(Configurations host, ConfigurationStep.CallStore call, long nowMillis, boolean down) {
+    private void answer(ConfigurationManager host, ConfigurationAction.CallStore call, long nowMillis, boolean down) {
         if (!(call.command() instanceof StoreCommand.Watch)) {
             FakeStore.Fault fault = down ? FakeStore.Fault.DOWN : FakeStore.Fault.NONE;
             host.storeReplied(call.callId(), store.call(call.command(), fault, nowMillis), nowMillis);
         } else if (down) {
-            host.watchBroken(nowMillis);
+            host.watchFailed(nowMillis);
         }
     }
 
-    private static PeerView dataCentreView(int host, Map<String, Configurations> hosts, long nowMillis) {
+    private static PeerView dataCentreView(int host, Map<String, ConfigurationManager> hosts, long nowMillis) {
         List<LocalPeer> peers = new ArrayList<>();
         for (int other = host % DATA_CENTRE_COUNT; other < HOST_COUNT; other += DATA_CENTRE_COUNT) {
             if (other != host) {
@@ -164,10 +167,11 @@
     }
 
     private static org.rattanplank.core.store.StoreEntry entry(Document document) {
-        return new org.rattanplank.core.store.StoreEntry(Configurations.KEY, document.toText(), document.generation());
+        return new org.rattanplank.core.store.StoreEntry(
+                ConfigurationManager.KEY, document.toText(), document.generation());
     }
 
-    private static Configurations of(String host) {
-        return Configurations.of(new NodeIdentity(host, 1, Place.of("suva", "suva-hall")));
+    private static ConfigurationManager of(String host) {
+        return ConfigurationManager.of(new NodeIdentity(host, 1, Location.of("suva", "suva-hall")));
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/limit/AdmissionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/limit/AdmissionControlTest.java
@@ -14,10 +14,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class AdmissionTest {
+class AdmissionControlTest {
     private static final Backlog NONE = new Backlog(0, 1_000, 1_000);
 
-    private final Admission admission = Admission.of(new SplittableRandom(1));
+    private final AdmissionControl admission = AdmissionControl.of(new SplittableRandom(1));
 
     @Nested
     class Admit {
@@ -32,7 +32,7 @@
         @Test
         void shouldReturnTimeUntilBacklogShrinksWhenItIsTooLong() {
             Backlog long20 = new Backlog(20_000, 1_000, 1_000);
-            Refusal rejection = admission
+            Rejection rejection = admission
                     .admit(request("floor", WorkClass.INTERACTIVE, 11_000), 1, long20, 0)
                     .get();
             assertTrue(rejection.retryAfterMillis() >= 10_000 && rejection.retryAfterMillis() <= 15_000);
@@ -40,7 +40,7 @@
 
         @Test
         void shouldReturnNoRetryTimeWhenDeadlineIsShorterThanRun() {
-            Refusal rejection = admission
+            Rejection rejection = admission
                     .admit(request("floor", WorkClass.INTERACTIVE, 500), 1, NONE, 0)
                     .get();
             assertEquals(0, rejection.retryAfterMillis());
@@ -56,7 +56,7 @@
             int[] rejected = new int[2];
             for (int i = 0; i < 6_000; i++) {
                 String account = i % 2 == 0 ? "heavy" : "light-" + i % 20;
-                Option<Refusal> rejection =
+                Option<Rejection> rejection =
                         admission.admit(request(account, WorkClass.INTERACTIVE, 90_000), 1, overload, i * 10L);
                 rejected[i % 2] += rejection.isDefined() ? 1 : 0;
             }
@@ -118,17 +118,17 @@
         for (boolean request : events) {
             if (request) {
                 requests++;
-                budget.earn();
+                budget.recordRequest();
             } else {
-                retries += budget.spend(1) ? 1 : 0;
+                retries += budget.tryAcquire(1) ? 1 : 0;
             }
-            assertTrue(retries <= RetryBudget.BURST + RetryBudget.PER_REQUEST * requests + 1e-9);
+            assertTrue(retries <= RetryBudget.MAX_BURST_RETRIES + RetryBudget.RETRIES_PER_REQUEST * requests + 1e-9);
         }
     }
 
     private static int firstRejectedDepth(WorkClass workClass) {
         for (int depth = 0; depth < 100; depth++) {
-            Admission fresh = Admission.of(new SplittableRandom(1));
+            AdmissionControl fresh = AdmissionControl.of(new SplittableRandom(1));
             Backlog backlog = new Backlog(depth * 1_000, 1_000, 1_000);
             if (fresh.admit(request("floor", workClass, 30_000), 1, backlog, 0).isDefined()) {
                 return depth;
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -8,7 +8,7 @@
 import io.vavr.control.Option;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Configuration;
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.request.AttemptResult;
@@ -19,10 +19,10 @@
 
 /** Requests, targets and load reports for the routing tests. */
 final class Fixtures {
-    static final Place SUVA = Place.of("suva", "suva-hall");
+    static final Location SUVA = Location.of("suva", "suva-hall");
     static final String SERVICE = "plank-serve";
     static final Set<String> ANYWHERE = Set.of("suva", "lautoka");
-    static final AttemptResult ANSWERED = new AttemptResult.Whole(Answer.of(200, "", new byte[0]), List.of());
+    static final AttemptResult ANSWERED = new AttemptResult.Completed(Answer.of(200, "", new byte[0]), List.of());
     static final AttemptResult CONNECTION_REFUSED =
             new AttemptResult.NotRun(Failure.of(Step.CONNECT, "", "connection refused"), 0);
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
@@ -80,7 +80,7 @@
     /** Returns the result of an attempt with a whole answer. */
     static AttemptResult whole(String body) {
         byte[] bytes = body.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-        return new AttemptResult.Whole(Answer.of(200, "application/json", bytes), List.of());
+        return new AttemptResult.Completed(Answer.of(200, "application/json", bytes), List.of());
     }
 
     /** Returns the result of an attempt that definitely did not run. */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -42,7 +42,7 @@
     @Test
     void shouldRejectAtReceivingHostWhenResidencyForbidsItsRegion() {
         Session session = Koro.start();
-        Request forwarded = Koro.draft(session, "r1", "labasa").passedBy("labasa-1", false);
+        Request forwarded = Koro.draft(session, "r1", "labasa").forwardedBy("labasa-1", false);
         session.handleEvent("suva-1", new Event.PeerRequestReceived("labasa-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
         assertEquals(List.of(), session.pendingTargets("r1"));
@@ -56,7 +56,7 @@
     void shouldForwardAtMostOnceWhenRegionsHaveOppositeViews() {
         Session session = Koro.start();
         session.listAsLeaving("plank-lautoka").advance(4_000);
-        Request forwarded = Koro.draft(session, "r1", "suva").passedBy("suva-1", false);
+        Request forwarded = Koro.draft(session, "r1", "suva").forwardedBy("suva-1", false);
         session.handleEvent("lautoka-1", new Event.PeerRequestReceived("suva-1", 1, forwarded));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r1"));
     }
@@ -87,7 +87,7 @@
         session.end("r1", Koro.whole("second"));
         session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
-        assertEquals(((AttemptResult.Whole) Koro.whole("second")).answer(), answered.answer());
+        assertEquals(((AttemptResult.Completed) Koro.whole("second")).answer(), answered.answer());
         session.transcript().assertMatches("late-answer");
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -81,7 +81,9 @@
             }
             assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome(id));
         }
-        assertTrue(attempts <= REQUESTS * (1 + RetryBudget.PER_REQUEST) + RetryBudget.BURST, "attempts: " + attempts);
+        assertTrue(
+                attempts <= REQUESTS * (1 + RetryBudget.RETRIES_PER_REQUEST) + RetryBudget.MAX_BURST_RETRIES,
+                "attempts: " + attempts);
         session.transcript().assertMatches("retry-storm");
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -17,8 +17,8 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
-import org.rattanplank.core.intent.Configurations;
+import org.rattanplank.core.host.Location;
+import org.rattanplank.core.intent.ConfigurationManager;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Outcome;
@@ -119,14 +119,14 @@
 
     /** Adds a target to the platform's host list. */
     Session addTarget(String name, String service, String region, String dataCentre) {
-        listed.add(
-                new ListedHost(name, HostRole.TARGET, Place.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
+        listed.add(new ListedHost(
+                name, HostRole.TARGET, Location.of(region, dataCentre), "127.0.0.1", 1, 0, service, false));
         return this;
     }
 
     /** Starts an entry host, and adds it to the platform's host list if it is not listed. */
     Session start(String host, String region, String dataCentre) {
-        Place place = Place.of(region, dataCentre);
+        Location place = Location.of(region, dataCentre);
         listed.removeIf(known -> known.name().equals(host));
         listed.add(new ListedHost(host, HostRole.ENTRY, place, "127.0.0.1", 1, 1, "", false));
         NodeIdentity identity = new NodeIdentity(host, nowMillis, place);
@@ -138,7 +138,7 @@
 
     /** Applies a configuration document, and lets every running node read the host list and the document. */
     Session configure(String document) {
-        store.write(Configurations.KEY, document);
+        store.write(ConfigurationManager.KEY, document);
         publishList();
         return advance(2_000);
     }
@@ -157,7 +157,7 @@
                 ? new ListedHost(
                         known.name(),
                         known.role(),
-                        known.place(),
+                        known.location(),
                         known.address(),
                         known.port(),
                         known.peerPort(),
@@ -253,9 +253,9 @@
         }
         for (ListedHost target : listed) {
             if (target.isTarget()
-                    && target.place()
+                    && target.location()
                             .region()
-                            .equals(identities.get(host).place().region())) {
+                            .equals(identities.get(host).location().region())) {
                 handleEvent(host, new Event.LoadReported(loadOf(target)));
             }
         }
@@ -362,7 +362,7 @@
 
     private static AttemptResult resultOf(Outcome outcome) {
         if (outcome instanceof Outcome.Answered answered) {
-            return new AttemptResult.Whole(answered.answer(), answered.path());
+            return new AttemptResult.Completed(answered.answer(), answered.path());
         } else if (outcome instanceof Outcome.NotRun notRun) {
             return new AttemptResult.NotRun(notRun.failure(), notRun.retryAfterMillis());
         }
@@ -387,8 +387,8 @@
                     new Event.PeerConnected(
                             other,
                             peer.incarnation(),
-                            peer.place().region(),
-                            peer.place().dataCentre())));
+                            peer.location().region(),
+                            peer.location().dataCentre())));
         }
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
@@ -13,7 +13,7 @@
 import org.rattanplank.core.Node;
 import org.rattanplank.core.NodeIdentity;
 import org.rattanplank.core.claim.ClaimLimits;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Step;
@@ -22,7 +22,7 @@
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.caller.CallerLimits;
 import org.rattanplank.daemon.caller.CallerServer;
-import org.rattanplank.daemon.http.Exchanges;
+import org.rattanplank.daemon.http.ExchangeClient;
 import org.rattanplank.daemon.http.WebClient;
 import org.rattanplank.daemon.metric.DaemonMetrics;
 import org.rattanplank.daemon.metric.LinkTrafficCounter;
@@ -32,10 +32,10 @@
 import org.rattanplank.daemon.peer.PeerSizes;
 import org.rattanplank.daemon.peer.PeerTimes;
 import org.rattanplank.daemon.platform.Directory;
-import org.rattanplank.daemon.platform.HostsPoller;
+import org.rattanplank.daemon.platform.HostListPoller;
+import org.rattanplank.daemon.runtime.IoResources;
 import org.rattanplank.daemon.runtime.MillisClock;
 import org.rattanplank.daemon.runtime.NodeRunner;
-import org.rattanplank.daemon.runtime.Resources;
 import org.rattanplank.daemon.setting.generated.DaemonSettings;
 import org.rattanplank.daemon.store.EtcdStore;
 import org.rattanplank.daemon.target.AttemptLimits;
@@ -73,7 +73,7 @@
     private final Targets targets;
     private final Links links;
     private final EtcdStore store;
-    private final HostsPoller hostsPoller;
+    private final HostListPoller hostsPoller;
     private final TargetPoller targetPoller;
     private final CallerServer callerServer;
     private final OperatorServer operatorServer;
@@ -93,16 +93,16 @@
                 bytes -> metrics.traffic("control", "in", bytes));
         calls = Calls.of((int) settings.maxRequests());
         NodeIdentity self = new NodeIdentity(
-                settings.host(), clock.startMillis(), Place.of(settings.region(), settings.dataCentre()));
+                settings.host(), clock.startMillis(), Location.of(settings.region(), settings.dataCentre()));
         long seed = settings.seed() == 0 ? clock.startMillis() : settings.seed();
         node = Node.of(self, Policy.of(settings.policy()).getOrElse(Policy.COST), claimLimits(settings), seed);
         runner = NodeRunner.of(node, clock, this::execute, (int) settings.workers(), (int) settings.maxBacklog());
         tracer = RequestTracer.of(TraceExporter.of(settings.traceExporter()), settings.host(), settings.traceUrl());
         instrumentation = new NodeInstrumentation(runner, calls, metrics, tracer);
-        Resources resources = new Resources(
+        IoResources resources = new IoResources(
                 controller.getEventLoopGroup(),
                 client,
-                Exchanges.of(settings.connectTimeoutMillis()),
+                ExchangeClient.of(settings.connectTimeoutMillis()),
                 instrumentation,
                 clock);
         targets = new Targets(resources, directory, attemptLimits(), settings.pollTimeoutMillis());
@@ -121,8 +121,8 @@
                 settings.watchRenewMillis(),
                 settings.storeCallsPerSecond(),
                 metrics::storeReplied);
-        hostsPoller =
-                HostsPoller.of(client, settings.hostsUrl(), settings.pollTimeoutMillis(), directory, instrumentation);
+        hostsPoller = HostListPoller.of(
+                client, settings.hostsUrl(), settings.pollTimeoutMillis(), directory, instrumentation);
         targetPoller = new TargetPoller(resources, directory, settings.region(), settings.pollTimeoutMillis());
         callerServer = new CallerServer(settings.host(), node, calls, instrumentation, clock, callerLimits());
         operatorServer = new OperatorServer(node, () -> stop.start(this::startDraining), clock, metrics::text);
@@ -158,7 +158,7 @@
      * @return the number of requests
      */
     public int unfinishedRequests() {
-        int unsentPeerResponses = peerServer.map(PeerServer::unsentAnswers).getOrElse(0);
+        int unsentPeerResponses = peerServer.map(PeerServer::unsentResponses).getOrElse(0);
         return Math.max(calls.size(), callerServer.unsentResponses() + unsentPeerResponses);
     }
 
@@ -217,7 +217,7 @@
     private void addGauges() {
         metrics.gauge("requests_in_flight", calls::size);
         metrics.gauge("attempts_at_targets", targets::size);
-        metrics.gauge("attempts_forwarded", links.forwards()::size);
+        metrics.gauge("attempts_forwarded", links.forwardedAttempts()::size);
         metrics.gauge("events_waiting", runner::backlog);
         metrics.gauge("caller_connections", callerServer::openConnections);
         metrics.gauge("claim_view_number", () -> (int) node.status().viewNumber());
@@ -241,7 +241,7 @@
         } else if (action instanceof Action.CancelAttempt cancel) {
             instrumentation.attemptCancelled(cancel);
             targets.cancel(cancel.requestId(), cancel.attempt());
-            links.forwards().cancel(cancel.requestId(), cancel.attempt());
+            links.forwardedAttempts().cancel(cancel.requestId(), cancel.attempt());
         } else if (action instanceof Action.Finish finish) {
             instrumentation.requestFinished(finish);
             calls.finish(finish.requestId(), finish.outcome());
@@ -250,9 +250,9 @@
         } else if (action instanceof Action.CallStore call) {
             store.call(call);
         } else if (action instanceof Action.OrderTarget order) {
-            targets.order(order);
+            targets.sendOrder(order);
         } else if (action instanceof Action.KeepLinks keep) {
-            links.keep(keep.hosts());
+            links.setPersistentHosts(keep.hosts());
         } else if (action instanceof Action.Stop) {
             advanceDrain(new CallerDrain(callerServer, this::unfinishedRequests, clock::nowMillis));
         }
@@ -264,7 +264,7 @@
     }
 
     private void advanceDrain(CallerDrain drain) {
-        if (drain.advance() && peerServer.forAll(PeerServer::end) && unfinishedRequests() == 0) {
+        if (drain.advance() && peerServer.forAll(PeerServer::closeIdleConnections) && unfinishedRequests() == 0) {
             stop.complete();
         } else if (!stop.isTerminated()) {
             pollers.schedule(() -> advanceDrain(drain), DRAIN_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
@@ -278,7 +278,7 @@
                     if (start.route() instanceof Route.ToTarget) {
                         targets.start(call, start, traceParent);
                     } else {
-                        links.forwards().start(call, start, traceParent);
+                        links.forwardedAttempts().start(call, start, traceParent);
                     }
                 })
                 .onEmpty(() -> {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
@@ -12,7 +12,7 @@
 import org.rattanplank.daemon.call.AttemptKey;
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.metric.DaemonMetrics;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
 import org.rattanplank.daemon.trace.RequestTracer;
 
 /**
@@ -20,18 +20,18 @@
  *
  * <p>Invariant: events and actions are passed on unchanged. Thread safe; running attempts are in a concurrent map.
  */
-final class NodeInstrumentation implements Events {
+final class NodeInstrumentation implements EventSink {
     private static final String TARGET = "target";
     private static final String FORWARD = "forward";
     private static final String NOT_RUN = "not run";
 
-    private final Events node;
+    private final EventSink node;
     private final Calls calls;
     private final DaemonMetrics metrics;
     private final RequestTracer tracer;
     private final Map<AttemptKey, RunningAttempt> attempts = new ConcurrentHashMap<>();
 
-    NodeInstrumentation(Events node, Calls calls, DaemonMetrics metrics, RequestTracer tracer) {
+    NodeInstrumentation(EventSink node, Calls calls, DaemonMetrics metrics, RequestTracer tracer) {
         this.node = node;
         this.calls = calls;
         this.metrics = metrics;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Rattanplankd.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Rattanplankd.java
@@ -4,7 +4,7 @@
 
 import io.vavr.control.Either;
 import io.vavr.control.Try;
-import org.rattanplank.daemon.setting.SettingFault;
+import org.rattanplank.daemon.setting.SettingError;
 import org.rattanplank.daemon.setting.SettingsReader;
 import org.rattanplank.daemon.setting.generated.DaemonFlags;
 import org.rattanplank.daemon.setting.generated.DaemonSettings;
@@ -35,9 +35,9 @@
             System.out.print(SettingsReader.help());
             return SUCCESS;
         }
-        Either<List<SettingFault>, DaemonSettings> settings = SettingsReader.read(arguments, System.getenv());
+        Either<List<SettingError>, DaemonSettings> settings = SettingsReader.read(arguments, System.getenv());
         if (settings.isLeft()) {
-            settings.getLeft().forEach(fault -> System.err.println(fault.line()));
+            settings.getLeft().forEach(fault -> System.err.println(fault.message()));
             return INVALID_SETTINGS;
         }
         if (flags.isCheck()) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Attempts.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/AttemptExecutor.java
@@ -3,7 +3,7 @@
 import org.rattanplank.core.Action;
 
 /** Executes attempts at one kind of peer. Implementations are thread safe and never block. */
-public interface Attempts {
+public interface AttemptExecutor {
 
     /**
      * Starts an attempt, which ends with one {@code AttemptEnded} event unless it is cancelled.
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
@@ -19,16 +19,16 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Request request;
     private final Envelope envelope;
-    private final Asker asker;
+    private final Requester requester;
     private int currentAttempt = NO_ATTEMPT;
     private String streamId = "";
-    private long partsPassedOn;
+    private long streamEventsDelivered;
     private boolean finished;
 
-    private Call(Request request, Envelope envelope, Asker requester) {
+    private Call(Request request, Envelope envelope, Requester requester) {
         this.request = request;
         this.envelope = envelope;
-        this.asker = requester;
+        this.requester = requester;
     }
 
     /**
@@ -39,7 +39,7 @@
      * @param requester the requester
      * @return the call
      */
-    public static Call of(Request request, Envelope envelope, Asker requester) {
+    public static Call of(Request request, Envelope envelope, Requester requester) {
         return new Call(request, envelope, requester);
     }
 
@@ -66,10 +66,10 @@
      *
      * @return the number of events
      */
-    public long partsPassedOn() {
+    public long streamEventsDelivered() {
         lock.lock();
         try {
-            return partsPassedOn;
+            return streamEventsDelivered;
         } finally {
             lock.unlock();
         }
@@ -83,7 +83,7 @@
      * @param newStreamId the identifier to send to the target if the attempt does not resume a stream
      * @return the identifier to send to the target
      */
-    public String begin(int attempt, boolean resumes, String newStreamId) {
+    public String beginAttempt(int attempt, boolean resumes, String newStreamId) {
         lock.lock();
         try {
             currentAttempt = attempt;
@@ -101,7 +101,7 @@
      *
      * @param attempt the attempt's number
      */
-    public void end(int attempt) {
+    public void endAttempt(int attempt) {
         lock.lock();
         try {
             if (currentAttempt == attempt) {
@@ -121,21 +121,21 @@
      * @param path the hosts and the target behind this host that the event passed through
      * @return whether the event was delivered, or why not
      */
-    public Relayed relay(int attempt, long number, byte[] event, List<String> path) {
+    public RelayResult relay(int attempt, long number, byte[] event, List<String> path) {
         lock.lock();
         try {
             if (finished || attempt != currentAttempt) {
-                return Relayed.STALE;
+                return RelayResult.STALE;
             }
-            if (number < partsPassedOn) {
-                return Relayed.DUPLICATE;
+            if (number < streamEventsDelivered) {
+                return RelayResult.DUPLICATE;
             }
-            if (number > partsPassedOn) {
-                return Relayed.GAP;
+            if (number > streamEventsDelivered) {
+                return RelayResult.GAP;
             }
-            asker.part(number, event, path);
-            partsPassedOn++;
-            return Relayed.PASSED_ON;
+            requester.streamEvent(number, event, path);
+            streamEventsDelivered++;
+            return RelayResult.PASSED_ON;
         } finally {
             lock.unlock();
         }
@@ -154,7 +154,7 @@
                 return false;
             }
             finished = true;
-            asker.finish(outcome);
+            requester.finish(outcome);
             return true;
         } finally {
             lock.unlock();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Relayed.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/RelayResult.java
@@ -1,7 +1,7 @@
 package org.rattanplank.daemon.call;
 
 /** Result of relaying a stream event from an attempt to the requester. */
-public enum Relayed {
+public enum RelayResult {
     /** The event was delivered. */
     PASSED_ON,
     /** The event had been delivered before. */
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Asker.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Requester.java
@@ -8,7 +8,7 @@
  * Receives the response of a request: a caller, or the entry host that forwarded the request. Implementations never
  * block; {@link Call} serializes the calls.
  */
-public interface Asker {
+public interface Requester {
 
     /**
      * Delivers an event of a streamed response.
@@ -17,7 +17,7 @@
      * @param event one encoded server-sent event
      * @param path the hosts and the target behind this host that the event passed through
      */
-    void part(long number, byte[] event, List<String> path);
+    void streamEvent(long number, byte[] event, List<String> path);
 
     /**
      * Delivers the outcome; called at most once.
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerConnection.java
@@ -16,7 +16,7 @@
 import io.netty.util.ReferenceCountUtil;
 import io.netty.util.concurrent.Future;
 import io.vavr.control.Option;
-import org.rattanplank.daemon.http.WaitingBytes;
+import org.rattanplank.daemon.http.PendingInput;
 
 /**
  * Enforces the limits of one connection of a caller.
@@ -137,7 +137,7 @@
     }
 
     private boolean hasRequestAfterRead(ChannelHandlerContext context) {
-        WaitingBytes.read(context.channel());
+        PendingInput.read(context.channel());
         return context.channel().isActive() && !isIdle();
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
@@ -22,7 +22,7 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Calls;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
 import org.rattanplank.daemon.runtime.MillisClock;
 import org.tinylog.Logger;
 import ratpack.error.ServerErrorHandler;
@@ -47,7 +47,7 @@
     private final String host;
     private final Node node;
     private final Calls calls;
-    private final Events events;
+    private final EventSink events;
     private final MillisClock clock;
     private final CallerLimits limits;
     private final TokenAuthenticator authenticator = new TokenAuthenticator();
@@ -68,7 +68,7 @@
      * @param clock the clock
      * @param limits the limits on connections and requests
      */
-    public CallerServer(String host, Node node, Calls calls, Events events, MillisClock clock, CallerLimits limits) {
+    public CallerServer(String host, Node node, Calls calls, EventSink events, MillisClock clock, CallerLimits limits) {
         this.host = host;
         this.node = node;
         this.calls = calls;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/HttpRequester.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/HttpRequester.java
@@ -8,7 +8,7 @@
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Outcome;
 import org.rattanplank.core.request.Step;
-import org.rattanplank.daemon.call.Asker;
+import org.rattanplank.daemon.call.Requester;
 
 /**
  * A caller that waits for its response on a connection.
@@ -16,7 +16,7 @@
  * <p>Invariant: it gets one response, and the final event of a stream only if the outcome is {@code answered}. Guarded by
  * the lock of its call except for {@link #abandon}, which any thread may call.
  */
-final class HttpRequester implements Asker {
+final class HttpRequester implements Requester {
     private static final byte[] STREAM_END_EVENT = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final String requestId;
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public void part(long number, byte[] event, List<String> path) {
+    public void streamEvent(long number, byte[] event, List<String> path) {
         startStream(io.vavr.collection.List.ofAll(path).prepend(host).asJava());
         streamEvents.add(event);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Failures.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ConnectionFailures.java
@@ -5,10 +5,10 @@
 import io.netty.channel.ConnectTimeoutException;
 
 /** Describes connection errors in short texts without addresses. Stateless and thread safe. */
-public final class Failures {
+public final class ConnectionFailures {
     private static final String REFUSED_MESSAGE = "refused";
 
-    private Failures() {}
+    private ConnectionFailures() {}
 
     /**
      * Returns whether a connection was refused, which shows that no process listens on the address.
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/Exchanges.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeClient.java
@@ -17,14 +17,14 @@
  * unresponsive one affects one attempt only, and a late response cannot be mistaken for that of a later request. Thread
  * safe.
  */
-public final class Exchanges {
+public final class ExchangeClient {
     private static final int MAX_STATUS_LINE_BYTES = 8_192;
     private static final int MAX_HEADER_BYTES = 32_768;
     private static final int MAX_CHUNK_BYTES = 65_536;
 
     private final int connectTimeoutMillis;
 
-    private Exchanges(int connectTimeoutMillis) {
+    private ExchangeClient(int connectTimeoutMillis) {
         this.connectTimeoutMillis = connectTimeoutMillis;
     }
 
@@ -34,8 +34,8 @@
      * @param connectTimeoutMillis the timeout for establishing a connection
      * @return the client
      */
-    public static Exchanges of(long connectTimeoutMillis) {
-        return new Exchanges(Math.toIntExact(connectTimeoutMillis));
+    public static ExchangeClient of(long connectTimeoutMillis) {
+        return new ExchangeClient(Math.toIntExact(connectTimeoutMillis));
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param listener receives the response
      * @return the exchange, which can be closed
      */
-    public Exchange start(EventLoop loop, ExchangeCall request, ExchangeListener listener) {
+    public Exchange start(EventLoop loop, ExchangeRequest request, ExchangeListener listener) {
         ExchangeHandler handler = new ExchangeHandler(request, listener);
         ChannelFuture connecting = new Bootstrap()
                 .group(loop)
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeHandler.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeHandler.java
@@ -22,12 +22,12 @@
  * a truncated one would look the same. Confined to the channel's event loop except for {@link #detach}.
  */
 final class ExchangeHandler extends SimpleChannelInboundHandler<HttpObject> {
-    private final ExchangeCall request;
+    private final ExchangeRequest request;
     private final ExchangeListener listener;
     private boolean maybeSent;
     private volatile boolean ended;
 
-    ExchangeHandler(ExchangeCall request, ExchangeListener listener) {
+    ExchangeHandler(ExchangeRequest request, ExchangeListener listener) {
         this.request = request;
         this.listener = listener;
     }
@@ -37,7 +37,7 @@
     }
 
     void connectFailed(Throwable cause) {
-        fail(Failures.reasonOf(cause));
+        fail(ConnectionFailures.reasonOf(cause));
     }
 
     @Override
@@ -55,7 +55,7 @@
         maybeSent = true;
         context.writeAndFlush(httpRequest).addListener(written -> {
             if (!written.isSuccess()) {
-                fail(Failures.reasonOf(written.cause()));
+                fail(ConnectionFailures.reasonOf(written.cause()));
                 context.close();
             }
         });
@@ -76,7 +76,7 @@
             return;
         }
         if (message instanceof HttpContent content && content.content().isReadable()) {
-            listener.content(ByteBufUtil.getBytes(content.content()));
+            listener.contentReceived(ByteBufUtil.getBytes(content.content()));
         }
         if (message instanceof LastHttpContent && !ended) {
             ended = true;
@@ -92,7 +92,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        fail(Failures.reasonOf(cause));
+        fail(ConnectionFailures.reasonOf(cause));
         context.close();
     }
 
@@ -105,7 +105,7 @@
             fail("the response has neither a content length nor chunked encoding");
             return false;
         }
-        listener.head(status, response.headers());
+        listener.headersReceived(status, response.headers());
         return true;
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeListener.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeListener.java
@@ -14,14 +14,14 @@
      * @param status the HTTP status
      * @param headers the headers
      */
-    void head(int status, HttpHeaders headers);
+    void headersReceived(int status, HttpHeaders headers);
 
     /**
      * Called when a chunk of the body was received.
      *
      * @param bytes the bytes
      */
-    void content(byte[] bytes);
+    void contentReceived(byte[] bytes);
 
     /** Called when the body was received completely according to its content length or chunked encoding. */
     void ended();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/ExchangeRequest.java
@@ -14,9 +14,9 @@
  * @param headers the headers except for host and content length
  * @param body the body
  */
-public record ExchangeCall(
+public record ExchangeRequest(
         String address, int port, String method, String path, Map<String, String> headers, byte[] body) {
-    public ExchangeCall {
+    public ExchangeRequest {
         Objects.requireNonNull(address, "address");
         Objects.requireNonNull(method, "method");
         Objects.requireNonNull(path, "path");
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WaitingBytes.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/PendingInput.java
@@ -12,11 +12,11 @@
  * Reads the input that is pending in the socket of a connection, so that the connection is not closed as idle while a
  * request is pending. Stateless; must be called on the connection's event loop.
  */
-public final class WaitingBytes {
+public final class PendingInput {
     private static final int MAX_READ_BYTES = 65_536;
     private static final int END_OF_STREAM = -1;
 
-    private WaitingBytes() {}
+    private PendingInput() {}
 
     /**
      * Reads the pending input and passes it to the connection's handlers.
@@ -25,7 +25,7 @@
      */
     public static void read(Channel channel) {
         if (!(channel instanceof EpollSocketChannel epoll)) {
-            org.rattanplank.gateway.http.WaitingBytes.read(channel);
+            org.rattanplank.gateway.http.PendingInput.read(channel);
             return;
         }
         if (!channel.isActive()) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebClient.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebClient.java
@@ -63,8 +63,8 @@
      * @param request the request
      * @return the result, which never completes exceptionally
      */
-    public CompletableFuture<WebReply> send(WebCall request) {
-        CompletableFuture<WebReply> result = new CompletableFuture<>();
+    public CompletableFuture<WebResult> send(WebRequest request) {
+        CompletableFuture<WebResult> result = new CompletableFuture<>();
         sentBytes.accept(request.body().length);
         controller.fork().onError(error -> result.complete(resultOf(error))).start(execution -> client.request(
                         request.uri(), spec -> configure(request, spec))
@@ -73,7 +73,7 @@
         // Ratpack restarts its read timeout with each received byte, so it does not limit the duration of a slow
         // response.
         return result.completeOnTimeout(
-                new WebReply.Lost("no response within the timeout"), request.timeoutMillis(), TimeUnit.MILLISECONDS);
+                new WebResult.Lost("no response within the timeout"), request.timeoutMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -81,7 +81,7 @@
         client.close();
     }
 
-    private static void configure(WebCall request, RequestSpec spec) {
+    private static void configure(WebRequest request, RequestSpec spec) {
         spec.method(HttpMethod.of(request.method()));
         spec.redirects(0);
         spec.readTimeout(Duration.ofMillis(request.timeoutMillis()));
@@ -91,14 +91,14 @@
         }
     }
 
-    private WebReply resultOf(ReceivedResponse response) {
+    private WebResult resultOf(ReceivedResponse response) {
         byte[] body = response.getBody().getBytes();
         receivedBytes.accept(body.length);
-        return new WebReply.Answered(response.getStatusCode(), body);
+        return new WebResult.Response(response.getStatusCode(), body);
     }
 
-    private static WebReply resultOf(Throwable error) {
-        String reason = Failures.reasonOf(error);
-        return error instanceof ConnectException ? new WebReply.NotSent(reason) : new WebReply.Lost(reason);
+    private static WebResult resultOf(Throwable error) {
+        String reason = ConnectionFailures.reasonOf(error);
+        return error instanceof ConnectException ? new WebResult.NotSent(reason) : new WebResult.Lost(reason);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebRequest.java
@@ -13,8 +13,8 @@
  * @param body the body, or empty; JSON unless the headers set another media type
  * @param timeoutMillis the timeout of the complete exchange
  */
-public record WebCall(String method, URI uri, Map<String, String> headers, byte[] body, long timeoutMillis) {
-    public WebCall {
+public record WebRequest(String method, URI uri, Map<String, String> headers, byte[] body, long timeoutMillis) {
+    public WebRequest {
         Objects.requireNonNull(method, "method");
         Objects.requireNonNull(uri, "uri");
         headers = Map.copyOf(headers);
@@ -28,8 +28,8 @@
      * @param timeoutMillis the timeout of the complete exchange
      * @return the request
      */
-    public static WebCall get(URI uri, long timeoutMillis) {
-        return new WebCall("GET", uri, Map.of(), new byte[0], timeoutMillis);
+    public static WebRequest get(URI uri, long timeoutMillis) {
+        return new WebRequest("GET", uri, Map.of(), new byte[0], timeoutMillis);
     }
 
     /**
@@ -40,8 +40,8 @@
      * @param timeoutMillis the timeout of the complete exchange
      * @return the request
      */
-    public static WebCall post(URI uri, byte[] json, long timeoutMillis) {
-        return new WebCall("POST", uri, Map.of(), json, timeoutMillis);
+    public static WebRequest post(URI uri, byte[] json, long timeoutMillis) {
+        return new WebRequest("POST", uri, Map.of(), json, timeoutMillis);
     }
 
     /**
@@ -51,8 +51,8 @@
      * @param timeoutMillis the timeout of the complete exchange
      * @return the request
      */
-    public static WebCall delete(URI uri, long timeoutMillis) {
-        return new WebCall("DELETE", uri, Map.of(), new byte[0], timeoutMillis);
+    public static WebRequest delete(URI uri, long timeoutMillis) {
+        return new WebRequest("DELETE", uri, Map.of(), new byte[0], timeoutMillis);
     }
 
     /**
@@ -62,9 +62,9 @@
      * @param value the header's value
      * @return the copy
      */
-    public WebCall withHeader(String name, String value) {
+    public WebRequest withHeader(String name, String value) {
         Map<String, String> extendedHeaders = new java.util.HashMap<>(headers);
         extendedHeaders.put(name, value);
-        return new WebCall(method, uri, extendedHeaders, body, timeoutMillis);
+        return new WebRequest(method, uri, extendedHeaders, body, timeoutMillis);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebReply.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/http/WebResult.java
@@ -1,7 +1,7 @@
 package org.rattanplank.daemon.http;
 
 /** Result of a short HTTP request. Immutable and thread safe. */
-public sealed interface WebReply {
+public sealed interface WebResult {
 
     /**
      * A response was received, with any status.
@@ -9,7 +9,7 @@
      * @param status the HTTP status
      * @param body the body
      */
-    record Answered(int status, byte[] body) implements WebReply {
+    record Response(int status, byte[] body) implements WebResult {
 
         /**
          * Returns whether the request succeeded.
@@ -26,14 +26,14 @@
      *
      * @param reason a short description of the failure
      */
-    record NotSent(String reason) implements WebReply {}
+    record NotSent(String reason) implements WebResult {}
 
     /**
      * The request was or may have been sent, but no complete response was received.
      *
      * @param reason a short description of the failure
      */
-    record Lost(String reason) implements WebReply {}
+    record Lost(String reason) implements WebResult {}
 
     /**
      * Returns the response body of a successful request.
@@ -41,7 +41,7 @@
      * @return the body, or none if the request did not succeed
      */
     default io.vavr.control.Option<byte[]> successBody() {
-        return this instanceof Answered answered && answered.isSuccess()
+        return this instanceof Response answered && answered.isSuccess()
                 ? io.vavr.control.Option.some(answered.body())
                 : io.vavr.control.Option.none();
     }
