--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/DaemonMetrics.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/DaemonMetrics.java
@@ -104,7 +104,7 @@
     }
 
     private static String labelOf(AttemptResult result) {
-        if (result instanceof AttemptResult.Whole) {
+        if (result instanceof AttemptResult.Completed) {
             return ANSWERED;
         }
         return result instanceof AttemptResult.NotRun ? "not run" : "lost";
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/LinkTrafficCounter.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/metric/LinkTrafficCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-import org.rattanplank.daemon.peer.Traffic;
+import org.rattanplank.daemon.peer.TrafficCounter;
 import org.rattanplank.schema.message.ClaimMessage;
 import org.rattanplank.schema.message.PeerMessage;
 import org.rattanplank.schema.message.RequestMessage;
@@ -12,7 +12,7 @@
  *
  * @param metrics the metrics to update
  */
-public record LinkTrafficCounter(DaemonMetrics metrics) implements Traffic {
+public record LinkTrafficCounter(DaemonMetrics metrics) implements TrafficCounter {
     private static final String IN = "in";
     private static final String OUT = "out";
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardAttempt.java
@@ -12,7 +12,7 @@
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Step;
 import org.rattanplank.daemon.call.Call;
-import org.rattanplank.daemon.call.Relayed;
+import org.rattanplank.daemon.call.RelayResult;
 import org.rattanplank.schema.message.ForwardChunk;
 import org.rattanplank.schema.message.ForwardEnd;
 import org.rattanplank.schema.message.ForwardHead;
@@ -82,7 +82,7 @@
     }
 
     synchronized AttemptResult lost(String reason) {
-        return new AttemptResult.Lost(Failure.of(Step.FORWARD, host, reason), call.partsPassedOn());
+        return new AttemptResult.Lost(Failure.of(Step.FORWARD, host, reason), call.streamEventsDelivered());
     }
 
     AttemptResult notRun(String reason) {
@@ -100,8 +100,8 @@
                     ? Option.some(lost("the response exceeds the size limit"))
                     : Option.none();
         }
-        Relayed relayed = call.relay(attempt, chunk.number(), chunk.body(), path());
-        return relayed == Relayed.GAP ? Option.some(lost("events of the stream are missing")) : Option.none();
+        RelayResult relayed = call.relay(attempt, chunk.number(), chunk.body(), path());
+        return relayed == RelayResult.GAP ? Option.some(lost("events of the stream are missing")) : Option.none();
     }
 
     private List<String> path() {
@@ -117,7 +117,7 @@
         return switch (end.outcome()) {
             case "answered" -> completeResult(end);
             case "not run" -> new AttemptResult.NotRun(failureOf(end), end.retryAfterMillis());
-            default -> new AttemptResult.Lost(failureOf(end), call.partsPassedOn());
+            default -> new AttemptResult.Lost(failureOf(end), call.streamEventsDelivered());
         };
     }
 
@@ -129,7 +129,7 @@
         Answer response = isStream()
                 ? Answer.ofStream((int) first.status(), first.contentType())
                 : Answer.of((int) first.status(), first.contentType(), body.toByteArray());
-        return new AttemptResult.Whole(response, end.target().isEmpty() ? List.of() : List.of(end.target()));
+        return new AttemptResult.Completed(response, end.target().isEmpty() ? List.of() : List.of(end.target()));
     }
 
     private Failure failureOf(ForwardEnd end) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
@@ -9,11 +9,11 @@
 import org.rattanplank.core.Event;
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Request;
+import org.rattanplank.daemon.call.AttemptExecutor;
 import org.rattanplank.daemon.call.AttemptKey;
-import org.rattanplank.daemon.call.Attempts;
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Envelope;
-import org.rattanplank.daemon.runtime.Resources;
+import org.rattanplank.daemon.runtime.IoResources;
 import org.rattanplank.schema.message.ForwardCancel;
 import org.rattanplank.schema.message.ForwardChunk;
 import org.rattanplank.schema.message.ForwardEnd;
@@ -28,8 +28,8 @@
  * the attempts already written to it end as lost at once, since a response can only arrive on the same connection.
  * Thread safe: the table is a concurrent map.
  */
-public final class ForwardedAttempts implements Attempts {
-    private final Resources resources;
+public final class ForwardedAttempts implements AttemptExecutor {
+    private final IoResources resources;
     private final Links links;
     private final int maxResponseBytes;
     private final Map<AttemptKey, ForwardAttempt> active = new ConcurrentHashMap<>();
@@ -41,7 +41,7 @@
      * @param links the links to other hosts
      * @param maxResponseBytes the largest buffered response
      */
-    public ForwardedAttempts(Resources resources, Links links, int maxResponseBytes) {
+    public ForwardedAttempts(IoResources resources, Links links, int maxResponseBytes) {
         this.resources = resources;
         this.links = links;
         this.maxResponseBytes = maxResponseBytes;
@@ -52,7 +52,7 @@
         AttemptKey key = new AttemptKey(start.requestId(), start.attempt());
         String host = start.route().peer();
         ForwardAttempt attempt = new ForwardAttempt(call, start.attempt(), host, maxResponseBytes);
-        call.begin(start.attempt(), false, "");
+        call.beginAttempt(start.attempt(), false, "");
         active.put(key, attempt);
         long remainingMillis =
                 Math.max(0, start.timeoutMillis() - resources.clock().nowMillis());
@@ -75,7 +75,7 @@
     public void cancel(String requestId, int attempt) {
         Option.of(active.remove(new AttemptKey(requestId, attempt))).forEach(cancelled -> {
             cancelled.cancelDeadlineTimer();
-            cancelled.call().end(attempt);
+            cancelled.call().endAttempt(attempt);
             links.send(cancelled.host(), new ForwardCancel(requestId, attempt), SendListener.IGNORE);
         });
     }
@@ -106,7 +106,7 @@
         }
         attempt.get().receive(message).forEach(result -> end(key, result));
         if (message instanceof ForwardChunk && active.containsKey(key)) {
-            long eventsDelivered = attempt.get().call().partsPassedOn();
+            long eventsDelivered = attempt.get().call().streamEventsDelivered();
             if (eventsDelivered > 0) {
                 resources.events().raise(new Event.StreamProgressed(key.requestId(), key.attempt(), eventsDelivered));
             }
@@ -116,7 +116,7 @@
     private void end(AttemptKey key, AttemptResult result) {
         Option.of(active.remove(key)).forEach(attempt -> {
             attempt.cancelDeadlineTimer();
-            attempt.call().end(key.attempt());
+            attempt.call().endAttempt(key.attempt());
             resources.events().raise(new Event.AttemptEnded(key.requestId(), key.attempt(), result));
         });
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/FrameHandler.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/FrameHandler.java
@@ -22,9 +22,9 @@
 abstract class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final int LENGTH_BYTES = 4;
 
-    private final Traffic traffic;
+    private final TrafficCounter traffic;
 
-    FrameHandler(Traffic traffic) {
+    FrameHandler(TrafficCounter traffic) {
         this.traffic = traffic;
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Link.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Link.java
@@ -14,7 +14,7 @@
 import io.netty.util.concurrent.Future;
 import io.vavr.control.Option;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.daemon.http.Failures;
+import org.rattanplank.daemon.http.ConnectionFailures;
 import org.rattanplank.schema.message.Hello;
 import org.rattanplank.schema.message.PeerMessage;
 import org.rattanplank.schema.message.Ping;
@@ -136,7 +136,8 @@
         connecting.addListener(done -> {
             if (!done.isSuccess()) {
                 channel = Option.none();
-                handleDisconnected(Failures.isRefused(done.cause()), Failures.reasonOf(done.cause()));
+                handleDisconnected(
+                        ConnectionFailures.isRefused(done.cause()), ConnectionFailures.reasonOf(done.cause()));
             }
         });
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/LinkContext.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/LinkContext.java
@@ -24,7 +24,7 @@
         MillisClock clock,
         PeerTimes times,
         PeerSizes sizes,
-        Traffic traffic,
+        TrafficCounter traffic,
         LinkListener listener) {
     LinkContext {
         Objects.requireNonNull(self, "self");
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Links.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Links.java
@@ -7,7 +7,7 @@
 
 import org.rattanplank.core.Event;
 import org.rattanplank.daemon.platform.Directory;
-import org.rattanplank.daemon.runtime.Resources;
+import org.rattanplank.daemon.runtime.IoResources;
 import org.rattanplank.schema.message.Hello;
 import org.rattanplank.schema.message.PeerMessage;
 import org.rattanplank.schema.message.RequestMessage;
@@ -19,10 +19,10 @@
  * link is confined to one event loop.
  */
 public final class Links implements LinkListener {
-    private final Resources resources;
+    private final IoResources resources;
     private final LinkContext context;
     private final Map<String, Link> links = new ConcurrentHashMap<>();
-    private final ForwardedAttempts forwards;
+    private final ForwardedAttempts forwardedAttempts;
 
     /**
      * Creates an empty table of links.
@@ -37,15 +37,15 @@
      */
     public Links(
             Hello self,
-            Resources resources,
+            IoResources resources,
             Directory directory,
             PeerTimes times,
             PeerSizes sizes,
-            Traffic traffic,
+            TrafficCounter traffic,
             int maxResponseBytes) {
         this.resources = resources;
         context = new LinkContext(self, directory, resources.clock(), times, sizes, traffic, this);
-        forwards = new ForwardedAttempts(resources, this, maxResponseBytes);
+        forwardedAttempts = new ForwardedAttempts(resources, this, maxResponseBytes);
     }
 
     /**
@@ -53,8 +53,8 @@
      *
      * @return the forwarded attempts
      */
-    public ForwardedAttempts forwards() {
-        return forwards;
+    public ForwardedAttempts forwardedAttempts() {
+        return forwardedAttempts;
     }
 
     /**
@@ -62,7 +62,7 @@
      *
      * @param hosts the hosts
      */
-    public void keep(List<String> hosts) {
+    public void setPersistentHosts(List<String> hosts) {
         Set<String> persistentHosts = Set.copyOf(hosts);
         links.forEach((host, link) -> {
             if (!persistentHosts.contains(host)) {
@@ -104,13 +104,13 @@
 
     @Override
     public void disconnected(String host, boolean connectionRefused) {
-        forwards.linkDisconnected(host);
+        forwardedAttempts.linkDisconnected(host);
         resources.events().raise(new Event.PeerLost(host, connectionRefused));
     }
 
     @Override
     public void responseReceived(String host, RequestMessage message) {
-        forwards.responseReceived(host, message);
+        forwardedAttempts.responseReceived(host, message);
     }
 
     private Link link(String host) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
@@ -21,8 +21,8 @@
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.call.Envelope;
-import org.rattanplank.daemon.http.WaitingBytes;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.http.PendingInput;
+import org.rattanplank.daemon.runtime.EventSink;
 import org.rattanplank.schema.message.ForwardCancel;
 import org.rattanplank.schema.message.ForwardEnd;
 import org.rattanplank.schema.message.ForwardRequest;
@@ -47,7 +47,7 @@
 
     private final LinkContext context;
     private final Calls calls;
-    private final Events events;
+    private final EventSink events;
     private final AtomicInteger unsentResponses;
     private final LivenessCheck livenessCheck;
     private final Map<String, Long> attemptsInFlight = new ConcurrentHashMap<>();
@@ -64,7 +64,7 @@
     private boolean closing;
     private long requestsAccepted;
 
-    PeerConnection(LinkContext context, Calls calls, Events events, AtomicInteger unsentResponses) {
+    PeerConnection(LinkContext context, Calls calls, EventSink events, AtomicInteger unsentResponses) {
         super(context.traffic());
         this.context = context;
         this.calls = calls;
@@ -103,7 +103,7 @@
             return;
         }
         long previouslyAccepted = requestsAccepted;
-        WaitingBytes.read(channel);
+        PendingInput.read(channel);
         if (requestsAccepted == previouslyAccepted
                 && attemptsInFlight.isEmpty()
                 && awaitingResponse.isEmpty()
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerRequester.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerRequester.java
@@ -6,7 +6,7 @@
 import org.rattanplank.core.request.Answer;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Outcome;
-import org.rattanplank.daemon.call.Asker;
+import org.rattanplank.daemon.call.Requester;
 import org.rattanplank.schema.message.ForwardChunk;
 import org.rattanplank.schema.message.ForwardEnd;
 import org.rattanplank.schema.message.ForwardHead;
@@ -16,7 +16,7 @@
  * The entry host that forwarded a request; the response is sent on the connection on which the request was received.
  * Guarded by the lock of its call.
  */
-final class PeerRequester implements Asker {
+final class PeerRequester implements Requester {
     private static final int CHUNK_BYTES = 262_144;
     private static final int OK = 200;
     private static final String EVENT_STREAM = "text/event-stream";
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void part(long number, byte[] event, List<String> path) {
+    public void streamEvent(long number, byte[] event, List<String> path) {
         sendHeaders(OK, EVENT_STREAM, path);
         sendChunk(event);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerServer.java
@@ -13,18 +13,18 @@
 import io.netty.channel.socket.SocketChannel;
 import io.vavr.control.Try;
 import org.rattanplank.daemon.call.Calls;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
 import ratpack.util.internal.TransportDetector;
 
 /** Accepts connections from other entry hosts. Thread safe. */
 public final class PeerServer implements AutoCloseable {
     private final Channel channel;
-    private final AtomicInteger unsentAnswers;
+    private final AtomicInteger unsentResponses;
     private final Set<PeerConnection> open;
 
     private PeerServer(Channel channel, AtomicInteger unsentResponses, Set<PeerConnection> open) {
         this.channel = channel;
-        this.unsentAnswers = unsentResponses;
+        this.unsentResponses = unsentResponses;
         this.open = open;
     }
 
@@ -40,7 +40,7 @@
      * @return the server, or the reason why the port cannot be bound
      */
     public static Try<PeerServer> open(
-            String address, int port, EventLoopGroup loops, Links links, Calls calls, Events events) {
+            String address, int port, EventLoopGroup loops, Links links, Calls calls, EventSink events) {
         LinkContext context = links.context();
         AtomicInteger connections = new AtomicInteger();
         AtomicInteger unsent = new AtomicInteger();
@@ -81,8 +81,8 @@
      *
      * @return the number
      */
-    public int unsentAnswers() {
-        return unsentAnswers.get();
+    public int unsentResponses() {
+        return unsentResponses.get();
     }
 
     /**
@@ -91,7 +91,7 @@
      *
      * @return whether all connections are closed
      */
-    public boolean end() {
+    public boolean closeIdleConnections() {
         channel.close();
         open.forEach(PeerConnection::closeIfIdle);
         return open.isEmpty();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Traffic.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/TrafficCounter.java
@@ -3,7 +3,7 @@
 import org.rattanplank.schema.message.PeerMessage;
 
 /** Counts the messages and bytes of links. Implementations are thread safe and never block. */
-public interface Traffic {
+public interface TrafficCounter {
 
     /**
      * Counts a message that was sent.
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/Directory.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/Directory.java
@@ -47,7 +47,7 @@
      */
     public List<ListedHost> targetsInRegion(String region) {
         return list.targets().stream()
-                .filter(target -> target.place().region().equals(region))
+                .filter(target -> target.location().region().equals(region))
                 .toList();
     }
 
@@ -56,7 +56,7 @@
      *
      * @param newer the newer list
      */
-    public synchronized void learn(HostList newer) {
+    public synchronized void update(HostList newer) {
         Map<String, ListedHost> merged = new java.util.HashMap<>(hosts);
         merged.putAll(newer.hosts().stream()
                 .collect(Collectors.toMap(ListedHost::name, host -> host, (first, second) -> second)));
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListJson.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListJson.java
@@ -9,7 +9,7 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /** Parses the platform's host list. Stateless and thread safe. */
 final class HostListJson {
@@ -27,7 +27,7 @@
             hosts.add(new ListedHost(
                     host.path("name").asText(),
                     "target".equals(host.path("role").asText()) ? HostRole.TARGET : HostRole.ENTRY,
-                    Place.of(
+                    Location.of(
                             host.path("region").asText(),
                             host.path("dataCentre").asText()),
                     host.path("address").asText(),
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostsPoller.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListPoller.java
@@ -5,10 +5,10 @@
 
 import org.rattanplank.core.Event;
 import org.rattanplank.core.host.HostList;
-import org.rattanplank.daemon.http.WebCall;
 import org.rattanplank.daemon.http.WebClient;
-import org.rattanplank.daemon.http.WebReply;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.http.WebRequest;
+import org.rattanplank.daemon.http.WebResult;
+import org.rattanplank.daemon.runtime.EventSink;
 import org.tinylog.Logger;
 
 /**
@@ -17,16 +17,16 @@
  * <p>Invariant: the directory is updated before the core, so that each name in an action has an address. Thread
  * safe.
  */
-public final class HostsPoller {
+public final class HostListPoller {
     private final WebClient client;
     private final URI uri;
     private final long timeoutMillis;
     private final Directory directory;
-    private final Events events;
+    private final EventSink events;
     private final AtomicBoolean pollInFlight = new AtomicBoolean();
     private volatile boolean lastPollFailed;
 
-    private HostsPoller(WebClient client, URI uri, long timeoutMillis, Directory directory, Events events) {
+    private HostListPoller(WebClient client, URI uri, long timeoutMillis, Directory directory, EventSink events) {
         this.client = client;
         this.uri = uri;
         this.timeoutMillis = timeoutMillis;
@@ -44,21 +44,21 @@
      * @param events receives the event with the list afterwards
      * @return the poller
      */
-    public static HostsPoller of(
-            WebClient client, String baseUrl, long timeoutMillis, Directory directory, Events events) {
-        return new HostsPoller(client, URI.create(baseUrl + "/hosts"), timeoutMillis, directory, events);
+    public static HostListPoller of(
+            WebClient client, String baseUrl, long timeoutMillis, Directory directory, EventSink events) {
+        return new HostListPoller(client, URI.create(baseUrl + "/hosts"), timeoutMillis, directory, events);
     }
 
     /** Requests the host list once, unless a poll is in flight. */
     public void poll() {
         if (pollInFlight.compareAndSet(false, true)) {
-            client.send(WebCall.get(uri, timeoutMillis))
+            client.send(WebRequest.get(uri, timeoutMillis))
                     .whenComplete((reply, error) -> pollInFlight.set(false))
                     .thenAccept(this::handleReply);
         }
     }
 
-    private void handleReply(WebReply reply) {
+    private void handleReply(WebResult reply) {
         boolean valid = reply.successBody()
                 .flatMap(body -> HostListJson.read(body).toOption())
                 .peek(this::publish)
@@ -70,7 +70,7 @@
     }
 
     private void publish(HostList list) {
-        directory.learn(list);
+        directory.update(list);
         events.raise(new Event.HostsListed(list));
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/Events.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/EventSink.java
@@ -3,7 +3,7 @@
 import org.rattanplank.core.Event;
 
 /** Accepts events from the components of the daemon. Implementations are thread safe and never block. */
-public interface Events {
+public interface EventSink {
 
     /**
      * Submits an event that must not be rejected.
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/NodeRunner.java
@@ -19,7 +19,7 @@
  * submission, since they are assigned to the same worker; events with different keys are not ordered. The actions of an
  * event are executed in order by the worker that handled it, without holding locks of the core. Thread safe.
  */
-public final class NodeRunner implements Events, AutoCloseable {
+public final class NodeRunner implements EventSink, AutoCloseable {
     private static final long CLOSE_TIMEOUT_MILLIS = 1_000;
 
     private final Node node;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/setting/SettingFault.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/setting/SettingError.java
@@ -7,14 +7,14 @@
  * @param value the value that was given, or empty
  * @param expected what was expected
  */
-public record SettingFault(String setting, String value, String expected) {
+public record SettingError(String setting, String value, String expected) {
 
     /**
      * Returns the error as one line for operators.
      *
      * @return the line
      */
-    public String line() {
+    public String message() {
         return setting + ": \"" + value + "\" is invalid: expected " + expected;
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/setting/SettingsReader.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/setting/SettingsReader.java
@@ -28,7 +28,7 @@
 
     private static final String FLAG_PREFIX = "--";
 
-    private final List<SettingFault> errors = new ArrayList<>();
+    private final List<SettingError> errors = new ArrayList<>();
     private final Set<String> seenFlags = new HashSet<>();
     private final Map<String, String> values = new HashMap<>();
     private final Map<String, String> sourceNames = new HashMap<>();
@@ -52,7 +52,7 @@
      * @param environment the environment variables
      * @return the settings, or all errors
      */
-    public static Either<List<SettingFault>, DaemonSettings> read(
+    public static Either<List<SettingError>, DaemonSettings> read(
             List<String> arguments, Map<String, String> environment) {
         SettingsReader reader = new SettingsReader();
         reader.resolve(reader.parse(arguments).given(), environment);
@@ -98,11 +98,11 @@
                 continue;
             }
             if (!byFlag.containsKey(argument)) {
-                errors.add(new SettingFault(argument, "", "a flag that --help lists"));
+                errors.add(new SettingError(argument, "", "a flag that --help lists"));
             } else if (!hasValue) {
-                errors.add(new SettingFault(argument, "", "a value"));
+                errors.add(new SettingError(argument, "", "a value"));
             } else if (valid.contains(argument)) {
-                errors.add(new SettingFault(argument, arguments.get(i + 1), "only one value"));
+                errors.add(new SettingError(argument, arguments.get(i + 1), "only one value"));
             } else {
                 valid.addAll(List.of(argument, arguments.get(i + 1)));
             }
@@ -123,7 +123,7 @@
             } else if (environment.containsKey(setting.environment())) {
                 check(setting, setting.environment(), environment.get(setting.environment()));
             } else if (setting.required() && !seenFlags.contains(setting.flag())) {
-                errors.add(new SettingFault(setting.flag(), "", "a value, which is required"));
+                errors.add(new SettingError(setting.flag(), "", "a value, which is required"));
             } else {
                 values.put(setting.name(), setting.defaultValue());
             }
@@ -133,13 +133,13 @@
                 .filter(Setting::isEnvironment)
                 .filter(variable -> !knownVariables.contains(variable))
                 .forEach(variable -> errors.add(
-                        new SettingFault(variable, environment.get(variable), "a variable that --help lists")));
+                        new SettingError(variable, environment.get(variable), "a variable that --help lists")));
         checkTogether();
     }
 
     private void check(Setting setting, String sourceName, String value) {
         setting.brokenBound(value)
-                .peek(bound -> errors.add(new SettingFault(sourceName, value, bound)))
+                .peek(bound -> errors.add(new SettingError(sourceName, value, bound)))
                 .onEmpty(() -> {
                     values.put(setting.name(), value);
                     sourceNames.put(setting.name(), sourceName);
@@ -156,10 +156,10 @@
         boolean otlp = "otlp".equals(values.get("trace-exporter"));
         String url = values.getOrDefault("trace-url", "");
         if (otlp && url.isEmpty()) {
-            errors.add(new SettingFault(sourceNameOf("trace-url"), "", "an address, since trace-exporter is otlp"));
+            errors.add(new SettingError(sourceNameOf("trace-url"), "", "an address, since trace-exporter is otlp"));
         }
         if (!otlp && !url.isEmpty() && values.containsKey("trace-exporter")) {
-            errors.add(new SettingFault(sourceNameOf("trace-url"), url, "nothing, since trace-exporter is not otlp"));
+            errors.add(new SettingError(sourceNameOf("trace-url"), url, "nothing, since trace-exporter is not otlp"));
         }
         checkDistinctPorts("callers", "peers");
         checkDistinctPorts("callers", "operators");
@@ -168,7 +168,7 @@
 
     private void checkNotAbove(String lower, String upper) {
         if (bothPresent(lower, upper) && number(lower) > number(upper)) {
-            errors.add(new SettingFault(
+            errors.add(new SettingError(
                     sourceNameOf(lower), values.get(lower), "at most " + upper + ", which is " + values.get(upper)));
         }
     }
@@ -176,7 +176,7 @@
     /** A forwarded request carries its body and some fields in one peer message. */
     private void checkFitsIntoFrame(String body, String frame) {
         if (bothPresent(body, frame) && number(body) + FRAME_OVERHEAD_BYTES > number(frame)) {
-            errors.add(new SettingFault(
+            errors.add(new SettingError(
                     sourceNameOf(body),
                     values.get(body),
                     "at least " + FRAME_OVERHEAD_BYTES + " less than " + frame + ", which is " + values.get(frame)));
@@ -192,7 +192,7 @@
                 && values.getOrDefault(left + "-address", "").equals(values.get(right + "-address"));
         if (samePort) {
             errors.add(
-                    new SettingFault(sourceNameOf(rightPort), values.get(rightPort), "a port other than " + leftPort));
+                    new SettingError(sourceNameOf(rightPort), values.get(rightPort), "a port other than " + leftPort));
         }
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
@@ -12,9 +12,9 @@
 import org.rattanplank.core.store.StoreCommand;
 import org.rattanplank.core.store.StoreOwner;
 import org.rattanplank.core.store.StoreReply;
-import org.rattanplank.daemon.http.WebCall;
-import org.rattanplank.daemon.http.WebReply;
-import org.rattanplank.daemon.runtime.Resources;
+import org.rattanplank.daemon.http.WebRequest;
+import org.rattanplank.daemon.http.WebResult;
+import org.rattanplank.daemon.runtime.IoResources;
 import org.tinylog.Logger;
 
 /**
@@ -26,7 +26,7 @@
 public final class EtcdStore {
     private static final long WATCH_RETRY_DELAY_MILLIS = 200;
 
-    private final Resources resources;
+    private final IoResources resources;
     private final URI baseUri;
     private final long timeoutMillis;
     private final long watchRenewMillis;
@@ -45,7 +45,7 @@
      * @param replyCounter counts the replies by their type
      */
     public EtcdStore(
-            Resources resources,
+            IoResources resources,
             URI baseUri,
             long timeoutMillis,
             long watchRenewMillis,
@@ -70,8 +70,8 @@
         } else if (call.command() instanceof StoreCommand.Watch watch) {
             watch(call.owner(), watch);
         } else {
-            WebCall post = WebCall.post(uriOf(call.command()), EtcdJson.bodyOf(call.command()), timeoutMillis);
-            resources.client().send(post).thenAccept(reply -> raiseReply(call, replyOf(call.command(), reply)));
+            WebRequest post = WebRequest.post(uriOf(call.command()), EtcdJson.bodyOf(call.command()), timeoutMillis);
+            resources.webClient().send(post).thenAccept(reply -> raiseReply(call, replyOf(call.command(), reply)));
         }
     }
 
@@ -107,7 +107,11 @@
                 });
         Option.of(watches.put(key, newWatch)).forEach(EtcdWatch::close);
         newWatch.start(
-                resources.exchanges(), resources.loops().next(), baseUri, EtcdJson.bodyOf(watch), watchRenewMillis);
+                resources.exchangeClient(),
+                resources.loops().next(),
+                baseUri,
+                EtcdJson.bodyOf(watch),
+                watchRenewMillis);
     }
 
     /**
@@ -128,13 +132,13 @@
         return URI.create(baseUri + EtcdJson.pathOf(command));
     }
 
-    private static StoreReply replyOf(StoreCommand command, WebReply reply) {
-        if (reply instanceof WebReply.NotSent notSent) {
+    private static StoreReply replyOf(StoreCommand command, WebResult reply) {
+        if (reply instanceof WebResult.NotSent notSent) {
             return new StoreReply.Unavailable(notSent.reason());
-        } else if (reply instanceof WebReply.Lost lost) {
+        } else if (reply instanceof WebResult.Lost lost) {
             return replyWithoutResponse(command, lost.reason());
         }
-        WebReply.Answered answered = (WebReply.Answered) reply;
+        WebResult.Response answered = (WebResult.Response) reply;
         if (!answered.isSuccess()) {
             return replyWithoutResponse(command, "the store responded with status " + answered.status());
         }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdWatch.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdWatch.java
@@ -16,9 +16,9 @@
 import io.vavr.control.Try;
 import org.rattanplank.core.store.StoreEntry;
 import org.rattanplank.daemon.http.Exchange;
-import org.rattanplank.daemon.http.ExchangeCall;
+import org.rattanplank.daemon.http.ExchangeClient;
 import org.rattanplank.daemon.http.ExchangeListener;
-import org.rattanplank.daemon.http.Exchanges;
+import org.rattanplank.daemon.http.ExchangeRequest;
 
 /**
  * A watch: a stream of JSON lines that lasts as long as the connection.
@@ -46,8 +46,8 @@
         this.onBroken = onBroken;
     }
 
-    void start(Exchanges exchanges, EventLoop loop, URI baseUri, byte[] body, long renewMillis) {
-        ExchangeCall call = new ExchangeCall(
+    void start(ExchangeClient exchanges, EventLoop loop, URI baseUri, byte[] body, long renewMillis) {
+        ExchangeRequest call = new ExchangeRequest(
                 baseUri.getHost(),
                 baseUri.getPort(),
                 "POST",
@@ -69,14 +69,14 @@
     }
 
     @Override
-    public void head(int status, HttpHeaders headers) {
+    public void headersReceived(int status, HttpHeaders headers) {
         if (status != OK) {
             end();
         }
     }
 
     @Override
-    public void content(byte[] bytes) {
+    public void contentReceived(byte[] bytes) {
         for (byte each : bytes) {
             if (each == '\n') {
                 take(line.toString(StandardCharsets.UTF_8));
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
@@ -15,10 +15,10 @@
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Step;
 import org.rattanplank.daemon.call.Call;
-import org.rattanplank.daemon.call.Relayed;
+import org.rattanplank.daemon.call.RelayResult;
 import org.rattanplank.daemon.http.Exchange;
+import org.rattanplank.daemon.http.ExchangeClient;
 import org.rattanplank.daemon.http.ExchangeListener;
-import org.rattanplank.daemon.http.Exchanges;
 
 /**
  * Runs one attempt at a target: sends the request, checks that the response is complete and belongs to the request, and
@@ -81,7 +81,7 @@
     }
 
     /** Starts the attempt, which ends as lost after the given timeout; may be called on any thread. */
-    void start(Exchanges exchanges, long timeoutMillis) {
+    void start(ExchangeClient exchanges, long timeoutMillis) {
         loop.execute(() -> {
             if (finished) {
                 return;
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void head(int responseStatus, HttpHeaders headers) {
+    public void headersReceived(int responseStatus, HttpHeaders headers) {
         receivedCount++;
         status = responseStatus;
         contentType = Option.of(headers.get(HttpHeaderNames.CONTENT_TYPE)).getOrElse("");
@@ -124,7 +124,7 @@
     }
 
     @Override
-    public void content(byte[] bytes) {
+    public void contentReceived(byte[] bytes) {
         if (finished) {
             return;
         }
@@ -158,9 +158,9 @@
             Failure failure = failure(Step.SEND, "the target rejected the request before executing it");
             end(new AttemptResult.NotRun(failure, retryAfterMillis));
         } else if (!streaming) {
-            end(new AttemptResult.Whole(Answer.of(status, contentType, body.toByteArray()), List.of()));
+            end(new AttemptResult.Completed(Answer.of(status, contentType, body.toByteArray()), List.of()));
         } else if (closingEventSeen) {
-            end(new AttemptResult.Whole(Answer.ofStream(status, contentType), List.of()));
+            end(new AttemptResult.Completed(Answer.ofStream(status, contentType), List.of()));
         } else {
             endAsLost("the stream ended without its closing event");
         }
@@ -174,7 +174,7 @@
         if (!handedOver && !targetCall.isResumed()) {
             end(new AttemptResult.NotRun(failure(Step.CONNECT, reason), 0));
         } else if (closingEventSeen) {
-            end(new AttemptResult.Whole(Answer.ofStream(status, contentType), List.of()));
+            end(new AttemptResult.Completed(Answer.ofStream(status, contentType), List.of()));
         } else {
             endAsLost(reason);
         }
@@ -195,16 +195,16 @@
             endAsLost("a stream event carries no number");
             return;
         }
-        Relayed relayed = call.relay(
+        RelayResult relayed = call.relay(
                 attempt,
                 event.number(),
                 event.raw(),
                 List.of(targetCall.target().name()));
-        if (relayed == Relayed.PASSED_ON) {
+        if (relayed == RelayResult.PASSED_ON) {
             listener.progressed(event.number() + 1);
-        } else if (relayed == Relayed.GAP) {
+        } else if (relayed == RelayResult.GAP) {
             endAsLost("events of the stream are missing");
-        } else if (relayed == Relayed.STALE) {
+        } else if (relayed == RelayResult.STALE) {
             finished = true;
             close();
         }
@@ -222,7 +222,7 @@
     }
 
     private long overdueMillis() {
-        boolean eventsDelivered = streaming && call.partsPassedOn() > targetCall.resumeAtEvent();
+        boolean eventsDelivered = streaming && call.streamEventsDelivered() > targetCall.resumeAtEvent();
         return limits.overdue().thresholdMillis(targetCall.model(), eventsDelivered || targetCall.isResumed());
     }
 
@@ -251,12 +251,12 @@
     }
 
     private void endAsLost(String reason) {
-        end(new AttemptResult.Lost(failure(Step.RECEIVE, reason), call.partsPassedOn()));
+        end(new AttemptResult.Lost(failure(Step.RECEIVE, reason), call.streamEventsDelivered()));
     }
 
     private void end(AttemptResult result) {
         finished = true;
-        call.end(attempt);
+        call.endAttempt(attempt);
         close();
         listener.ended(result);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetCall.java
@@ -6,7 +6,7 @@
 import org.rattanplank.core.host.ListedHost;
 import org.rattanplank.core.request.Request;
 import org.rattanplank.daemon.call.Envelope;
-import org.rattanplank.daemon.http.ExchangeCall;
+import org.rattanplank.daemon.http.ExchangeRequest;
 
 /**
  * The HTTP call of one attempt at a target. Immutable and thread safe.
@@ -17,7 +17,7 @@
  * @param resumeAtEvent the number of the first stream event to send, zero for a new execution
  * @param exchange the HTTP exchange to start
  */
-record TargetCall(ListedHost target, String sentId, boolean model, long resumeAtEvent, ExchangeCall exchange) {
+record TargetCall(ListedHost target, String sentId, boolean model, long resumeAtEvent, ExchangeRequest exchange) {
     static final String REQUEST_ID = "X-Request-Id";
     private static final String STREAMS = "/v1/streams/";
     private static final String CHAT = "/v1/chat/completions";
@@ -44,7 +44,7 @@
             headers.put("Content-Type", envelope.contentType());
         }
         request.idempotencyKey().forEach(key -> headers.put("Idempotency-Key", key));
-        ExchangeCall exchange = exchange(target, envelope.method(), envelope.path(), headers, envelope.body());
+        ExchangeRequest exchange = exchange(target, envelope.method(), envelope.path(), headers, envelope.body());
         return new TargetCall(target, sentId, model, 0, exchange);
     }
 
@@ -56,8 +56,8 @@
         return resumeAtEvent > 0;
     }
 
-    private static ExchangeCall exchange(
+    private static ExchangeRequest exchange(
             ListedHost target, String method, String path, Map<String, String> headers, byte[] body) {
-        return new ExchangeCall(target.address(), target.port(), method, path, headers, body);
+        return new ExchangeRequest(target.address(), target.port(), method, path, headers, body);
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetPoller.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetPoller.java
@@ -16,10 +16,10 @@
 import org.rattanplank.core.host.ListedHost;
 import org.rattanplank.core.route.CacheEvent;
 import org.rattanplank.core.route.TargetLoad;
-import org.rattanplank.daemon.http.WebCall;
-import org.rattanplank.daemon.http.WebReply;
+import org.rattanplank.daemon.http.WebRequest;
+import org.rattanplank.daemon.http.WebResult;
 import org.rattanplank.daemon.platform.Directory;
-import org.rattanplank.daemon.runtime.Resources;
+import org.rattanplank.daemon.runtime.IoResources;
 
 /**
  * Polls the targets of this host's region for their load and their cache events.
@@ -29,7 +29,7 @@
 public final class TargetPoller {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Resources resources;
+    private final IoResources resources;
     private final Directory directory;
     private final String region;
     private final long timeoutMillis;
@@ -45,7 +45,7 @@
      * @param region this host's region
      * @param timeoutMillis timeout of a call
      */
-    public TargetPoller(Resources resources, Directory directory, String region, long timeoutMillis) {
+    public TargetPoller(IoResources resources, Directory directory, String region, long timeoutMillis) {
         this.resources = resources;
         this.directory = directory;
         this.region = region;
@@ -73,14 +73,14 @@
         }
     }
 
-    private CompletableFuture<WebReply> poll(ListedHost target, String path, Set<String> inFlight) {
+    private CompletableFuture<WebResult> poll(ListedHost target, String path, Set<String> inFlight) {
         return resources
-                .client()
-                .send(WebCall.get(uriOf(target, path), timeoutMillis))
+                .webClient()
+                .send(WebRequest.get(uriOf(target, path), timeoutMillis))
                 .whenComplete((reply, error) -> inFlight.remove(target.name()));
     }
 
-    private Event loadEvent(ListedHost target, WebReply reply) {
+    private Event loadEvent(ListedHost target, WebResult reply) {
         return reply.successBody()
                 .flatMap(body -> Try.of(() -> JSON.readTree(body)).toOption())
                 .<Event>map(json -> new Event.LoadReported(loadOf(target, json)))
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
@@ -15,13 +15,13 @@
 import org.rattanplank.core.request.AttemptResult;
 import org.rattanplank.core.request.Failure;
 import org.rattanplank.core.request.Step;
+import org.rattanplank.daemon.call.AttemptExecutor;
 import org.rattanplank.daemon.call.AttemptKey;
-import org.rattanplank.daemon.call.Attempts;
 import org.rattanplank.daemon.call.Call;
-import org.rattanplank.daemon.http.WebCall;
-import org.rattanplank.daemon.http.WebReply;
+import org.rattanplank.daemon.http.WebRequest;
+import org.rattanplank.daemon.http.WebResult;
 import org.rattanplank.daemon.platform.Directory;
-import org.rattanplank.daemon.runtime.Resources;
+import org.rattanplank.daemon.runtime.IoResources;
 
 /**
  * Runs attempts at targets and sends orders to them.
@@ -29,11 +29,11 @@
  * <p>Invariant: an attempt is in the table from its start until it ends or is cancelled. Thread safe: the table is a
  * concurrent map, and each attempt is confined to one event loop.
  */
-public final class Targets implements Attempts, TargetCheck {
+public final class Targets implements AttemptExecutor, TargetCheck {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int CONFLICT = 409;
 
-    private final Resources resources;
+    private final IoResources resources;
     private final Directory directory;
     private final AttemptLimits limits;
     private final long controlTimeoutMillis;
@@ -47,7 +47,7 @@
      * @param limits the limits of an attempt
      * @param controlTimeoutMillis timeout of a check, an order or a cancellation
      */
-    public Targets(Resources resources, Directory directory, AttemptLimits limits, long controlTimeoutMillis) {
+    public Targets(IoResources resources, Directory directory, AttemptLimits limits, long controlTimeoutMillis) {
         this.resources = resources;
         this.directory = directory;
         this.limits = limits;
@@ -69,7 +69,7 @@
     @Override
     public void cancel(String requestId, int attempt) {
         Option.of(activeAttempts.remove(new AttemptKey(requestId, attempt))).forEach(cancelled -> {
-            cancelled.call().end(attempt);
+            cancelled.call().endAttempt(attempt);
             cancelled.cancel();
             if (cancelled.targetCall().model()) {
                 cancelAtEngine(cancelled.targetCall());
@@ -82,9 +82,9 @@
         return directory
                 .find(target)
                 .map(host -> resources
-                        .client()
-                        .send(WebCall.get(uriOf(host, "/load"), controlTimeoutMillis))
-                        .thenApply(reply -> reply instanceof WebReply.Answered))
+                        .webClient()
+                        .send(WebRequest.get(uriOf(host, "/load"), controlTimeoutMillis))
+                        .thenApply(reply -> reply instanceof WebResult.Response))
                 .getOrElse(() -> CompletableFuture.completedFuture(false));
     }
 
@@ -102,7 +102,7 @@
      *
      * @param order the order
      */
-    public void order(Action.OrderTarget order) {
+    public void sendOrder(Action.OrderTarget order) {
         Option<ListedHost> target = directory.find(order.target());
         if (target.isEmpty()) {
             resources.events().raise(new Event.OrderAnswered(order.orderId(), OrderResult.REFUSED));
@@ -115,9 +115,9 @@
                 .put("subject", order.subject())
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
-        WebCall call = WebCall.post(uriOf(target.get(), "/orders"), body, controlTimeoutMillis)
+        WebRequest call = WebRequest.post(uriOf(target.get(), "/orders"), body, controlTimeoutMillis)
                 .withHeader(TargetCall.REQUEST_ID, "order-" + order.orderId());
-        resources.client().send(call).thenAccept(reply -> resources
+        resources.webClient().send(call).thenAccept(reply -> resources
                 .events()
                 .raise(new Event.OrderAnswered(order.orderId(), resultOf(reply))));
     }
@@ -125,7 +125,7 @@
     private void begin(Call call, Action.StartAttempt start, ListedHost target, String traceParent) {
         AttemptKey key = new AttemptKey(start.requestId(), start.attempt());
         String freshId = call.envelope().targetIdBase() + "." + start.attempt();
-        String sentId = call.begin(start.attempt(), start.resumeAtStreamEvent() > 0, freshId);
+        String sentId = call.beginAttempt(start.attempt(), start.resumeAtStreamEvent() > 0, freshId);
         TargetCall targetCall = TargetCall.of(
                 target, start.request(), call.envelope(), sentId, start.resumeAtStreamEvent(), traceParent);
         TargetAttempt attempt = new TargetAttempt(
@@ -146,7 +146,7 @@
         long remainingMillis =
                 Math.max(0, start.timeoutMillis() - resources.clock().nowMillis());
         activeAttempts.put(key, attempt);
-        attempt.start(resources.exchanges(), remainingMillis);
+        attempt.start(resources.exchangeClient(), remainingMillis);
     }
 
     private void ended(AttemptKey key, AttemptResult result) {
@@ -156,8 +156,8 @@
     /** Cancels the stream at the engine, best effort: if the call is lost, the engine only wastes work. */
     private void cancelAtEngine(TargetCall targetCall) {
         resources
-                .client()
-                .send(WebCall.delete(
+                .webClient()
+                .send(WebRequest.delete(
                                 uriOf(targetCall.target(), TargetCall.streamPath(targetCall.sentId())),
                                 controlTimeoutMillis)
                         .withHeader(TargetCall.REQUEST_ID, targetCall.sentId()));
@@ -167,13 +167,13 @@
         return URI.create("http://" + host.address() + ":" + host.port() + path);
     }
 
-    private static OrderResult resultOf(WebReply reply) {
-        if (reply instanceof WebReply.Answered answered) {
+    private static OrderResult resultOf(WebResult reply) {
+        if (reply instanceof WebResult.Response answered) {
             if (answered.isSuccess()) {
                 return OrderResult.TAKEN;
             }
             return answered.status() == CONFLICT ? OrderResult.FENCED : OrderResult.REFUSED;
         }
-        return reply instanceof WebReply.NotSent ? OrderResult.REFUSED : OrderResult.UNSURE;
+        return reply instanceof WebResult.NotSent ? OrderResult.REFUSED : OrderResult.UNSURE;
     }
 }
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/CallerDrainTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/CallerDrainTest.java
@@ -24,7 +24,7 @@
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.caller.CallerLimits;
 import org.rattanplank.daemon.caller.CallerServer;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
 import org.rattanplank.daemon.runtime.MillisClock;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -60,7 +60,7 @@
     @BeforeEach
     void openServer() {
         MillisClock clock = MillisClock.ofWallClock();
-        Node node = Node.of(new NodeIdentity("suva-1", 1, TestHosts.SUVA), Policy.COST, 1);
+        Node node = Node.of(new NodeIdentity("suva-1", 1, TestFixtures.SUVA), Policy.COST, 1);
         StoreReply.Found found = new StoreReply.Found(List.of(new StoreEntry("k", DOCUMENT, 1)), 1);
         node.handle(new Event.StoreReplied(StoreOwner.CONFIGURATION, 1, found), clock.nowMillis());
         CallerLimits limits = new CallerLimits(2_048, 8_192, 100, 65_536, 60_000, 60_000, 30_000, 60_000);
@@ -192,7 +192,7 @@
     }
 
     /** Blocks the event loop that offers an event until the test releases it, and rejects the event. */
-    private final class BlockingEventSink implements Events {
+    private final class BlockingEventSink implements EventSink {
         @Override
         public void raise(Event event) {
             // Ignored: no test depends on raised events.
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RecordingEvents.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/RecordingEventSink.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 
 import org.rattanplank.core.Event;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
 
 /** Records all events for a test. Thread safe. */
-public final class RecordingEvents implements Events {
+public final class RecordingEventSink implements EventSink {
     private static final long EVENT_TIMEOUT_SECONDS = 20;
 
     private final BlockingQueue<Event> unread = new LinkedBlockingQueue<>();
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestHosts.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestFixtures.java
@@ -7,42 +7,42 @@
 import org.rattanplank.core.host.HostList;
 import org.rattanplank.core.host.HostRole;
 import org.rattanplank.core.host.ListedHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.request.Outcome;
 import org.rattanplank.core.request.Request;
 import org.rattanplank.core.request.WorkClass;
-import org.rattanplank.daemon.call.Asker;
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Envelope;
-import org.rattanplank.daemon.http.Exchanges;
+import org.rattanplank.daemon.call.Requester;
+import org.rattanplank.daemon.http.ExchangeClient;
 import org.rattanplank.daemon.http.WebClient;
 import org.rattanplank.daemon.platform.Directory;
-import org.rattanplank.daemon.runtime.Events;
+import org.rattanplank.daemon.runtime.EventSink;
+import org.rattanplank.daemon.runtime.IoResources;
 import org.rattanplank.daemon.runtime.MillisClock;
-import org.rattanplank.daemon.runtime.Resources;
 import ratpack.exec.internal.DefaultExecController;
 
 /** Creates objects that several tests use. */
-public final class TestHosts {
-    public static final Place SUVA = Place.of("suva", "suva-hall");
+public final class TestFixtures {
+    public static final Location SUVA = Location.of("suva", "suva-hall");
     public static final String CHAT = "/v1/chat/completions";
     private static final long CONNECT_TIMEOUT_MILLIS = 5_000;
     private static final int MAX_RESPONSE_BYTES = 65_536;
 
-    private TestHosts() {}
+    private TestFixtures() {}
 
-    public static Resources resources(DefaultExecController controller, Events events) {
-        return new Resources(
+    public static IoResources resources(DefaultExecController controller, EventSink events) {
+        return new IoResources(
                 controller.getEventLoopGroup(),
                 WebClient.of(controller, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, bytes -> {}, bytes -> {}),
-                Exchanges.of(CONNECT_TIMEOUT_MILLIS),
+                ExchangeClient.of(CONNECT_TIMEOUT_MILLIS),
                 events,
                 MillisClock.ofWallClock());
     }
 
     public static Directory directory(String name, int port) {
         Directory directory = Directory.empty();
-        directory.learn(new HostList(
+        directory.update(new HostList(
                 1, List.of(new ListedHost(name, HostRole.TARGET, SUVA, "127.0.0.1", port, port, "any", false))));
         return directory;
     }
@@ -66,7 +66,7 @@
                 false);
     }
 
-    public static Call call(String id, String path, RecordingAsker requester) {
+    public static Call call(String id, String path, RecordingRequester requester) {
         return Call.of(
                 request(id, true),
                 new Envelope("POST", path, "application/json", new byte[] {'{', '}'}, "", id),
@@ -74,13 +74,13 @@
     }
 
     /** Records the stream events and outcomes that a requester receives. Thread safe. */
-    public static final class RecordingAsker implements Asker {
-        private final List<String> parts = new ArrayList<>();
+    public static final class RecordingRequester implements Requester {
+        private final List<String> streamEvents = new ArrayList<>();
         private final List<Outcome> outcomes = new ArrayList<>();
 
         @Override
-        public synchronized void part(long number, byte[] event, List<String> path) {
-            parts.add(new String(event, java.nio.charset.StandardCharsets.UTF_8));
+        public synchronized void streamEvent(long number, byte[] event, List<String> path) {
+            streamEvents.add(new String(event, java.nio.charset.StandardCharsets.UTF_8));
         }
 
         @Override
@@ -88,8 +88,8 @@
             outcomes.add(outcome);
         }
 
-        public synchronized List<String> parts() {
-            return List.copyOf(parts);
+        public synchronized List<String> streamEvents() {
+            return List.copyOf(streamEvents);
         }
 
         public synchronized List<Outcome> outcomes() {
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
@@ -26,8 +26,8 @@
 import org.rattanplank.core.store.StoreOwner;
 import org.rattanplank.core.store.StoreReply;
 import org.rattanplank.daemon.RawServer;
-import org.rattanplank.daemon.RecordingEvents;
-import org.rattanplank.daemon.TestHosts;
+import org.rattanplank.daemon.RecordingEventSink;
+import org.rattanplank.daemon.TestFixtures;
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.runtime.MillisClock;
@@ -50,10 +50,10 @@
     private static final int MAX_BODY_BYTES = 2_048;
     private static final long RESPONSE_TIMEOUT_SECONDS = 20;
 
-    private final RecordingEvents events = new RecordingEvents();
+    private final RecordingEventSink events = new RecordingEventSink();
     private final Calls calls = Calls.of(2);
     private final MillisClock clock = MillisClock.ofWallClock();
-    private final Node node = Node.of(new NodeIdentity("suva-1", 1, TestHosts.SUVA), Policy.COST, 1);
+    private final Node node = Node.of(new NodeIdentity("suva-1", 1, TestFixtures.SUVA), Policy.COST, 1);
     private CallerServer server;
     private int port;
 
@@ -110,7 +110,7 @@
     @Test
     void shouldListOtherEntryHostsWhenHostIsLeaving() throws Exception {
         ListedHost other =
-                new ListedHost("suva-2", HostRole.ENTRY, TestHosts.SUVA, "127.0.0.1", 8_080, 9_090, "", false);
+                new ListedHost("suva-2", HostRole.ENTRY, TestFixtures.SUVA, "127.0.0.1", 8_080, 9_090, "", false);
         node.handle(new Event.HostsListed(new HostList(1, List.of(other))), clock.nowMillis());
         try (Socket caller = sendRequest("POST", "/services/crew-desk/book", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
             Request request = events.next(Event.CallerRequestReceived.class).request();
@@ -149,7 +149,7 @@
             String requestId =
                     events.next(Event.CallerRequestReceived.class).request().id();
             Call call = calls.find(requestId).get();
-            call.begin(1, false, "x");
+            call.beginAttempt(1, false, "x");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(StandardCharsets.UTF_8), List.of("t1"));
             readUntil(caller, "data: p");
             calls.finish(requestId, new Outcome.Unknown(Failure.of(Step.RECEIVE, "t1", "lost")));
@@ -164,7 +164,7 @@
         try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", true))) {
             String requestId =
                     events.next(Event.CallerRequestReceived.class).request().id();
-            calls.find(requestId).get().begin(1, false, "x");
+            calls.find(requestId).get().beginAttempt(1, false, "x");
             calls.find(requestId)
                     .get()
                     .relay(1, 0, "id: 0\ndata: p\n\n".getBytes(StandardCharsets.UTF_8), List.of("t1"));
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
@@ -19,9 +19,9 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.route.Route;
 import org.rattanplank.daemon.RawServer;
-import org.rattanplank.daemon.RecordingEvents;
-import org.rattanplank.daemon.TestHosts;
-import org.rattanplank.daemon.TestHosts.RecordingAsker;
+import org.rattanplank.daemon.RecordingEventSink;
+import org.rattanplank.daemon.TestFixtures;
+import org.rattanplank.daemon.TestFixtures.RecordingRequester;
 import org.rattanplank.daemon.call.Call;
 import org.rattanplank.daemon.call.Calls;
 import org.rattanplank.daemon.platform.Directory;
@@ -36,14 +36,14 @@
 
 class LinksTest {
     private static final PeerSizes SIZES = new PeerSizes(1_048_576, 4_194_304, 10);
-    private static final String CHAT = TestHosts.CHAT;
+    private static final String CHAT = TestFixtures.CHAT;
 
     private final DefaultExecController controller = new DefaultExecController(2);
     private final DefaultExecController otherController = new DefaultExecController(1);
-    private final RecordingEvents events = new RecordingEvents();
-    private final RecordingEvents otherEvents = new RecordingEvents();
+    private final RecordingEventSink events = new RecordingEventSink();
+    private final RecordingEventSink otherEvents = new RecordingEventSink();
     private final Calls otherCalls = Calls.of(10);
-    private final RecordingAsker requester = new RecordingAsker();
+    private final RecordingRequester requester = new RecordingRequester();
 
     @AfterEach
     void close() {
@@ -65,20 +65,20 @@
             Event.PeerRequestReceived received = otherEvents.next(Event.PeerRequestReceived.class);
             assertEquals(List.of("suva-1"), received.request().passedHosts());
             Call call = otherCalls.find("r1").get();
-            call.begin(1, false, "r1.1.1");
+            call.beginAttempt(1, false, "r1.1.1");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(), List.of("t1"));
             otherCalls.finish(
                     "r1", new Outcome.Answered(Answer.ofStream(200, "text/event-stream"), List.of("labasa-1", "t1")));
-            AttemptResult.Whole whole = assertInstanceOf(AttemptResult.Whole.class, nextResult());
+            AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, nextResult());
             assertEquals(List.of("t1"), whole.path());
-            assertEquals(List.of("id: 0\ndata: p\n\n"), requester.parts());
+            assertEquals(List.of("id: 0\ndata: p\n\n"), requester.streamEvents());
 
             forward(links, "r2");
             otherEvents.next(Event.PeerRequestReceived.class);
             byte[] large = new byte[600_000];
             otherCalls.finish(
                     "r2", new Outcome.Answered(Answer.of(200, "application/json", large), List.of("labasa-1", "t1")));
-            AttemptResult.Whole unary = assertInstanceOf(AttemptResult.Whole.class, nextResult());
+            AttemptResult.Completed unary = assertInstanceOf(AttemptResult.Completed.class, nextResult());
             assertArrayEquals(large, unary.answer().body());
 
             forward(links, "r3");
@@ -99,7 +99,7 @@
             connection.writeFrame(hello);
             connection.awaitClose();
         })) {
-            Links links = links(TestHosts.directory("labasa-1", unresponsive.port()), events, 300);
+            Links links = links(TestFixtures.directory("labasa-1", unresponsive.port()), events, 300);
             forward(links, "r1");
             assertInstanceOf(AttemptResult.Lost.class, nextResult());
             Event.PeerLost lost = events.next(Event.PeerLost.class);
@@ -115,7 +115,7 @@
      */
     @Test
     void shouldReportNotRunAndWhetherRefusedWhenLinkCannotBeEstablished() throws Exception {
-        Links refused = links(TestHosts.directory("labasa-1", RawServer.freePort()), events, 30_000);
+        Links refused = links(TestFixtures.directory("labasa-1", RawServer.freePort()), events, 30_000);
         forward(refused, "r1");
         assertInstanceOf(AttemptResult.NotRun.class, nextResult());
         assertEquals(new Event.PeerLost("labasa-1", true), events.next(Event.PeerLost.class));
@@ -125,7 +125,7 @@
             connection.writeFrame(otherHello);
             connection.awaitClose();
         })) {
-            Links links = links(TestHosts.directory("labasa-1", other.port()), events, 30_000);
+            Links links = links(TestFixtures.directory("labasa-1", other.port()), events, 30_000);
             forward(links, "r2");
             assertInstanceOf(AttemptResult.NotRun.class, nextResult());
             assertEquals(new Event.PeerLost("labasa-1", false), events.next(Event.PeerLost.class));
@@ -142,7 +142,7 @@
         withPeer(30_000, (links, peer) -> {
             forward(links, "r1");
             otherEvents.next(Event.PeerRequestReceived.class);
-            links.forwards().cancel("r1", 1);
+            links.forwardedAttempts().cancel("r1", 1);
             assertEquals(new Event.RequesterLeft("r1"), otherEvents.next(Event.RequesterLeft.class));
             forward(links, "r2");
             otherEvents.next(Event.PeerRequestReceived.class);
@@ -164,7 +164,7 @@
         PeerServer peer = PeerServer.open(
                         "127.0.0.1", 0, otherController.getEventLoopGroup(), otherLinks, otherCalls, otherEvents)
                 .get();
-        Links links = links(TestHosts.directory("labasa-1", peer.port()), events, pingTimeoutMillis);
+        Links links = links(TestFixtures.directory("labasa-1", peer.port()), events, pingTimeoutMillis);
         try (peer) {
             scenario.run(links, peer);
         } catch (InterruptedException e) {
@@ -187,7 +187,7 @@
             nextResult();
             CountDownLatch resume = pauseOtherHost();
 
-            peer.end();
+            peer.closeIdleConnections();
             forward(links, "r2");
             awaitSent();
             resume.countDown();
@@ -197,7 +197,7 @@
                     otherEvents.next(Event.PeerRequestReceived.class).request().id());
             otherCalls.finish("r2", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             assertInstanceOf(AttemptResult.NotRun.class, nextResult());
-            while (!peer.end()) {
+            while (!peer.closeIdleConnections()) {
                 Thread.onSpinWait();
             }
         });
@@ -223,30 +223,30 @@
     }
 
     private void forward(Links links, String requestId) {
-        Call call = TestHosts.call(requestId, CHAT, requester);
+        Call call = TestFixtures.call(requestId, CHAT, requester);
         Action.StartAttempt start = new Action.StartAttempt(
                 requestId,
                 1,
                 new Route.ToHost("labasa-1", "labasa"),
-                call.request().passedBy("suva-1", false),
+                call.request().forwardedBy("suva-1", false),
                 0,
                 call.request().deadlineMillis());
-        links.forwards().start(call, start, "");
+        links.forwardedAttempts().start(call, start, "");
     }
 
     private AttemptResult nextResult() throws InterruptedException {
         return events.next(Event.AttemptEnded.class).result();
     }
 
-    private Links links(Directory directory, RecordingEvents recorder, long pingTimeoutMillis) {
+    private Links links(Directory directory, RecordingEventSink recorder, long pingTimeoutMillis) {
         return links(directory, recorder, pingTimeoutMillis, "suva-1");
     }
 
-    private Links links(Directory directory, RecordingEvents recorder, long pingTimeoutMillis, String host) {
+    private Links links(Directory directory, RecordingEventSink recorder, long pingTimeoutMillis, String host) {
         PeerTimes times = new PeerTimes(5_000, 50, pingTimeoutMillis, 10_000, 10_000, 60_000);
         return new Links(
                 new Hello(host, 1, "suva", "suva-hall", 1),
-                TestHosts.resources(controller, recorder),
+                TestFixtures.resources(controller, recorder),
                 directory,
                 times,
                 SIZES,
@@ -260,7 +260,7 @@
         void run(Links links, PeerServer peer) throws InterruptedException;
     }
 
-    private static final class NoTraffic implements Traffic {
+    private static final class NoTraffic implements TrafficCounter {
         @Override
         public void sent(PeerMessage message, int bytes) {}
 
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/setting/SettingsReaderTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/setting/SettingsReaderTest.java
@@ -25,7 +25,7 @@
 
     @Test
     void shouldReportEveryErrorWhenSeveralSettingsAreInvalid() {
-        List<SettingFault> errors = SettingsReader.read(
+        List<SettingError> errors = SettingsReader.read(
                         List.of(
                                 "--host",
                                 "a b",
@@ -48,14 +48,14 @@
                 .getLeft();
         assertEquals(
                 List.of(
-                        new SettingFault("--policy", "tail", "only one value"),
-                        new SettingFault("--frobs", "", "a flag that --help lists"),
-                        new SettingFault("--seed", "", "a value"),
-                        new SettingFault("--host", "a b", "1 to 63 letters, digits, dots, underscores or hyphens"),
-                        new SettingFault("--store-url", "", "a value, which is required"),
-                        new SettingFault("RATTANPLANK_PEERS_PORT", "70000", "a whole number from 0 to 65535"),
-                        new SettingFault("--workers", "0", "a whole number from 1 to 64"),
-                        new SettingFault("RATTANPLANK_FROBS", "7", "a variable that --help lists")),
+                        new SettingError("--policy", "tail", "only one value"),
+                        new SettingError("--frobs", "", "a flag that --help lists"),
+                        new SettingError("--seed", "", "a value"),
+                        new SettingError("--host", "a b", "1 to 63 letters, digits, dots, underscores or hyphens"),
+                        new SettingError("--store-url", "", "a value, which is required"),
+                        new SettingError("RATTANPLANK_PEERS_PORT", "70000", "a whole number from 0 to 65535"),
+                        new SettingError("--workers", "0", "a whole number from 1 to 64"),
+                        new SettingError("RATTANPLANK_FROBS", "7", "a variable that --help lists")),
                 errors);
     }
 
@@ -76,7 +76,7 @@
                 "--max-body-bytes",
                 "4194304"));
         List<String> reported = SettingsReader.read(arguments, Map.of()).getLeft().stream()
-                .map(SettingFault::setting)
+                .map(SettingError::setting)
                 .toList();
         assertEquals(
                 List.of("--default-timeout-millis", "--max-body-bytes", "--trace-url", "--operators-port"), reported);
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/store/EtcdStoreTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/store/EtcdStoreTest.java
@@ -15,8 +15,8 @@
 import org.rattanplank.core.store.StoreOwner;
 import org.rattanplank.core.store.StoreReply;
 import org.rattanplank.daemon.RawServer;
-import org.rattanplank.daemon.RecordingEvents;
-import org.rattanplank.daemon.TestHosts;
+import org.rattanplank.daemon.RecordingEventSink;
+import org.rattanplank.daemon.TestFixtures;
 import ratpack.exec.internal.DefaultExecController;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -29,7 +29,7 @@
             "{\"key\": \"%s\", \"value\": \"%s\", \"mod_revision\": \"7\"}".formatted(base64("k"), base64("old"));
 
     private final DefaultExecController controller = new DefaultExecController(2);
-    private final RecordingEvents events = new RecordingEvents();
+    private final RecordingEventSink events = new RecordingEventSink();
 
     @AfterEach
     void close() {
@@ -103,7 +103,7 @@
 
     private EtcdStore store(int port, long timeoutMillis, long callsPerSecond) {
         return new EtcdStore(
-                TestHosts.resources(controller, events),
+                TestFixtures.resources(controller, events),
                 URI.create("http://127.0.0.1:" + port),
                 timeoutMillis,
                 60_000,
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
@@ -10,9 +10,9 @@
 import org.rattanplank.core.request.Step;
 import org.rattanplank.core.route.Route;
 import org.rattanplank.daemon.RawServer;
-import org.rattanplank.daemon.RecordingEvents;
-import org.rattanplank.daemon.TestHosts;
-import org.rattanplank.daemon.TestHosts.RecordingAsker;
+import org.rattanplank.daemon.RecordingEventSink;
+import org.rattanplank.daemon.TestFixtures;
+import org.rattanplank.daemon.TestFixtures.RecordingRequester;
 import org.rattanplank.daemon.call.Call;
 import ratpack.exec.internal.DefaultExecController;
 
@@ -27,8 +27,8 @@
     private static final String LAST_CHUNK = "0\r\n\r\n";
 
     private final DefaultExecController controller = new DefaultExecController(2);
-    private final RecordingEvents events = new RecordingEvents();
-    private final RecordingAsker requester = new RecordingAsker();
+    private final RecordingEventSink events = new RecordingEventSink();
+    private final RecordingRequester requester = new RecordingRequester();
 
     @AfterEach
     void close() {
@@ -38,7 +38,7 @@
     @Test
     void shouldReturnCompleteResponseWhenLengthAndIdentifierMatch() throws Exception {
         try (RawServer target = RawServer.of(respond(OK + "Content-Length: 4\r\n\r\nbook"))) {
-            AttemptResult.Whole whole = assertInstanceOf(AttemptResult.Whole.class, run(target, "/book", 0));
+            AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, run(target, "/book", 0));
             assertArrayEquals("book".getBytes(), whole.answer().body());
             assertTrue(target.nextRequest().startsWith("POST /book HTTP/1.1"));
         }
@@ -56,7 +56,7 @@
                 respond(OK.replace("r1.1", "r1.3") + "Transfer-Encoding: chunked\r\n\r\n4\r\nbook\r\n"))) {
             Targets targets = targets(target.port(), 60_000);
             for (int attempt = 1; attempt <= 3; attempt++) {
-                start(targets, TestHosts.call("r1", "/book", requester), attempt, 0);
+                start(targets, TestFixtures.call("r1", "/book", requester), attempt, 0);
                 assertLost(nextResult(), 0);
             }
         }
@@ -70,8 +70,8 @@
     void shouldEndAsLostWhenResponseCarriesAnotherIdentifier() throws Exception {
         String other = STREAM.replace("r1.1", "r2.1") + event(0) + done() + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(other))) {
-            assertLost(run(target, TestHosts.CHAT, 0), 0);
-            assertEquals(List.of(), requester.parts());
+            assertLost(run(target, TestFixtures.CHAT, 0), 0);
+            assertEquals(List.of(), requester.streamEvents());
         }
     }
 
@@ -85,8 +85,8 @@
         try (RawServer target = RawServer.of(respond(twice), respond(twice.replace("r1.1", "r1.2")))) {
             Targets targets = targets(target.port(), 60_000);
             for (int attempt = 1; attempt <= 2; attempt++) {
-                start(targets, TestHosts.call("r1", "/book", requester), attempt, 0);
-                AttemptResult.Whole whole = assertInstanceOf(AttemptResult.Whole.class, nextResult());
+                start(targets, TestFixtures.call("r1", "/book", requester), attempt, 0);
+                AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, nextResult());
                 assertArrayEquals("a".getBytes(), whole.answer().body());
             }
             assertEquals(2, events.count(Event.AttemptEnded.class));
@@ -104,13 +104,14 @@
         String resumed = STREAM + event(1) + event(2) + done() + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(first), respond(resumed))) {
             Targets targets = targets(target.port(), 60_000);
-            Call call = TestHosts.call("r1", TestHosts.CHAT, requester);
+            Call call = TestFixtures.call("r1", TestFixtures.CHAT, requester);
             start(targets, call, 1, 0);
             assertLost(nextResult(), 2);
             start(targets, call, 2, 2);
-            assertInstanceOf(AttemptResult.Whole.class, nextResult());
+            assertInstanceOf(AttemptResult.Completed.class, nextResult());
             assertEquals(
-                    List.of("id: 0\ndata: p0\n\n", "id: 1\ndata: p1\n\n", "id: 2\ndata: p2\n\n"), requester.parts());
+                    List.of("id: 0\ndata: p0\n\n", "id: 1\ndata: p1\n\n", "id: 2\ndata: p2\n\n"),
+                    requester.streamEvents());
             target.nextRequest();
             String resume = target.nextRequest();
             assertTrue(resume.startsWith("GET /v1/streams/r1.1?from=2 "), resume);
@@ -124,9 +125,9 @@
         String open = STREAM.replace("r1.1", "r1.2") + event(0) + LAST_CHUNK;
         try (RawServer target = RawServer.of(respond(gap), respond(open))) {
             Targets targets = targets(target.port(), 60_000);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 1, 0);
+            start(targets, TestFixtures.call("r1", TestFixtures.CHAT, requester), 1, 0);
             assertLost(nextResult(), 1);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 2, 0);
+            start(targets, TestFixtures.call("r1", TestFixtures.CHAT, requester), 2, 0);
             assertLost(nextResult(), 1);
         }
     }
@@ -139,7 +140,7 @@
     @Test
     void shouldReportNotRunOnlyWhenNoByteWasSentOrTargetRejected() throws Exception {
         Targets unreachable = targets(RawServer.freePort(), 60_000);
-        start(unreachable, TestHosts.call("r1", "/book", requester), 1, 0);
+        start(unreachable, TestFixtures.call("r1", "/book", requester), 1, 0);
         AttemptResult.NotRun notConnected = assertInstanceOf(AttemptResult.NotRun.class, nextResult());
         assertEquals(Step.CONNECT, notConnected.failure().step());
         String refusal = "HTTP/1.1 503 Busy\r\nX-Request-Id: r1.1\r\nX-Not-Run: true\r\nRetry-After: 2\r\n"
@@ -165,7 +166,7 @@
                 },
                 respond("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))) {
             Targets targets = targets(target.port(), 100);
-            start(targets, TestHosts.call("r1", "/book", requester), 1, 0);
+            start(targets, TestFixtures.call("r1", "/book", requester), 1, 0);
             assertLost(nextResult(), 0);
             target.nextRequest();
             assertTrue(target.nextRequest().startsWith("GET /load "));
@@ -187,7 +188,7 @@
                 },
                 respond("HTTP/1.1 204 None\r\n\r\n"))) {
             Targets targets = targets(target.port(), 60_000);
-            start(targets, TestHosts.call("r1", TestHosts.CHAT, requester), 1, 0);
+            start(targets, TestFixtures.call("r1", TestFixtures.CHAT, requester), 1, 0);
             events.next(Event.StreamProgressed.class);
             targets.cancel("r1", 1);
             target.nextRequest();
@@ -198,7 +199,7 @@
     }
 
     private AttemptResult run(RawServer target, String path, long resumeAtEvent) throws InterruptedException {
-        start(targets(target.port(), 60_000), TestHosts.call("r1", path, requester), 1, resumeAtEvent);
+        start(targets(target.port(), 60_000), TestFixtures.call("r1", path, requester), 1, resumeAtEvent);
         return nextResult();
     }
 
@@ -209,7 +210,8 @@
     private Targets targets(int port, long overdueMillis) {
         AttemptLimits limits =
                 new AttemptLimits(65_536, 65_536, new OverdueTimes(overdueMillis, overdueMillis, overdueMillis));
-        return new Targets(TestHosts.resources(controller, events), TestHosts.directory("t1", port), limits, 10_000);
+        return new Targets(
+                TestFixtures.resources(controller, events), TestFixtures.directory("t1", port), limits, 10_000);
     }
 
     private static void start(Targets targets, Call call, int attempt, long resumeAtEvent) {
@@ -224,7 +226,7 @@
     private static void assertLost(AttemptResult result, long callerEvents) {
         AttemptResult.Lost lost = assertInstanceOf(AttemptResult.Lost.class, result);
         assertEquals(Step.RECEIVE, lost.failure().step());
-        assertEquals(callerEvents, lost.callerParts());
+        assertEquals(callerEvents, lost.deliveredEvents());
     }
 
     private static RawServer.Script respond(String text) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
@@ -6,9 +6,9 @@
 import org.rattanplank.core.gateway.EntryChange;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.TargetEntry;
-import org.rattanplank.core.intent.Configurations;
+import org.rattanplank.core.intent.ConfigurationManager;
+import org.rattanplank.core.intent.ConfigurationParser;
 import org.rattanplank.core.intent.Document;
-import org.rattanplank.core.intent.Documents;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
 import org.rattanplank.gateway.pass.GatewayState;
@@ -52,7 +52,7 @@
         } else if (fact instanceof ClusterEvent.EvacuationChanged evacuation) {
             state.pool().evacuate(evacuation.dataCentre(), evacuation.active(), state.nowMillis());
             state.log()
-                    .important(LogLine.of(LogEvent.EVACUATION)
+                    .writeImportant(LogLine.of(LogEvent.EVACUATION)
                             .with("dataCentre", evacuation.dataCentre())
                             .with("active", evacuation.active())
                             .with("revision", item.revision()));
@@ -77,7 +77,7 @@
     public void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis) {
         if (bytes >= LARGE_RESPONSE_BYTES) {
             state.log()
-                    .ordinary(LogLine.of(LogEvent.STORE_READ)
+                    .writeOrdinary(LogLine.of(LogEvent.STORE_READ)
                             .with("reading", reading.name())
                             .with("bytes", bytes)
                             .with("items", items)
@@ -88,12 +88,12 @@
     @Override
     public void storeRecovered() {
         state.pool().recordStoreRecovery(state.nowMillis());
-        state.log().important(LogLine.of(LogEvent.STORE_RETURNED));
+        state.log().writeImportant(LogLine.of(LogEvent.STORE_RETURNED));
     }
 
     @Override
     public void storeUnavailable(StoreFailure reason) {
-        state.log().important(LogLine.of(LogEvent.STORE_LOST).with("reason", reason.name()));
+        state.log().writeImportant(LogLine.of(LogEvent.STORE_LOST).with("reason", reason.name()));
     }
 
     void tick(long nowMillis) {
@@ -105,21 +105,21 @@
     private void applyConfiguration(GatewayConfiguration configuration) {
         if (state.applyConfiguration(configuration)) {
             state.log()
-                    .important(LogLine.of(LogEvent.CONFIGURED)
+                    .writeImportant(LogLine.of(LogEvent.CONFIGURED)
                             .with("configurationVersion", configuration.version())
                             .with("homes", configuration.homeRegionsByRoute().toString()));
         }
     }
 
     private void applyIntents(Document document) {
-        Documents.read(document)
+        ConfigurationParser.parse(document)
                 .onFailure(error -> state.log()
-                        .important(LogLine.of(LogEvent.ITEM_UNREADABLE)
-                                .with("key", Configurations.KEY)
+                        .writeImportant(LogLine.of(LogEvent.ITEM_UNREADABLE)
+                                .with("key", ConfigurationManager.KEY)
                                 .with("reason", String.valueOf(error.getMessage()))))
                 .filter(state::applyIntents)
                 .forEach(intents -> state.log()
-                        .important(LogLine.of(LogEvent.CONFIGURED)
+                        .writeImportant(LogLine.of(LogEvent.CONFIGURED)
                                 .with("intentsGeneration", intents.generation())
                                 .with("retiring", String.join(",", intents.retiring()))));
     }
@@ -132,7 +132,7 @@
             logTargetGone(previous.incarnationText(), "the target has restarted");
         });
         change.changed().forEach(target -> state.log()
-                .important(LogLine.of(LogEvent.TARGET_CHANGED)
+                .writeImportant(LogLine.of(LogEvent.TARGET_CHANGED)
                         .with("target", target.incarnationText())
                         .with("service", entry.service())
                         .with("leaving", entry.leaving())
@@ -145,7 +145,7 @@
         state.metrics().unreadableItem();
         if (reportedUnreadable.add(item.key() + ' ' + unreadable.reason())) {
             state.log()
-                    .important(LogLine.of(LogEvent.ITEM_UNREADABLE)
+                    .writeImportant(LogLine.of(LogEvent.ITEM_UNREADABLE)
                             .with("key", item.key())
                             .with("revision", item.revision())
                             .with("reason", unreadable.reason()));
@@ -157,6 +157,7 @@
 
     private void logTargetGone(String id, String reason) {
         state.log()
-                .important(LogLine.of(LogEvent.TARGET_GONE).with("target", id).with("reason", reason));
+                .writeImportant(
+                        LogLine.of(LogEvent.TARGET_GONE).with("target", id).with("reason", reason));
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -20,10 +20,10 @@
 import org.rattanplank.core.gateway.EntryHostDirectory;
 import org.rattanplank.core.gateway.GatewayConfiguration;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.gateway.caller.CallerCall;
 import org.rattanplank.gateway.caller.CallerConnection;
+import org.rattanplank.gateway.caller.CallerRequest;
 import org.rattanplank.gateway.caller.CallerServer;
-import org.rattanplank.gateway.http.CallTraffic;
+import org.rattanplank.gateway.http.HttpClientTraffic;
 import org.rattanplank.gateway.log.EventLog;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
@@ -152,7 +152,7 @@
         loop.execute(() -> {
             feed.start();
             lease.start();
-            log.important(LogLine.of(LogEvent.STARTED).with("incarnation", self.incarnation()));
+            log.writeImportant(LogLine.of(LogEvent.STARTED).with("incarnation", self.incarnation()));
         });
         // With a fixed delay two ticks never run in the same turn of the event loop, so it reads its sockets in
         // between.
@@ -177,7 +177,7 @@
                     this::abortAll,
                     settings.limits().stopGraceMillis(),
                     ended));
-            log.important(LogLine.of(LogEvent.STOPPING).with("requests", requests.size()));
+            log.writeImportant(LogLine.of(LogEvent.STOPPING).with("requests", requests.size()));
             callers.stop();
             lease.deregister();
             stateExchange.sendStateToAll();
@@ -187,19 +187,19 @@
 
     /** Logs that the settings were reloaded. */
     public void reloaded() {
-        log.important(LogLine.of(LogEvent.RELOADED));
+        log.writeImportant(LogLine.of(LogEvent.RELOADED));
     }
 
     @Override
     public void connected(PeerLink link) {
-        log.important(LogLine.of(LogEvent.PEER_CONNECTED)
+        log.writeImportant(LogLine.of(LogEvent.PEER_CONNECTED)
                 .with("peer", link.host().get().name()));
         stateExchange.sendState(link);
     }
 
     @Override
     public void disconnected(PeerLink link, String reason) {
-        log.important(LogLine.of(LogEvent.PEER_LOST)
+        log.writeImportant(LogLine.of(LogEvent.PEER_LOST)
                 .with("peer", link.host().map(GatewayHost::name).getOrElse(""))
                 .with("reason", reason));
         Option.of(forwarded.remove(link))
@@ -242,9 +242,9 @@
     }
 
     private void onRequest(
-            CallerConnection connection, HttpRequest head, byte[] body, Consumer<CallerCall> callReceiver) {
+            CallerConnection connection, HttpRequest head, byte[] body, Consumer<CallerRequest> callReceiver) {
         Option<GatewayRequest> request = reader.read(head, body);
-        metrics.record(Latency.REQUEST_READ, connection.readMillis());
+        metrics.record(Latency.REQUEST_READ, connection.receiveMillis());
         CallerResponse response = new CallerResponse(connection);
         if (request.isEmpty()) {
             response.respondBadRequest();
@@ -274,7 +274,7 @@
 
     private void onMalformedRequest(int status) {
         metrics.ended(Integer.toString(status));
-        log.ordinary(LogLine.of(LogEvent.REFUSED).with("status", status).with("reason", "malformed request"));
+        log.writeOrdinary(LogLine.of(LogEvent.REFUSED).with("status", status).with("reason", "malformed request"));
     }
 
     private CallerLimits bounds() {
@@ -295,7 +295,7 @@
     private void onLeaseAnswer(Option<StoreFailure> failure) {
         feed.updateLeaseHealth(failure.isEmpty());
         failure.forEach(
-                reason -> log.important(LogLine.of(LogEvent.LEASE_FAILED).with("reason", reason.name())));
+                reason -> log.writeImportant(LogLine.of(LogEvent.LEASE_FAILED).with("reason", reason.name())));
     }
 
     private void onKeyLost() {
@@ -363,7 +363,7 @@
         long delayMillis = Math.max(0, readWatermark.recordTick(now) - TICK_MILLIS);
         metrics.record(Latency.LOOP_DELAY, delayMillis);
         if (delayMillis >= LATE_TICK_MILLIS) {
-            log.ordinary(LogLine.of(LogEvent.LOOP_LATE)
+            log.writeOrdinary(LogLine.of(LogEvent.LOOP_LATE)
                     .with("delayMillis", delayMillis)
                     .with("requests", requests.size()));
         }
@@ -379,7 +379,7 @@
         stateUpdater.tick(now);
         if (ticks % IDLE_CHECK_TICKS == 0) {
             connections.tick();
-            callers.tick();
+            callers.closeTimedOutConnections();
             logCongestedLinks();
             directory.recordHosts(hosts(acceptMillis() > 0, received -> received.acceptMillis() > 0), now);
         }
@@ -388,7 +388,7 @@
     private void logCongestedLinks() {
         for (PeerLink link : links.aliveLinks()) {
             if (link.pendingBytes() >= CONGESTED_LINK_BYTES) {
-                log.ordinary(LogLine.of(LogEvent.LINK_FULL)
+                log.writeOrdinary(LogLine.of(LogEvent.LINK_FULL)
                         .with("peer", link.host().get().name())
                         .with("waitingBytes", link.pendingBytes()));
             }
@@ -406,7 +406,7 @@
                 .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedRequest::abort));
     }
 
-    private void registerGauges(CallTraffic storeTraffic) {
+    private void registerGauges(HttpClientTraffic storeTraffic) {
         metrics.gauge("configuration_version", state::configurationVersion);
         metrics.gauge("intents_generation", () -> state.intents().generation());
         metrics.gauge("store_age_millis", () -> feed.lastResponseAgeMillis());
@@ -422,9 +422,9 @@
         metrics.gauge("peer_bytes_received", () -> links.traffic().receivedBytes());
         metrics.gauge("store_bytes_sent", storeTraffic::sentBytes);
         metrics.gauge("store_bytes_received", storeTraffic::receivedBytes);
-        metrics.gauge("store_write_longest_millis", storeTraffic::takeLongestWriteMillis);
+        metrics.gauge("store_write_longest_millis", storeTraffic::resetLongestWriteMillis);
         metrics.gauge("target_connections_opened", connections::openedConnections);
-        metrics.gauge("log_lines_dropped", log::dropped);
+        metrics.gauge("log_lines_dropped", log::droppedLines);
     }
 
     private static String hostAndPort(java.net.InetSocketAddress address) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewaySettings.java
@@ -7,7 +7,7 @@
 import java.util.stream.Collectors;
 
 import org.rattanplank.core.gateway.Mechanisms;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 
 /**
  * The settings of one gateway process. Immutable and thread safe.
@@ -27,7 +27,7 @@
  */
 public record GatewaySettings(
         String name,
-        Place location,
+        Location location,
         Map<String, String> regionsByDataCentre,
         InetSocketAddress callers,
         InetSocketAddress readiness,
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
@@ -117,11 +117,11 @@
     private void closeIdle() {
         if (!portsClosed) {
             portsClosed = true;
-            callers.closePort();
+            callers.closeListener();
             links.stopListening();
         }
-        callers.endIdle();
-        if (callers.haveEnded() && !hasRequests.getAsBoolean()) {
+        callers.closeIdleConnections();
+        if (callers.allHalfClosed() && !hasRequests.getAsBoolean()) {
             links.closeGracefully(hasRequests);
         }
     }
@@ -129,10 +129,10 @@
     private void finish() {
         finished = true;
         state.log()
-                .important(LogLine.of(LogEvent.STOPPED)
+                .writeImportant(LogLine.of(LogEvent.STOPPED)
                         .with("tookMillis", stoppingMillis())
                         .with("connections", callers.connections())
-                        .with("foundWaiting", callers.requestsFoundWaiting())
+                        .with("foundWaiting", callers.requestsFoundPending())
                         .with("cut", aborted));
         onEnded.run();
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
@@ -5,7 +5,7 @@
 
 import org.rattanplank.core.gateway.CatchUpOrder;
 import org.rattanplank.core.gateway.StoreWatchers;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.gateway.pass.GatewayState;
 import org.rattanplank.gateway.peer.PeerFrame;
 import org.rattanplank.gateway.peer.PeerLink;
@@ -49,7 +49,7 @@
         this.feed = feed;
         this.linkBytesPerMilli = linkBytesPerMilli;
         replicator = new StoreReplicator(
-                feed.copy(), linkBytesPerMilli, state.pool()::removalGraceMillis, state.log()::ordinary);
+                feed.copy(), linkBytesPerMilli, state.pool()::removalGraceMillis, state.log()::writeOrdinary);
     }
 
     void tick(List<PeerLink> alive, long nowMillis) {
@@ -90,7 +90,8 @@
             if (link.isInOwnRegion()) {
                 PeerFrame.State peer = link.state();
                 long candidate = 2 * peer.linkBytesPerMilli() + (peer.storeHealthy() ? 1 : 0);
-                checksum += Rendezvous.mix(Rendezvous.mix(link.name().hashCode()) ^ candidate);
+                checksum +=
+                        RendezvousHashing.mix(RendezvousHashing.mix(link.name().hashCode()) ^ candidate);
             }
         }
         if (checksum != followersChecksum) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
@@ -29,7 +29,7 @@
 import io.netty.util.ReferenceCountUtil;
 import org.rattanplank.core.gateway.CallerLimits;
 import org.rattanplank.gateway.http.Headers;
-import org.rattanplank.gateway.http.WaitingBytes;
+import org.rattanplank.gateway.http.PendingInput;
 
 /**
  * A caller's connection, which carries one request at a time.
@@ -63,7 +63,7 @@
     private HttpRequest incompleteRequest;
     private List<ByteBuf> bodyChunks = new ArrayList<>();
     private int bodyBytes;
-    private CallerCall activeRequest;
+    private CallerRequest activeRequest;
     private boolean keepAlive = true;
     private boolean lengthAmbiguous;
     private boolean closing;
@@ -73,7 +73,7 @@
     private boolean receivingRequest;
     private boolean awaitingFirstByte = true;
     private long firstByteAtMillis;
-    private long readMillis;
+    private long receiveMillis;
 
     CallerConnection(CallerServer server, CallerLimits bounds) {
         this.server = server;
@@ -94,8 +94,8 @@
      *
      * @return milliseconds from its first byte to its last
      */
-    public long readMillis() {
-        return readMillis;
+    public long receiveMillis() {
+        return receiveMillis;
     }
 
     /**
@@ -105,7 +105,7 @@
      * @param headers headers besides those of the connection
      * @param body the body
      */
-    public void answer(int status, HttpHeaders headers, ByteBuf body) {
+    public void respond(int status, HttpHeaders headers, ByteBuf body) {
         HttpHeaders all = Headers.unchecked().add(headers);
         boolean bodiless =
                 status == HttpResponseStatus.NO_CONTENT.code() || status == HttpResponseStatus.NOT_MODIFIED.code();
@@ -124,7 +124,7 @@
      * @param status the status
      * @param headers headers besides those of the connection
      */
-    public void begin(int status, HttpHeaders headers) {
+    public void beginResponse(int status, HttpHeaders headers) {
         HttpHeaders all = Headers.unchecked().add(headers);
         all.remove(HttpHeaderNames.CONTENT_LENGTH);
         all.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
@@ -137,22 +137,22 @@
      *
      * @param bytes the chunk
      */
-    public void part(ByteBuf bytes) {
+    public void sendChunk(ByteBuf bytes) {
         write(new DefaultHttpContent(bytes));
         if (channel.unsafe().outboundBuffer() != null
                 && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_UNSENT_BYTES) {
-            breakOff();
+            abortResponse();
         }
     }
 
     /** Ends a response that was begun and is complete. */
-    public void end() {
+    public void endResponse() {
         write(LastHttpContent.EMPTY_LAST_CONTENT);
         responseEnded();
     }
 
     /** Aborts a response that was begun and is incomplete, by closing the connection in place of the next chunk. */
-    public void breakOff() {
+    public void abortResponse() {
         closing = true;
         activeRequest = null;
         channel.close();
@@ -170,7 +170,7 @@
         if (!isIdle() || firstRequestExpected) {
             return;
         }
-        WaitingBytes.read(channel);
+        PendingInput.read(channel);
         if (isIdle()) {
             channel.config().setAutoRead(false);
             halfClose();
@@ -200,7 +200,7 @@
             channel.close();
             return;
         }
-        WaitingBytes.read(channel);
+        PendingInput.read(channel);
         long idleMillis = nowMillis - idleSinceMillis;
         if (activeRequest != null || closing || !channel.isActive()) {
             return;
@@ -243,10 +243,10 @@
     public void channelInactive(ChannelHandlerContext context) {
         server.closed(this);
         releaseBody();
-        CallerCall abandoned = activeRequest;
+        CallerRequest abandoned = activeRequest;
         activeRequest = null;
         if (abandoned != null) {
-            abandoned.callerLeft();
+            abandoned.callerDisconnected();
         }
     }
 
@@ -350,7 +350,7 @@
         releaseBody();
         HttpRequest request = incompleteRequest;
         incompleteRequest = null;
-        readMillis = server.nowMillis() - firstByteAtMillis;
+        receiveMillis = server.nowMillis() - firstByteAtMillis;
         server.requestReceived(this, request, body, started -> activeRequest = started);
     }
 
@@ -358,7 +358,7 @@
         releaseBody();
         keepAlive = false;
         headRequest = false;
-        answer(status.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
+        respond(status.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
         server.requestRejected(status.code());
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerCall.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerRequest.java
@@ -1,7 +1,7 @@
 package org.rattanplank.gateway.caller;
 
 /** A caller's request in progress. Its methods are called on the event loop. */
-public interface CallerCall {
+public interface CallerRequest {
     /** Called when the caller closes its connection before the response is complete. */
-    void callerLeft();
+    void callerDisconnected();
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
@@ -23,8 +23,8 @@
 import io.netty.handler.codec.http.HttpResponseEncoder;
 import org.rattanplank.core.gateway.CallerLimits;
 import org.rattanplank.gateway.MonotonicClock;
-import org.rattanplank.gateway.http.ByteWatch;
-import org.rattanplank.gateway.http.WaitingBytes;
+import org.rattanplank.gateway.http.ByteCountHandler;
+import org.rattanplank.gateway.http.PendingInput;
 
 /**
  * The HTTP server for callers.
@@ -50,7 +50,7 @@
     private final Set<CallerConnection> connections = new HashSet<>();
     private Channel serverChannel;
     private long opened;
-    private long requestsFoundWaiting;
+    private long requestsFoundPending;
     private boolean stopping;
 
     /**
@@ -93,7 +93,7 @@
                     protected void initChannel(SocketChannel channel) {
                         CallerConnection connection = new CallerConnection(CallerServer.this, bounds.get());
                         channel.pipeline()
-                                .addLast(new ByteWatch(bytes -> connection.bytesReceived()))
+                                .addLast(new ByteCountHandler(bytes -> connection.bytesReceived()))
                                 .addLast(new RequestDecoder(bounds.get(), connection))
                                 .addLast(new HttpResponseEncoder())
                                 .addLast(connection);
@@ -118,17 +118,17 @@
      * Stops accepting connections. Those in the accept queue are accepted first: the operating system would reset them,
      * together with requests that were sent already.
      */
-    public void closePort() {
+    public void closeListener() {
         long previouslyOpened;
         do {
             previouslyOpened = opened;
-            WaitingBytes.read(serverChannel);
+            PendingInput.read(serverChannel);
         } while (opened > previouslyOpened);
         serverChannel.close();
     }
 
     /** Closes the connections that carry no request. */
-    public void endIdle() {
+    public void closeIdleConnections() {
         List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
     }
 
@@ -146,7 +146,7 @@
      *
      * @return whether the output of every connection has been shut down
      */
-    public boolean haveEnded() {
+    public boolean allHalfClosed() {
         return connections.stream().allMatch(CallerConnection::isHalfClosed);
     }
 
@@ -155,12 +155,12 @@
      *
      * @return the number since the start
      */
-    public long requestsFoundWaiting() {
-        return requestsFoundWaiting;
+    public long requestsFoundPending() {
+        return requestsFoundPending;
     }
 
     /** Closes connections that exceeded the idle timeout or the timeout for sending headers. */
-    public void tick() {
+    public void closeTimedOutConnections() {
         long now = clock.nowMillis();
         List.copyOf(connections).forEach(connection -> connection.closeIfTimedOut(now));
     }
@@ -183,14 +183,15 @@
     }
 
     void requestFoundPending() {
-        requestsFoundWaiting++;
+        requestsFoundPending++;
     }
 
     void requestRejected(int status) {
         requestRejected.accept(status);
     }
 
-    void requestReceived(CallerConnection connection, HttpRequest request, byte[] body, Consumer<CallerCall> onStart) {
+    void requestReceived(
+            CallerConnection connection, HttpRequest request, byte[] body, Consumer<CallerRequest> onStart) {
         handler.requestReceived(connection, request, body, onStart);
     }
 
@@ -205,7 +206,7 @@
          * @param onStart receives the request in progress before it can end
          */
         void requestReceived(
-                CallerConnection connection, HttpRequest request, byte[] body, Consumer<CallerCall> onStart);
+                CallerConnection connection, HttpRequest request, byte[] body, Consumer<CallerRequest> onStart);
     }
 
     /**
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/EventSplitter.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/EventSplitter.java
@@ -17,7 +17,7 @@
 
     private final ByteBuf pending = Unpooled.buffer(256);
     private String lastEventId;
-    private int events;
+    private int eventCount;
 
     /**
      * Creates a splitter.
@@ -42,8 +42,8 @@
      *
      * @return the number of events
      */
-    public int events() {
-        return events;
+    public int eventCount() {
+        return eventCount;
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param bytes the next bytes of the stream
      * @return the events that are complete now, or an empty buffer
      */
-    public ByteBuf take(ByteBuf bytes) {
+    public ByteBuf append(ByteBuf bytes) {
         pending.writeBytes(bytes);
         int end = endOfLastEvent();
         if (end < 0) {
@@ -69,12 +69,12 @@
      *
      * @return the bytes
      */
-    public ByteBuf rest() {
+    public ByteBuf takeRemainder() {
         return pending.readBytes(pending.readableBytes());
     }
 
     /** Discards the bytes of an incomplete event. */
-    public void dropRest() {
+    public void discardRemainder() {
         pending.clear();
     }
 
@@ -106,7 +106,7 @@
             if (!line.isEmpty() && !line.equals("\r")) {
                 inEvent |= !line.startsWith(COMMENT_PREFIX);
             } else if (inEvent) {
-                events++;
+                eventCount++;
                 inEvent = false;
             }
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/ByteWatch.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/ByteCountHandler.java
@@ -11,7 +11,7 @@
  * Reports the number of raw bytes received before they are decoded, so that incomplete headers or frames count as
  * activity as well. Confined to the event loop.
  */
-public final class ByteWatch extends ChannelInboundHandlerAdapter {
+public final class ByteCountHandler extends ChannelInboundHandlerAdapter {
     private final IntConsumer bytesReceived;
 
     /**
@@ -19,7 +19,7 @@
      *
      * @param bytesReceived receives the number of bytes of each read
      */
-    public ByteWatch(IntConsumer bytesReceived) {
+    public ByteCountHandler(IntConsumer bytesReceived) {
         this.bytesReceived = Objects.requireNonNull(bytesReceived, "bytesCame");
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/HttpClient.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/HttpClient.java
@@ -47,7 +47,7 @@
     private final EventLoopGroup group;
     private final InetSocketAddress address;
     private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
-    private final CallTraffic traffic = new CallTraffic();
+    private final HttpClientTraffic traffic = new HttpClientTraffic();
 
     /**
      * Creates a client.
@@ -65,7 +65,7 @@
      *
      * @return the counters
      */
-    public CallTraffic traffic() {
+    public HttpClientTraffic traffic() {
         return traffic;
     }
 
@@ -103,7 +103,7 @@
                         @Override
                         protected void initChannel(SocketChannel socket) {
                             socket.pipeline()
-                                    .addLast(new ByteWatch(Connection.this::recordReceived))
+                                    .addLast(new ByteCountHandler(Connection.this::recordReceived))
                                     .addLast(new HttpClientCodec())
                                     .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
                                     .addLast(Connection.this);
@@ -177,7 +177,7 @@
             // although
             // it has responded.
             Consumer<Option<HttpClientResponse>> expired = responseHandler;
-            WaitingBytes.read(channel);
+            PendingInput.read(channel);
             if (responseHandler != expired) {
                 return;
             }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/CallTraffic.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/HttpClientTraffic.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts the bytes of requests to one address, and records how long writing them took. Thread safe. */
-public final class CallTraffic {
+public final class HttpClientTraffic {
     private final LongAdder sentBytes = new LongAdder();
     private final LongAdder receivedBytes = new LongAdder();
     private final LongAccumulator longestWriteMillis = new LongAccumulator(Math::max, 0);
@@ -32,7 +32,7 @@
      *
      * @return milliseconds
      */
-    public long takeLongestWriteMillis() {
+    public long resetLongestWriteMillis() {
         return longestWriteMillis.getThenReset();
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/WaitingBytes.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/http/PendingInput.java
@@ -11,8 +11,8 @@
  * here first, in the same event loop task: otherwise a request that has arrived would be lost unread, and its caller
  * could not tell whether it ran. Stateless; must be called on the connection's event loop.
  */
-public final class WaitingBytes {
-    private WaitingBytes() {}
+public final class PendingInput {
+    private PendingInput() {}
 
     /**
      * Passes all pending bytes to the connection's handlers, or accepts the pending connections of a server channel.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/EventLog.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/EventLog.java
@@ -43,7 +43,7 @@
     private static final JsonFactory JSON = new JsonFactory();
 
     private final BlockingQueue<LogLine> queue = new ArrayBlockingQueue<>(CAPACITY_LINES);
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong droppedLines = new AtomicLong();
     private final String host;
     private final OutputStream out;
     private final LongSupplier nowMillis;
@@ -77,9 +77,9 @@
      *
      * @param line the line
      */
-    public void ordinary(LogLine line) {
+    public void writeOrdinary(LogLine line) {
         if (queue.remainingCapacity() <= RESERVED_LINES) {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
             return;
         }
         offer(line);
@@ -90,7 +90,7 @@
      *
      * @param line the line
      */
-    public void important(LogLine line) {
+    public void writeImportant(LogLine line) {
         offer(line);
     }
 
@@ -99,8 +99,8 @@
      *
      * @return the number of lines
      */
-    public long dropped() {
-        return dropped.get();
+    public long droppedLines() {
+        return droppedLines.get();
     }
 
     /** Writes the queued lines, unless the output blocks, and stops the log. */
@@ -118,7 +118,7 @@
     private void offer(LogLine line) {
         line.with("timeMillis", nowMillis.getAsLong());
         if (!queue.offer(line)) {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
         }
     }
 
@@ -130,7 +130,7 @@
                 batch.clear();
                 awaitLine(batch);
                 queue.drainTo(batch);
-                long totalDrops = dropped.get();
+                long totalDrops = droppedLines.get();
                 if (totalDrops > reportedDrops) {
                     batch.add(LogLine.of(LogEvent.LINES_DROPPED)
                             .with("lines", totalDrops - reportedDrops)
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/RequestLog.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/log/RequestLog.java
@@ -47,10 +47,10 @@
     public void end(LogLine last, boolean ordinary) {
         last.with("requestId", requestId);
         if (ordinary) {
-            log.ordinary(last);
+            log.writeOrdinary(last);
             return;
         }
-        lines.forEach(log::important);
-        log.important(last);
+        lines.forEach(log::writeImportant);
+        log.writeImportant(last);
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
@@ -43,7 +43,7 @@
 
     /** Responds with status 400 to a request without a unique host name. */
     public void respondBadRequest() {
-        connection.answer(HttpResponseStatus.BAD_REQUEST.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
+        connection.respond(HttpResponseStatus.BAD_REQUEST.code(), EmptyHttpHeaders.INSTANCE, Unpooled.EMPTY_BUFFER);
     }
 
     void expectResponse(boolean isStream, String lastEventId) {
@@ -53,7 +53,7 @@
 
     /** Returns the time between the first and the last byte of the request. */
     long requestReadMillis() {
-        return connection.readMillis();
+        return connection.receiveMillis();
     }
 
     boolean isStarted() {
@@ -74,7 +74,7 @@
 
     /** Returns the number of whole events forwarded to the caller so far. */
     int events() {
-        return events.events();
+        return events.eventCount();
     }
 
     /** Returns the status sent to the caller, or zero if there is none yet. */
@@ -107,9 +107,9 @@
         }
         lastChunkAtMillis = nowMillis;
         if (isEventStream()) {
-            forwardEvents(events.take(bytes));
+            forwardEvents(events.append(bytes));
         } else if (started) {
-            connection.part(bytes.retain());
+            connection.sendChunk(bytes.retain());
         } else {
             buffer(bytes);
         }
@@ -117,32 +117,32 @@
 
     void complete() {
         if (isEventStream()) {
-            forwardEvents(events.rest());
+            forwardEvents(events.takeRemainder());
         }
         if (started) {
-            connection.end();
+            connection.endResponse();
         } else {
-            connection.answer(status, headers, buffered);
+            connection.respond(status, headers, buffered);
             buffered = Unpooled.EMPTY_BUFFER;
         }
     }
 
     /** Discards what an attempt returned and was not yet forwarded. */
     void discardPartial() {
-        events.dropRest();
+        events.discardRemainder();
         buffered.release();
         buffered = Unpooled.EMPTY_BUFFER;
     }
 
     void abort() {
         discardPartial();
-        connection.breakOff();
+        connection.abortResponse();
     }
 
     void respond(int newStatus, HttpHeaders newHeaders, ByteBuf body) {
         status = newStatus;
         discardPartial();
-        connection.answer(newStatus, newHeaders, body);
+        connection.respond(newStatus, newHeaders, body);
     }
 
     private boolean isEventStream() {
@@ -155,7 +155,7 @@
             return;
         }
         start();
-        connection.part(wholeEvents);
+        connection.sendChunk(wholeEvents);
     }
 
     private void buffer(ByteBuf bytes) {
@@ -165,7 +165,7 @@
         buffered.writeBytes(bytes);
         if (buffered.readableBytes() > MAX_BUFFERED_BYTES) {
             start();
-            connection.part(buffered);
+            connection.sendChunk(buffered);
             buffered = Unpooled.EMPTY_BUFFER;
         }
     }
@@ -174,7 +174,7 @@
         if (!started) {
             started = true;
             headers.remove(HttpHeaderNames.CONTENT_LENGTH);
-            connection.begin(status, headers);
+            connection.beginResponse(status, headers);
         }
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -25,7 +25,7 @@
 import org.rattanplank.gateway.GatewayMetrics;
 import org.rattanplank.gateway.GatewayRequest;
 import org.rattanplank.gateway.Latency;
-import org.rattanplank.gateway.caller.CallerCall;
+import org.rattanplank.gateway.caller.CallerRequest;
 import org.rattanplank.gateway.http.Headers;
 import org.rattanplank.gateway.log.LogEvent;
 import org.rattanplank.gateway.log.LogLine;
@@ -44,7 +44,7 @@
  * retried only after its target reported that it did not run; once part of a response was sent, the response either
  * completes or is visibly truncated. Confined to the event loop.
  */
-public final class ProxiedRequest implements CallerCall {
+public final class ProxiedRequest implements CallerRequest {
     /**
      * How long a request waits for the first configuration. A process that has just started receives it after some
      * hundred milliseconds; a rejected caller would retry later than that.
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void callerLeft() {
+    public void callerDisconnected() {
         if (finished) {
             return;
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
@@ -17,7 +17,7 @@
 import org.rattanplank.core.gateway.RegionStreamStats;
 import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.gateway.store.StoreItem;
 
 /**
@@ -366,7 +366,7 @@
         return new GatewayHost(
                 in.unpackString(),
                 in.unpackLong(),
-                Place.of(in.unpackString(), in.unpackString()),
+                Location.of(in.unpackString(), in.unpackString()),
                 in.unpackString(),
                 in.unpackString());
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -25,7 +25,7 @@
 import org.rattanplank.core.gateway.GatewayHost;
 import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.http.Headers;
-import org.rattanplank.gateway.http.WaitingBytes;
+import org.rattanplank.gateway.http.PendingInput;
 import org.rattanplank.gateway.target.Attempt;
 import org.rattanplank.gateway.target.AttemptFailure;
 import org.rattanplank.gateway.target.AttemptListener;
@@ -244,7 +244,7 @@
         if (closing || !isOpen()) {
             return;
         }
-        WaitingBytes.read(channel);
+        PendingInput.read(channel);
         if (hasWork.getAsBoolean() || !isOpen()) {
             return;
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
@@ -23,9 +23,9 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.gateway.MonotonicClock;
-import org.rattanplank.gateway.http.ByteWatch;
+import org.rattanplank.gateway.http.ByteCountHandler;
 
 /**
  * Manages the links to all other hosts.
@@ -381,7 +381,7 @@
                 .filter(host -> host.location().region().equals(region))
                 .map(GatewayHost::name)
                 .toList();
-        return Rendezvous.rank(names, self.name()).stream()
+        return RendezvousHashing.rank(names, self.name()).stream()
                 .limit(LINKS_PER_OTHER_REGION)
                 .toList();
     }
@@ -420,7 +420,7 @@
                         // Bytes count as activity, not only frames: the frame of a large item can take longer than the
                         // limit for an unresponsive link. Otherwise the link would be closed and the item sent again
                         // for as long as the link is congested.
-                        .addLast(new ByteWatch(link::bytesReceived))
+                        .addLast(new ByteCountHandler(link::bytesReceived))
                         .addLast(new LengthFieldBasedFrameDecoder(
                                 MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
                         .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterStore.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/ClusterStore.java
@@ -4,7 +4,7 @@
 
 import io.vavr.control.Either;
 import io.vavr.control.Option;
-import org.rattanplank.gateway.http.CallTraffic;
+import org.rattanplank.gateway.http.HttpClientTraffic;
 
 /**
  * The platform's store, which holds all state that outlives a process.
@@ -17,7 +17,7 @@
      *
      * @return the counters
      */
-    CallTraffic traffic();
+    HttpClientTraffic traffic();
 
     /**
      * Lists items.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreCopy.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreCopy.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 
 /**
  * A host's local copy of the store's items, with the revision up to which it is complete.
@@ -160,6 +160,6 @@
     }
 
     private static long digestOf(StoreItem item) {
-        return Rendezvous.mix(Rendezvous.hash(item.key()) ^ item.revision());
+        return RendezvousHashing.mix(RendezvousHashing.hash(item.key()) ^ item.revision());
     }
 }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.rattanplank.core.gateway.RouteKind;
-import org.rattanplank.core.host.Rendezvous;
+import org.rattanplank.core.host.RendezvousHashing;
 import org.rattanplank.gateway.peer.PeerFrame;
 import org.rattanplank.gateway.peer.TestPeer;
 
@@ -185,8 +185,9 @@
     private List<TestPeer> followers() throws IOException {
         List<String> names = IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "f" + i)
-                .filter(name ->
-                        Rendezvous.rank(List.of(name, "h1"), "store").get(0).equals(name))
+                .filter(name -> RendezvousHashing.rank(List.of(name, "h1"), "store")
+                        .get(0)
+                        .equals(name))
                 .limit(FOLLOWERS)
                 .toList();
         List<TestPeer> followers = new ArrayList<>();
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -32,7 +32,7 @@
 import org.rattanplank.core.gateway.TargetEntry;
 import org.rattanplank.core.gateway.TargetIncarnation;
 import org.rattanplank.core.gateway.WeightedService;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.core.intent.Document;
 import org.rattanplank.gateway.log.EventLog;
 import org.rattanplank.gateway.peer.TestPeer;
@@ -92,7 +92,7 @@
     TestGateway(long graceMillis) throws IOException {
         GatewaySettings settings = new GatewaySettings(
                 "h1",
-                Place.of("suva", DATA_CENTRE),
+                Location.of("suva", DATA_CENTRE),
                 Map.of(DATA_CENTRE, "suva"),
                 callers,
                 ownAddress(),
@@ -281,7 +281,7 @@
 
     /** Connects another host of the gateway's region. */
     TestPeer sameRegionPeer(String name) throws IOException {
-        return new TestPeer(peers, name, Place.of("suva", DATA_CENTRE));
+        return new TestPeer(peers, name, Location.of("suva", DATA_CENTRE));
     }
 
     /** Connects that many other hosts of the gateway's region, which read all frames. */
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
@@ -11,7 +11,7 @@
 import io.vavr.control.Either;
 import io.vavr.control.Option;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.gateway.http.CallTraffic;
+import org.rattanplank.gateway.http.HttpClientTraffic;
 import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.ClusterStore;
 import org.rattanplank.gateway.store.StoreFailure;
@@ -69,8 +69,8 @@
     }
 
     @Override
-    public CallTraffic traffic() {
-        return new CallTraffic();
+    public HttpClientTraffic traffic() {
+        return new HttpClientTraffic();
     }
 
     @Override
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/caller/EventSplitterTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/caller/EventSplitterTest.java
@@ -17,7 +17,7 @@
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversion: 3\nid: 3\ndata: c\n\n";
 
     private static String append(EventSplitter splitter, String text) {
-        return splitter.take(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
+        return splitter.append(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8))
                 .toString(StandardCharsets.UTF_8);
     }
 
@@ -42,7 +42,7 @@
 
         assertEquals(STREAM, out.toString());
         assertEquals("3", splitter.lastEventId());
-        assertEquals(3, splitter.events());
+        assertEquals(3, splitter.eventCount());
     }
 
     @Test
@@ -50,9 +50,9 @@
         EventSplitter splitter = new EventSplitter("");
 
         append(splitter, ": wait\n\n: wait\ndata: a\n\n\ndata: b\n\ndata: c\n");
-        splitter.rest();
+        splitter.takeRemainder();
 
-        assertEquals(2, splitter.events());
+        assertEquals(2, splitter.eventCount());
     }
 
     @Test
@@ -60,7 +60,7 @@
         EventSplitter splitter = new EventSplitter("");
         append(splitter, "id: 7\ndata: a\n\nid: 8\nda");
 
-        splitter.dropRest();
+        splitter.discardRemainder();
 
         assertEquals("7", splitter.lastEventId());
         assertEquals("id: 8\ndata: b\n\n", append(splitter, "id: 8\ndata: b\n\n"));
@@ -76,6 +76,6 @@
         EventSplitter splitter = new EventSplitter("");
         append(splitter, "id: 1\ndata: a");
 
-        assertEquals("id: 1\ndata: a", splitter.rest().toString(StandardCharsets.UTF_8));
+        assertEquals("id: 1\ndata: a", splitter.takeRemainder().toString(StandardCharsets.UTF_8));
     }
 }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/log/EventLogTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/log/EventLogTest.java
@@ -50,7 +50,7 @@
     void shouldTruncateALongTextWhenALineContainsOne() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (EventLog log = EventLog.start("h1", out, () -> 5)) {
-            log.important(LogLine.of(LogEvent.CONFIGURED).with("homes", "r=[suva], ".repeat(REPETITIONS)));
+            log.writeImportant(LogLine.of(LogEvent.CONFIGURED).with("homes", "r=[suva], ".repeat(REPETITIONS)));
         }
 
         String line = out.toString(StandardCharsets.UTF_8);
@@ -68,25 +68,27 @@
         EventLog log = EventLog.start("h1", out, () -> 5);
 
         for (int i = 0; i < REPETITIONS; i++) {
-            log.ordinary(LogLine.of(LogEvent.ENDED).with("number", i));
+            log.writeOrdinary(LogLine.of(LogEvent.ENDED).with("number", i));
         }
 
-        assertTrue(log.dropped() >= REPETITIONS - 2L * EventLog.CAPACITY_LINES, () -> "dropped " + log.dropped());
+        assertTrue(
+                log.droppedLines() >= REPETITIONS - 2L * EventLog.CAPACITY_LINES,
+                () -> "dropped " + log.droppedLines());
     }
 
     @Test
     void shouldReserveCapacityForFailuresWhenOrdinaryLinesFillTheQueue() {
         EventLog log = EventLog.start("h1", new BlockedStream(), () -> 5);
         for (int i = 0; i < REPETITIONS; i++) {
-            log.ordinary(LogLine.of(LogEvent.ENDED).with("number", i));
+            log.writeOrdinary(LogLine.of(LogEvent.ENDED).with("number", i));
         }
-        long previouslyDropped = log.dropped();
+        long previouslyDropped = log.droppedLines();
 
         for (int i = 0; i < EventLog.RESERVED_LINES / 2; i++) {
-            log.important(LogLine.of(LogEvent.ATTEMPT_FAILED));
+            log.writeImportant(LogLine.of(LogEvent.ATTEMPT_FAILED));
         }
 
-        assertEquals(previouslyDropped, log.dropped());
+        assertEquals(previouslyDropped, log.droppedLines());
     }
 
     @Test
@@ -94,7 +96,7 @@
         BlockedStream out = new BlockedStream();
         EventLog log = EventLog.start("h1", out, () -> 5);
         for (int i = 0; i < REPETITIONS; i++) {
-            log.ordinary(LogLine.of(LogEvent.ENDED).with("number", i));
+            log.writeOrdinary(LogLine.of(LogEvent.ENDED).with("number", i));
         }
         out.opened.countDown();
         while (!out.text().contains("lines_dropped")) {
@@ -108,7 +110,7 @@
     void shouldWriteOneObjectPerLineWhenFieldsContainQuotesAndInfinity() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         EventLog log = EventLog.start("h1", out, () -> 5);
-        log.important(LogLine.of(LogEvent.ENDED)
+        log.writeImportant(LogLine.of(LogEvent.ENDED)
                 .with("reason", "a \"quoted\"\nreason")
                 .with("localMillis", Double.POSITIVE_INFINITY)
                 .with("tookMillis", 12L));
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerFrameCodecTest.java
@@ -13,7 +13,7 @@
 import org.rattanplank.core.gateway.RegionStreamStats;
 import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.gateway.store.StoreItem;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
@@ -34,7 +34,7 @@
     @Test
     void shouldDecodeWhatWasEncodedWhenFramesHaveNoBytes() {
         List<PeerFrame> frames = List.of(
-                new PeerFrame.Hello(new GatewayHost("h", 5, Place.of("r", "d"), "10.0.0.1:1", "10.0.0.1:2")),
+                new PeerFrame.Hello(new GatewayHost("h", 5, Location.of("r", "d"), "10.0.0.1:1", "10.0.0.1:2")),
                 new PeerFrame.State(
                         1,
                         2,
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
@@ -16,7 +16,7 @@
 import org.rattanplank.core.gateway.PrefillBacklog;
 import org.rattanplank.core.gateway.StreamStats;
 import org.rattanplank.core.gateway.Urgency;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.gateway.store.StoreItem;
 
 /** A simulated host that sends the frames that a test requests. Used by the test's thread only. */
@@ -37,7 +37,7 @@
      * @throws IOException if it is unreachable
      */
     public TestPeer(InetSocketAddress address) throws IOException {
-        this(address, "h9", Place.of("labasa", "labasa-hall"));
+        this(address, "h9", Location.of("labasa", "labasa-hall"));
     }
 
     /**
@@ -48,7 +48,7 @@
      * @param place its region and data centre
      * @throws IOException if it is unreachable
      */
-    public TestPeer(InetSocketAddress address, String name, Place place) throws IOException {
+    public TestPeer(InetSocketAddress address, String name, Location place) throws IOException {
         socket.connect(address, SOCKET_TIMEOUT_MILLIS);
         socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
         in = new DataInputStream(socket.getInputStream());
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentKind.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentKind.java
@@ -31,7 +31,7 @@
      */
     public static Option<IntentKind> of(String label) {
         return Option.ofOptional(Arrays.stream(values())
-                .filter(kind -> kind.word().equals(label))
+                .filter(kind -> kind.label().equals(label))
                 .findFirst());
     }
 
@@ -41,7 +41,7 @@
      * @return the labels, separated by commas
      */
     public static String labels() {
-        return Arrays.stream(values()).map(IntentKind::word).collect(Collectors.joining(", "));
+        return Arrays.stream(values()).map(IntentKind::label).collect(Collectors.joining(", "));
     }
 
     /**
@@ -49,7 +49,7 @@
      *
      * @return the label
      */
-    public String word() {
+    public String label() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentSchemas.java
+++ b/rattanplank-schema/src/main/java/org/rattanplank/schema/intent/IntentSchemas.java
@@ -100,7 +100,7 @@
         JsonSchemaFactory factory = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012);
         Map<IntentKind, JsonSchema> schemas = new EnumMap<>(IntentKind.class);
         for (IntentKind kind : IntentKind.values()) {
-            String resource = "/org/rattanplank/schema/intents/" + kind.word() + ".json";
+            String resource = "/org/rattanplank/schema/intents/" + kind.label() + ".json";
             try (InputStream schema = IntentSchemas.class.getResourceAsStream(resource)) {
                 schemas.put(kind, factory.getSchema(schema));
             } catch (IOException e) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
@@ -104,13 +104,13 @@
             long millis = exchange.json().path("ttl_ms").asLong();
             Lease lease = store.grant(0, millis, System.currentTimeMillis());
             exchange.respond(OK, Json.object().put("lease", lease.id()).put("ttl_ms", millis));
-        } else if (path.startsWith(PlatformPaths.KEEP_LEASE)) {
-            Option<Lease> kept = store.keep(number(path, PlatformPaths.KEEP_LEASE), System.currentTimeMillis());
+        } else if (path.startsWith(PlatformPaths.RENEW_LEASE)) {
+            Option<Lease> kept = store.keep(number(path, PlatformPaths.RENEW_LEASE), System.currentTimeMillis());
             exchange.respond(kept.isDefined() ? OK : NOT_FOUND, Json.object());
-        } else if (path.startsWith(PlatformPaths.END_LEASE)) {
-            boolean ended = store.revoke(number(path, PlatformPaths.END_LEASE));
+        } else if (path.startsWith(PlatformPaths.REVOKE_LEASE)) {
+            boolean ended = store.revoke(number(path, PlatformPaths.REVOKE_LEASE));
             exchange.respond(ended ? OK : NOT_FOUND, Json.object());
-        } else if (path.equals(PlatformPaths.CHANGE)) {
+        } else if (path.equals(PlatformPaths.TRANSACTION)) {
             change(exchange);
         } else {
             exchange.respond(NOT_FOUND, Json.object());
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
@@ -43,7 +43,7 @@
      * @param configuration the configuration
      */
     public void configure(JsonNode configuration) {
-        put(PlatformItems.CONFIGURATION, configuration);
+        put(PlatformItems.CONFIGURATION_KEY, configuration);
     }
 
     /**
@@ -56,7 +56,7 @@
      */
     public void enterTarget(String id, String service, String address, String dataCentre) {
         put(
-                PlatformItems.TARGETS + id,
+                PlatformItems.TARGETS_PREFIX + id,
                 Json.object()
                         .put("backend", service)
                         .put("address", address)
@@ -73,7 +73,7 @@
      */
     public void removeTarget(String id) {
         ObjectNode change = Json.object();
-        change.putArray("remove").add(PlatformItems.TARGETS + id);
+        change.putArray("remove").add(PlatformItems.TARGETS_PREFIX + id);
         send(change);
     }
 
@@ -89,7 +89,7 @@
     }
 
     private void send(ObjectNode change) {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + store + PlatformPaths.CHANGE))
+        HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + store + PlatformPaths.TRANSACTION))
                 .POST(HttpRequest.BodyPublishers.ofString(Json.write(change)))
                 .build();
         try {
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.rattanplank.core.gateway.GatewayHost;
-import org.rattanplank.core.host.Place;
+import org.rattanplank.core.host.Location;
 import org.rattanplank.gateway.MonotonicClock;
 import org.rattanplank.gateway.store.ClusterEvent;
 import org.rattanplank.gateway.store.FeedListener;
@@ -44,7 +44,7 @@
     private static final int TASKS_BETWEEN_READS = 64;
 
     private static final GatewayHost HOST =
-            new GatewayHost("h1", 5, Place.of("suva", "suva-hall"), "10.0.0.1:80", "10.0.0.1:90");
+            new GatewayHost("h1", 5, Location.of("suva", "suva-hall"), "10.0.0.1:80", "10.0.0.1:90");
 
     private final EventLoop storeLoop = EventLoop.of();
     private final EventLoop loop = EventLoop.of();
