--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/CallGenerator.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/CallGenerator.java
@@ -59,7 +59,7 @@
         long number = sent.getAndIncrement();
         InetSocketAddress host = hosts.get((int) (number % hosts.size()));
         boolean draft = number / hosts.size() % 2 == 0;
-        String path = draft ? SiteConfigurations.DRAFTS : SiteConfigurations.BOOKINGS;
+        String path = draft ? SiteConfigurations.DRAFTS_PREFIX : SiteConfigurations.BOOKINGS_PREFIX;
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://" + host.getHostString() + ":" + host.getPort() + path + "1"))
                 .timeout(CLIENT_TIMEOUT)
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/GatewayFleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/gateway/GatewayFleet.java
@@ -52,7 +52,7 @@
 
     static GatewayFleet start(int hosts, double targetsPerHost) {
         GatewayFleet fleet = new GatewayFleet();
-        SiteStoreClient operator = SiteStoreClient.of(Addresses.write(fleet.store));
+        SiteStoreClient operator = SiteStoreClient.of(Addresses.format(fleet.store));
         operator.configure(SiteConfigurations.of(1));
         for (int i = 0; i < Math.max(2 * REGIONS.size(), Math.round(hosts * targetsPerHost)); i++) {
             fleet.registerTarget(operator, i);
@@ -94,8 +94,8 @@
         boolean streams = number / REGIONS.size() % 2 == 0;
         String id = (streams ? "w-" : "d-") + number;
         InetSocketAddress address = SiteReplica.serve(loop, id, streams, request -> {});
-        String service = streams ? SiteConfigurations.WRITER : SiteConfigurations.DESK;
-        operator.enterTarget(id, service, Addresses.write(address), region + "-hall");
+        String service = streams ? SiteConfigurations.WRITER_SERVICE : SiteConfigurations.DESK_SERVICE;
+        operator.registerTarget(id, service, Addresses.format(address), region + "-hall");
         targets++;
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/CallLoad.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/CallLoad.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-import org.rattanplank.bench.process.Client;
+import org.rattanplank.bench.process.ClientAccount;
 import org.rattanplank.bench.process.Deployment;
 import org.rattanplank.bench.process.Fleet;
 import org.rattanplank.bench.process.Host;
@@ -21,7 +21,7 @@
 import org.rattanplank.standins.caller.CallRequest;
 import org.rattanplank.standins.caller.CallResult;
 import org.rattanplank.standins.caller.Caller;
-import org.rattanplank.standins.caller.Keys;
+import org.rattanplank.standins.caller.IdempotencyKeys;
 
 /**
  * Generates calls continuously during disturbances. Bookings are retried at another host with their idempotency key;
@@ -119,8 +119,9 @@
         int number = nextCallNumber.getAndIncrement();
         while (number < callLimit) {
             Random random = new Random(seed * 1_000_003 + number);
-            Client client =
-                    deployment.clients().get(random.nextInt(deployment.clients().size()));
+            ClientAccount client = deployment
+                    .clientAccounts()
+                    .get(random.nextInt(deployment.clientAccounts().size()));
             records.add(call(client, request(number, random), random));
             endedCallCount.incrementAndGet();
             number = nextCallNumber.getAndIncrement();
@@ -131,24 +132,24 @@
         String reference = "call-" + number;
         int callKind = random.nextInt(4);
         if (callKind < 2) {
-            String key = Keys.version7(System.currentTimeMillis(), random);
+            String key = IdempotencyKeys.version7(System.currentTimeMillis(), random);
             return CallRequest.booking(reference, deployment.plainService(), key)
-                    .within(timeout);
+                    .withTimeout(timeout);
         }
         String prompt = ("manual " + random.nextInt(5) + " ").repeat(PROMPT_WORDS);
         int streamEvents = 1 + random.nextInt(MAX_STREAM_EVENTS);
         return callKind == 2
                 ? CallRequest.query(reference, deployment.modelService(), prompt, streamEvents)
-                        .within(timeout)
+                        .withTimeout(timeout)
                 : CallRequest.draft(reference, deployment.modelService(), prompt, streamEvents)
-                        .within(timeout);
+                        .withTimeout(timeout);
     }
 
-    private CallRecord call(Client client, CallRequest request, Random random) {
+    private CallRecord call(ClientAccount client, CallRequest request, Random random) {
         Caller caller = Caller.of(client.token());
         List<CallResult> results = new ArrayList<>();
         for (Host host : hostOrder(client, random)) {
-            CallResult result = caller.send(host.callers(), request);
+            CallResult result = caller.send(host.callersAddress(), request);
             results.add(result);
             boolean mayRetry = request.idempotencyKey().isDefined() || result.outcome() == CallOutcome.UNREACHED;
             if (result.outcome() == CallOutcome.ANSWERED || !mayRetry || results.size() >= MAX_ATTEMPTS) {
@@ -160,7 +161,7 @@
     }
 
     /** Returns the home hosts, then one host of another data centre, then the home hosts again. */
-    private List<Host> hostOrder(Client client, Random random) {
+    private List<Host> hostOrder(ClientAccount client, Random random) {
         List<Host> home = new ArrayList<>(fleet.hostsOf(client.homeDataCentre()));
         List<Host> away = new ArrayList<>(hosts);
         away.removeAll(home);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/CallRecord.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/CallRecord.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Objects;
 
-import org.rattanplank.bench.process.Client;
+import org.rattanplank.bench.process.ClientAccount;
 import org.rattanplank.standins.caller.CallOutcome;
 import org.rattanplank.standins.caller.CallRequest;
 import org.rattanplank.standins.caller.CallResult;
@@ -15,7 +15,7 @@
  * @param request the request, identical for each attempt
  * @param results the results of the attempts, oldest first
  */
-public record CallRecord(Client client, CallRequest request, List<CallResult> results) {
+public record CallRecord(ClientAccount client, CallRequest request, List<CallResult> results) {
     public CallRecord {
         Objects.requireNonNull(client, "client");
         Objects.requireNonNull(request, "request");
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/Disturbance.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/Disturbance.java
@@ -4,7 +4,7 @@
 import java.util.Random;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import org.rattanplank.bench.process.Child;
+import org.rattanplank.bench.process.ChildProcess;
 import org.rattanplank.bench.process.Fleet;
 import org.rattanplank.bench.process.Host;
 import org.rattanplank.bench.process.Poll;
@@ -19,7 +19,7 @@
         @Override
         void apply(Fleet fleet, Random random) {
             Host host = randomHost(fleet, random);
-            host.child().kill();
+            host.process().kill();
             pause(random, 200, 1_500);
             host.restart();
         }
@@ -29,7 +29,7 @@
         @Override
         void apply(Fleet fleet, Random random) {
             List<Host> hosts = fleet.hostsOf(randomSite(fleet, random).dataCentre());
-            hosts.forEach(host -> host.child().kill());
+            hosts.forEach(host -> host.process().kill());
             pause(random, 200, 1_500);
             hosts.forEach(Host::restart);
         }
@@ -39,7 +39,7 @@
         @Override
         void apply(Fleet fleet, Random random) {
             Host host = randomHost(fleet, random);
-            host.child().terminate();
+            host.process().terminate();
             host.restart();
         }
     },
@@ -47,8 +47,8 @@
     FREEZE_HOST {
         @Override
         void apply(Fleet fleet, Random random) {
-            Child child = randomHost(fleet, random).child();
-            child.freeze();
+            ChildProcess child = randomHost(fleet, random).process();
+            child.suspend();
             pause(random, 300, 5_000);
             child.resume();
         }
@@ -57,8 +57,8 @@
     FREEZE_TARGETS {
         @Override
         void apply(Fleet fleet, Random random) {
-            Child child = fleet.targetProcess(randomSite(fleet, random).dataCentre());
-            child.freeze();
+            ChildProcess child = fleet.targetProcess(randomSite(fleet, random).dataCentre());
+            child.suspend();
             pause(random, 300, 2_500);
             child.resume();
         }
@@ -67,7 +67,7 @@
     CUT_DATA_CENTRE {
         @Override
         void apply(Fleet fleet, Random random) {
-            fleet.links().around(randomSite(fleet, random).dataCentre(), LinkState.cutOff());
+            fleet.links().setStateOfLinksAround(randomSite(fleet, random).dataCentre(), LinkState.partitioned());
             pause(random, 500, 3_000);
             fleet.links().heal();
         }
@@ -76,7 +76,7 @@
     SILENCE_DATA_CENTRE {
         @Override
         void apply(Fleet fleet, Random random) {
-            fleet.links().around(randomSite(fleet, random).dataCentre(), LinkState.silent());
+            fleet.links().setStateOfLinksAround(randomSite(fleet, random).dataCentre(), LinkState.dropping());
             pause(random, 500, 3_000);
             fleet.links().heal();
         }
@@ -89,7 +89,7 @@
             for (String line : fleet.targetProcess(dataCentre).lines()) {
                 if (line.startsWith("target ready")) {
                     String name = line.replaceFirst(".*name=", "").replaceFirst(" .*", "");
-                    fleet.links().silenceOpenConnections(name);
+                    fleet.links().dropBytesOfOpenConnections(name);
                 }
             }
         }
@@ -98,11 +98,11 @@
     STORE_DOWN_AND_KILL_HOST {
         @Override
         void apply(Fleet fleet, Random random) {
-            fleet.platformFaults(Json.object().put("storeDown", true));
+            fleet.setPlatformFaults(Json.object().put("storeDown", true));
             Host host = randomHost(fleet, random);
-            host.child().kill();
+            host.process().kill();
             pause(random, 500, 2_000);
-            fleet.platformFaults(Json.object().put("storeDown", false));
+            fleet.setPlatformFaults(Json.object().put("storeDown", false));
             host.restart();
         }
     },
@@ -110,9 +110,9 @@
     LOSE_STORE_ANSWERS_AND_KILL_HOST {
         @Override
         void apply(Fleet fleet, Random random) {
-            fleet.platformFaults(Json.object().put("loseAnswers", 3));
+            fleet.setPlatformFaults(Json.object().put("loseAnswers", 3));
             KILL_HOST.apply(fleet, random);
-            fleet.platformFaults(Json.object().put("loseAnswers", 0));
+            fleet.setPlatformFaults(Json.object().put("loseAnswers", 0));
         }
     },
     /** Targets run calls and lose, duplicate, mismatch, truncate or withhold the responses, or reject calls. */
@@ -125,7 +125,7 @@
                         .put("fault", FAULT_NAMES.get(random.nextInt(FAULT_NAMES.size())))
                         .put("next", 1 + random.nextInt(3))
                         .put("afterParts", random.nextInt(8));
-                fleet.planTargetFaults(dataCentre, fault);
+                fleet.configureTargetFaults(dataCentre, fault);
             }
         }
     };
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/OutcomeAudit.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/outcome/OutcomeAudit.java
@@ -56,7 +56,7 @@
             byReference
                     .computeIfAbsent(run.reference(), reference -> new ArrayList<>())
                     .add(run);
-            executedRequestIds.add(run.toldRequestId());
+            executedRequestIds.add(run.callerRequestId());
         }
         executedRequestIds.remove("");
         Map<CallOutcome, Integer> outcomes = new EnumMap<>(CallOutcome.class);
@@ -73,7 +73,7 @@
                 if (!result.outcome().isEnded()) {
                     lost.add(reference);
                 }
-                if (result.isWrongAnswer()) {
+                if (result.isWrongResponse()) {
                     partialAsWhole.add(reference);
                 }
             }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
@@ -108,7 +108,7 @@
         long startNanos = System.nanoTime();
         List<CompletableFuture<CallResult>> results = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            results.add(caller.start(host.callers(), call.apply(i).within(TIMEOUT)));
+            results.add(caller.sendAsync(host.callersAddress(), call.apply(i).withTimeout(TIMEOUT)));
         }
         long answered = results.stream()
                 .map(CompletableFuture::join)
@@ -119,6 +119,6 @@
     }
 
     private long cpuNanos() {
-        return host.child().cpuTime().toNanos();
+        return host.process().cpuTime().toNanos();
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Child.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/ChildProcess.java
@@ -21,7 +21,7 @@
  *
  * <p>Invariant: signals are sent to this process only, by its process id. Thread safe.
  */
-public final class Child implements AutoCloseable {
+public final class ChildProcess implements AutoCloseable {
     private static final List<String> JAVA_FLAGS =
             List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xmx128m", "-XX:CICompilerCount=1");
     private static final long READY_TIMEOUT_MILLIS = 60_000;
@@ -41,7 +41,7 @@
     private final CountDownLatch ready = new CountDownLatch(1);
     private final String readyPrefix;
 
-    private Child(String name, Process process, String readyPrefix) {
+    private ChildProcess(String name, Process process, String readyPrefix) {
         this.name = name;
         this.process = process;
         this.readyPrefix = readyPrefix;
@@ -57,7 +57,7 @@
      * @param args the arguments
      * @return the process, which may not be ready yet
      */
-    public static Child start(String name, String readyPrefix, File log, String mainClass, List<String> args) {
+    public static ChildProcess start(String name, String readyPrefix, File log, String mainClass, List<String> args) {
         return start(name, readyPrefix, log, Map.of(), mainClass, args);
     }
 
@@ -72,7 +72,7 @@
      * @param args the arguments
      * @return the process, which may not be ready yet
      */
-    public static Child start(
+    public static ChildProcess start(
             String name,
             String readyPrefix,
             File log,
@@ -92,7 +92,7 @@
             Process process = builder.start();
             RUNNING_PROCESSES.add(process);
             process.onExit().thenAccept(RUNNING_PROCESSES::remove);
-            Child child = new Child(name, process, readyPrefix);
+            ChildProcess child = new ChildProcess(name, process, readyPrefix);
             Thread reader = new Thread(child::readOutput, "read-" + name);
             reader.setDaemon(true);
             reader.start();
@@ -159,11 +159,11 @@
     /** Kills the process immediately, as a power failure of a host would, and waits for its exit. */
     public void kill() {
         process.destroyForcibly();
-        awaitEnd();
+        awaitExit();
     }
 
     /** Suspends the process (SIGSTOP); its connections stay open. */
-    public void freeze() {
+    public void suspend() {
         signal("STOP");
     }
 
@@ -177,7 +177,7 @@
      *
      * @return the exit code
      */
-    public int awaitEnd() {
+    public int awaitExit() {
         try {
             if (!process.waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 throw new IllegalStateException(name + " did not terminate in time");
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Client.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/ClientAccount.java
@@ -10,8 +10,8 @@
  * @param homeDataCentre the account's home data centre
  * @param allowedRegions the regions in which its requests may be served
  */
-public record Client(String account, String homeDataCentre, Set<String> allowedRegions) {
-    public Client {
+public record ClientAccount(String account, String homeDataCentre, Set<String> allowedRegions) {
+    public ClientAccount {
         Objects.requireNonNull(account, "account");
         Objects.requireNonNull(homeDataCentre, "homeDataCentre");
         allowedRegions = Set.copyOf(allowedRegions);
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
@@ -18,9 +18,9 @@
                     new Site("lautoka", "lautoka-hall", 2, 1),
                     new Site("labasa", "labasa-hall", 2, 1)),
             List.of(
-                    new Client("suva-floor", "suva-hall", Set.of("suva", "lautoka", "labasa")),
-                    new Client("lautoka-floor", "lautoka-hall", Set.of("suva", "lautoka", "labasa")),
-                    new Client("labasa-floor", "labasa-hall", Set.of("labasa")))),
+                    new ClientAccount("suva-floor", "suva-hall", Set.of("suva", "lautoka", "labasa")),
+                    new ClientAccount("lautoka-floor", "lautoka-hall", Set.of("suva", "lautoka", "labasa")),
+                    new ClientAccount("labasa-floor", "labasa-hall", Set.of("labasa")))),
     /** Three regions, routed by the tail latency policy. */
     BRAZOS(
             "quote-writer",
@@ -31,22 +31,22 @@
                     new Site("north-texas", "dfw-hall", 2, 1),
                     new Site("west-texas", "maf-hall", 2, 1)),
             List.of(
-                    new Client("hou-brokers", "hou-hall", Set.of("gulf", "north-texas", "west-texas")),
-                    new Client("dfw-brokers", "dfw-hall", Set.of("gulf", "north-texas", "west-texas")),
-                    new Client("maf-ranches", "maf-hall", Set.of("west-texas"))));
+                    new ClientAccount("hou-brokers", "hou-hall", Set.of("gulf", "north-texas", "west-texas")),
+                    new ClientAccount("dfw-brokers", "dfw-hall", Set.of("gulf", "north-texas", "west-texas")),
+                    new ClientAccount("maf-ranches", "maf-hall", Set.of("west-texas"))));
 
     private final String modelService;
     private final String plainService;
     private final String policy;
     private final List<Site> sites;
-    private final List<Client> clients;
+    private final List<ClientAccount> clientAccounts;
 
-    Deployment(String modelService, String plainService, String policy, List<Site> sites, List<Client> clients) {
+    Deployment(String modelService, String plainService, String policy, List<Site> sites, List<ClientAccount> clients) {
         this.modelService = modelService;
         this.plainService = plainService;
         this.policy = policy;
         this.sites = sites;
-        this.clients = clients;
+        this.clientAccounts = clients;
     }
 
     /**
@@ -114,7 +114,7 @@
      *
      * @return the client accounts
      */
-    public List<Client> clients() {
-        return clients;
+    public List<ClientAccount> clientAccounts() {
+        return clientAccounts;
     }
 }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
@@ -40,9 +40,9 @@
     private final EventLoop loop = EventLoop.of();
     private final Http http = new Http();
     private final Links links = new Links(loop);
-    private final List<Child> children = new ArrayList<>();
+    private final List<ChildProcess> children = new ArrayList<>();
     private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<String, Child> targetProcesses = new LinkedHashMap<>();
+    private final Map<String, ChildProcess> targetProcesses = new LinkedHashMap<>();
     private final Map<String, String> targetControlAddresses = new LinkedHashMap<>();
     private String platformAddress = "";
 
@@ -123,7 +123,7 @@
      * @param dataCentre the data centre
      * @return the process
      */
-    public Child targetProcess(String dataCentre) {
+    public ChildProcess targetProcess(String dataCentre) {
         return Option.of(targetProcesses.get(dataCentre)).get();
     }
 
@@ -133,7 +133,7 @@
      * @param dataCentre the data centre
      * @param faults the body of {@code POST /faults}
      */
-    public void planTargetFaults(String dataCentre, ObjectNode faults) {
+    public void configureTargetFaults(String dataCentre, ObjectNode faults) {
         http.post(targetControlAddresses.get(dataCentre), "/faults", Json.write(faults));
     }
 
@@ -142,7 +142,7 @@
      *
      * @param faults the body of {@code POST /faults}
      */
-    public void platformFaults(ObjectNode faults) {
+    public void setPlatformFaults(ObjectNode faults) {
         http.post(platformAddress, "/faults", Json.write(faults));
     }
 
@@ -170,7 +170,7 @@
      * @return the status, or none if the host does not respond
      */
     public Option<JsonNode> status(Host host) {
-        return Try.of(() -> http.get(host.operators(), "/status")).toOption();
+        return Try.of(() -> http.get(host.operatorsAddress(), "/status")).toOption();
     }
 
     /**
@@ -179,7 +179,7 @@
      * @param host the host
      */
     public void drain(Host host) {
-        http.post(host.operators(), "/drain", "");
+        http.post(host.operatorsAddress(), "/drain", "");
     }
 
     /**
@@ -192,7 +192,7 @@
                 "every running entry host has a configuration and a claim view",
                 timeoutMillis,
                 () -> hosts.values().stream()
-                        .filter(host -> host.child().isAlive())
+                        .filter(host -> host.process().isAlive())
                         .allMatch(this::isServing));
     }
 
@@ -203,8 +203,8 @@
 
     @Override
     public void close() {
-        hosts.values().forEach(host -> host.child().close());
-        children.forEach(Child::close);
+        hosts.values().forEach(host -> host.process().close());
+        children.forEach(ChildProcess::close);
         loop.close();
         workspace.close();
     }
@@ -217,7 +217,7 @@
     }
 
     private void start() {
-        Child process = startChild("platform", "platform ready", PLATFORM_MAIN_CLASS, List.of());
+        ChildProcess process = startChild("platform", "platform ready", PLATFORM_MAIN_CLASS, List.of());
         platformAddress = process.awaitReady().get("address");
         startTargets();
         startHosts();
@@ -268,15 +268,15 @@
     private ObjectNode hostEntry(Site from, Host host) {
         Site to = host.site();
         String peers = to.equals(from)
-                ? host.peers()
-                : links.toHost(from.dataCentre(), to.dataCentre(), host.name(), host.peers());
-        return EnlistHosts.entry(to.region(), to.dataCentre(), host.callers(), peers);
+                ? host.peersAddress()
+                : links.toHost(from.dataCentre(), to.dataCentre(), host.name(), host.peersAddress());
+        return EnlistHosts.hostListEntry(to.region(), to.dataCentre(), host.callersAddress(), peers);
     }
 
     private void registerTargets(HostsClient view, Site from, Site to) {
         for (String line : targetProcess(to.dataCentre()).lines()) {
             if (line.startsWith("target ready")) {
-                Map<String, String> target = Child.fields(line);
+                Map<String, String> target = ChildProcess.fields(line);
                 String name = target.get("name");
                 String address = to.equals(from)
                         ? links.toTarget(to.dataCentre(), name, target.get("address"))
@@ -302,7 +302,7 @@
     private void applyIntents() {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         PrintStream stream = new PrintStream(output, true);
-        String operators = hosts.values().stream().map(Host::operators).collect(Collectors.joining(","));
+        String operators = hosts.values().stream().map(Host::operatorsAddress).collect(Collectors.joining(","));
         String intents = workspace.intents(options).toString();
         Console console = new Console(stream, stream, Map.of());
         ExitCode code =
@@ -312,8 +312,8 @@
         }
     }
 
-    private Child startChild(String name, String readyPrefix, String mainClass, List<String> args) {
-        Child child = Child.start(name, readyPrefix, workspace.log(name), mainClass, args);
+    private ChildProcess startChild(String name, String readyPrefix, String mainClass, List<String> args) {
+        ChildProcess child = ChildProcess.start(name, readyPrefix, workspace.log(name), mainClass, args);
         children.add(child);
         return child;
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Host.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Host.java
@@ -17,7 +17,7 @@
     private final Site site;
     private final File log;
     private final List<String> settings;
-    private Child child;
+    private ChildProcess process;
     private Map<String, String> addresses = Map.of();
 
     private Host(String name, Site site, File log, List<String> settings) {
@@ -25,7 +25,7 @@
         this.site = site;
         this.log = log;
         this.settings = settings;
-        child = launch(List.of());
+        process = launch(List.of());
     }
 
     static Host start(String name, Site site, File log, List<String> settings) {
@@ -55,8 +55,8 @@
      *
      * @return the process
      */
-    public Child child() {
-        return child;
+    public ChildProcess process() {
+        return process;
     }
 
     /**
@@ -64,7 +64,7 @@
      *
      * @return the address as IP:PORT
      */
-    public String callers() {
+    public String callersAddress() {
         return addresses.get("callers");
     }
 
@@ -73,7 +73,7 @@
      *
      * @return the address as IP:PORT
      */
-    public String peers() {
+    public String peersAddress() {
         return addresses.get("peers");
     }
 
@@ -82,29 +82,29 @@
      *
      * @return the address as IP:PORT
      */
-    public String operators() {
+    public String operatorsAddress() {
         return addresses.get("operators");
     }
 
     void awaitReady() {
-        addresses = child.awaitReady();
+        addresses = process.awaitReady();
     }
 
     /** Waits until the current process has terminated, then starts a new one and waits until it is ready. */
     public void restart() {
-        child.awaitEnd();
-        child = launch(List.of(
-                "--callers-port", port(callers()),
-                "--peers-port", port(peers()),
-                "--operators-port", port(operators())));
-        child.awaitReady();
+        process.awaitExit();
+        process = launch(List.of(
+                "--callers-port", port(callersAddress()),
+                "--peers-port", port(peersAddress()),
+                "--operators-port", port(operatorsAddress())));
+        process.awaitReady();
     }
 
-    private Child launch(List<String> ports) {
+    private ChildProcess launch(List<String> ports) {
         List<String> args = new ArrayList<>(settings);
         args.addAll(List.of("--host", name, "--region", site.region(), "--data-centre", site.dataCentre()));
         args.addAll(ports);
-        return Child.start(name, READY_PREFIX, log, "org.rattanplank.daemon.Rattanplankd", args);
+        return ChildProcess.start(name, READY_PREFIX, log, "org.rattanplank.daemon.Rattanplankd", args);
     }
 
     private static String port(String address) {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/LedgerRun.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/LedgerRun.java
@@ -20,7 +20,7 @@
      *
      * @return the request ID without the attempt number
      */
-    public String toldRequestId() {
+    public String callerRequestId() {
         return requestId.replaceFirst("\\.\\d+$", "");
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Links.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Links.java
@@ -38,7 +38,7 @@
      * @param dataCentre the data centre
      * @param state the state
      */
-    public void around(String dataCentre, LinkState state) {
+    public void setStateOfLinksAround(String dataCentre, LinkState state) {
         setState(endpoints -> endpoints.crossesBoundaryOf(dataCentre), state);
     }
 
@@ -48,7 +48,7 @@
      * @param dataCentre the data centre
      * @param state the state
      */
-    public void platform(String dataCentre, LinkState state) {
+    public void setStateOfPlatformLink(String dataCentre, LinkState state) {
         setState(
                 endpoints ->
                         endpoints.from().equals(dataCentre) && endpoints.to().equals(PLATFORM),
@@ -60,10 +60,10 @@
      *
      * @param target the target
      */
-    public void silenceOpenConnections(String target) {
+    public void dropBytesOfOpenConnections(String target) {
         links.forEach((endpoints, link) -> {
             if (endpoints.name().equals(target)) {
-                link.silenceOpenConnections();
+                link.dropBytesOfOpenConnections();
             }
         });
     }
@@ -82,7 +82,7 @@
     }
 
     private String open(Endpoints endpoints, String address) {
-        Link link = Link.open(loop, Addresses.read(address));
+        Link link = Link.open(loop, Addresses.parse(address));
         links.put(endpoints, link);
         return link.address();
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/Soak.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/Soak.java
@@ -15,7 +15,7 @@
 import com.beust.jcommander.JCommander;
 import com.beust.jcommander.Parameter;
 import io.vavr.control.Try;
-import org.rattanplank.bench.process.Child;
+import org.rattanplank.bench.process.ChildProcess;
 import org.rattanplank.bench.process.Poll;
 import org.rattanplank.standins.link.LinkState;
 
@@ -137,8 +137,8 @@
         faultCounts.merge(fault, 1, Integer::sum);
         switch (fault) {
             case FREEZE_HOST -> {
-                Child frozen = site.hostProcess(host);
-                frozen.freeze();
+                ChildProcess frozen = site.hostProcess(host);
+                frozen.suspend();
                 scheduleRepair(millis, frozen::resume);
             }
             case KILL_HOST -> {
@@ -154,11 +154,11 @@
                 site.store().down(true);
                 scheduleRepair(millis, this::endStoreOutage);
             }
-            case STORE_SILENT -> disruptStoreLink(() -> site.storeLink(host).state(LinkState.silent()), millis, host);
-            case STORE_CUT -> disruptStoreLink(() -> site.storeLink(host).state(LinkState.cutOff()), millis, host);
-            case STORE_FORGETS -> site.store().forgetHistory();
-            case REPLICA_SILENT -> site.replicaLink(replica).silenceOpenConnections();
-            case REPLICA_CUT -> disruptReplicaLink(replica, LinkState.cutOff(), millis);
+            case STORE_SILENT -> disruptStoreLink(() -> site.storeLink(host).state(LinkState.dropping()), millis, host);
+            case STORE_CUT -> disruptStoreLink(() -> site.storeLink(host).state(LinkState.partitioned()), millis, host);
+            case STORE_FORGETS -> site.store().dropHistory();
+            case REPLICA_SILENT -> site.replicaLink(replica).dropBytesOfOpenConnections();
+            case REPLICA_CUT -> disruptReplicaLink(replica, LinkState.partitioned(), millis);
             case REPLICA_LATE -> disruptReplicaLink(replica, LinkState.delayed(random.nextLong(50, 400)), millis);
             case REPLICA_REPLACED -> site.replaceReplica(replica);
             case CONFIGURATION_CHANGES -> site.applyNextConfiguration();
@@ -193,10 +193,10 @@
 
     /** A process that was asked to stop may still be running, so its termination is awaited before the restart. */
     private void restartHost(String host) {
-        Child child = site.hostProcess(host);
+        ChildProcess child = site.hostProcess(host);
         child.resume();
         child.terminate();
-        child.awaitEnd();
+        child.awaitExit();
         site.startHost(host);
     }
 
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakAudit.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakAudit.java
@@ -60,7 +60,7 @@
             }
             previousEnd = events.end();
         }
-        if (call.complete() && eventCount != SiteReplica.EVENTS) {
+        if (call.complete() && eventCount != SiteReplica.EVENT_COUNT) {
             violations.add(call.id() + " ended as complete after " + eventCount + " events");
         }
     }
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakCaller.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakCaller.java
@@ -43,7 +43,7 @@
     }
 
     private static String request(String id, boolean stream) {
-        String path = stream ? SiteConfigurations.DRAFTS : SiteConfigurations.BOOKINGS;
+        String path = stream ? SiteConfigurations.DRAFTS_PREFIX : SiteConfigurations.BOOKINGS_PREFIX;
         return "POST " + path + "1 HTTP/1.1\r\nHost: " + SiteConfigurations.HOST_NAME + "\r\nConnection: close\r\n"
                 + HEADER_NAMES.requestId() + ": " + id + "\r\n" + HEADER_NAMES.timeoutMillis() + ": "
                 + REQUEST_TIMEOUT_MILLIS
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakSite.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/soak/SoakSite.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-import org.rattanplank.bench.process.Child;
+import org.rattanplank.bench.process.ChildProcess;
 import org.rattanplank.platform.PlatformMain;
 import org.rattanplank.standins.http.Addresses;
 import org.rattanplank.standins.http.EventLoop;
@@ -41,7 +41,7 @@
     private final InetSocketAddress storeAddress;
     private final Path folder;
     private final Path template;
-    private final Map<String, Child> processes = new LinkedHashMap<>();
+    private final Map<String, ChildProcess> processes = new LinkedHashMap<>();
     private final Map<String, InetSocketAddress> callerAddresses = new LinkedHashMap<>();
     private final Map<String, Link> storeLinks = new LinkedHashMap<>();
     private final Map<String, Link> replicaLinks = new LinkedHashMap<>();
@@ -53,7 +53,7 @@
         this.folder = folder;
         this.template = template;
         storeAddress = store.serve(0);
-        operator = SiteStoreClient.of(Addresses.write(storeAddress));
+        operator = SiteStoreClient.of(Addresses.format(storeAddress));
         for (String region : REGIONS) {
             for (int i = 0; i < REPLICAS_PER_REGION; i++) {
                 addReplica(region, true);
@@ -71,7 +71,7 @@
                 startHost(name);
             }
         }
-        processes.values().forEach(Child::awaitReady);
+        processes.values().forEach(ChildProcess::awaitReady);
     }
 
     Map<String, Integer> runCounts() {
@@ -86,7 +86,7 @@
         return List.copyOf(processes.keySet());
     }
 
-    Child hostProcess(String name) {
+    ChildProcess hostProcess(String name) {
         return processes.get(name);
     }
 
@@ -110,7 +110,7 @@
     void startHost(String name) {
         processes.put(
                 name,
-                Child.start(
+                ChildProcess.start(
                         name,
                         "{\"event\":\"started\"",
                         folder.resolve(name + ".err").toFile(),
@@ -136,7 +136,7 @@
 
     @Override
     public void close() {
-        processes.values().forEach(Child::close);
+        processes.values().forEach(ChildProcess::close);
         loop.close();
     }
 
@@ -147,8 +147,8 @@
                 SiteReplica.serve(loop, id, streams, request -> runCounts.merge(request, 1, Integer::sum));
         Link link = Link.open(loop, address);
         replicaLinks.put(id, link);
-        String service = streams ? SiteConfigurations.WRITER : SiteConfigurations.DESK;
-        operator.enterTarget(id, service, link.address(), region + "-hall");
+        String service = streams ? SiteConfigurations.WRITER_SERVICE : SiteConfigurations.DESK_SERVICE;
+        operator.registerTarget(id, service, link.address(), region + "-hall");
     }
 
     private void writeSettings(String name, String region, int number) {
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/outcome/OutcomeAuditTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/outcome/OutcomeAuditTest.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 import org.junit.jupiter.api.Test;
-import org.rattanplank.bench.process.Client;
+import org.rattanplank.bench.process.ClientAccount;
 import org.rattanplank.bench.process.LedgerRun;
 import org.rattanplank.standins.caller.CallOutcome;
 import org.rattanplank.standins.caller.CallRequest;
@@ -14,7 +14,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class OutcomeAuditTest {
-    private static final Client CLIENT = new Client("labasa-floor", "labasa-hall", Set.of("labasa"));
+    private static final ClientAccount CLIENT = new ClientAccount("labasa-floor", "labasa-hall", Set.of("labasa"));
     private static final CallRequest BOOKING = CallRequest.booking("b", "crew-desk", "key");
 
     @Test
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/Calls.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/Calls.java
@@ -9,7 +9,7 @@
 import org.rattanplank.standins.caller.CallRequest;
 import org.rattanplank.standins.caller.CallResult;
 import org.rattanplank.standins.caller.Caller;
-import org.rattanplank.standins.caller.Keys;
+import org.rattanplank.standins.caller.IdempotencyKeys;
 
 /** Sends calls of one client account to a fleet, each with a unique reference. Thread safe. */
 final class Calls {
@@ -32,19 +32,19 @@
 
     CallRequest newBooking() {
         String reference = "booking-" + LAST_NUMBER.incrementAndGet();
-        String key = Keys.version7(System.currentTimeMillis(), RANDOM);
+        String key = IdempotencyKeys.version7(System.currentTimeMillis(), RANDOM);
         return CallRequest.booking(reference, fleet.deployment().plainService(), key)
-                .within(CALL_TIMEOUT);
+                .withTimeout(CALL_TIMEOUT);
     }
 
     CallRequest newDraft(int maxTokens) {
         String reference = "draft-" + LAST_NUMBER.incrementAndGet();
         return CallRequest.draft(reference, fleet.deployment().modelService(), "a line manual", maxTokens)
-                .within(CALL_TIMEOUT);
+                .withTimeout(CALL_TIMEOUT);
     }
 
     CompletableFuture<CallResult> start(Host host, CallRequest call) {
-        return caller.start(host.callers(), call);
+        return caller.sendAsync(host.callersAddress(), call);
     }
 
     /** Waits much less than the call's deadline, so that an outcome that only the deadline brings about fails. */
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/EndToEndTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/EndToEndTest.java
@@ -16,13 +16,13 @@
             Calls calls = Calls.of(fleet, "hou-brokers");
             CallResult draft = calls.send(fleet.host("hou-1"), calls.newDraft(20));
             assertEquals(CallOutcome.ANSWERED, draft.outcome(), draft.toString());
-            assertTrue(draft.own(), draft.body());
+            assertTrue(draft.matchesRequest(), draft.body());
 
             CallRequest quote = calls.newBooking();
             CallResult first = calls.send(fleet.host("hou-1"), quote);
             CallResult retried = calls.send(fleet.host("hou-2"), quote);
             assertEquals(CallOutcome.ANSWERED, first.outcome(), first.toString());
-            assertTrue(first.own(), first.body());
+            assertTrue(first.matchesRequest(), first.body());
             assertEquals(first.body(), retried.body());
             assertEquals(1, calls.settledRuns(quote));
         }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/HostLossTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/HostLossTest.java
@@ -36,8 +36,8 @@
 
     @BeforeEach
     void heal() {
-        fleet.platformFaults(Json.object().put("storeDown", false));
-        fleet.hosts().stream().filter(host -> !host.child().isAlive()).forEach(Host::restart);
+        fleet.setPlatformFaults(Json.object().put("storeDown", false));
+        fleet.hosts().stream().filter(host -> !host.process().isAlive()).forEach(Host::restart);
         fleet.awaitServing(TIMEOUT_MILLIS);
         // A view formed after the loss of all members gives no definite outcome for keys created before or about that
         // time.
@@ -56,7 +56,7 @@
         CallRequest booking = calls.newBooking();
         CompletableFuture<CallResult> lost = calls.start(first, booking);
         calls.awaitRunning(booking);
-        first.child().kill();
+        first.process().kill();
         assertEquals(CallOutcome.BROKEN, Calls.await(lost).outcome());
         CallResult retried = calls.send(second, booking);
         assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
@@ -69,7 +69,7 @@
     void shouldRunBookingOnceWhenHostIsKilledAfterItsResponse() {
         CallRequest booking = calls.newBooking();
         assertEquals(CallOutcome.ANSWERED, calls.send(first, booking).outcome());
-        first.child().kill();
+        first.process().kill();
         CallResult retried = calls.send(second, booking);
         assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
         assertEquals(1, calls.settledRuns(booking));
@@ -82,7 +82,7 @@
         CallRequest booking = calls.newBooking();
         CompletableFuture<CallResult> lost = calls.start(first, booking);
         calls.awaitRunning(booking);
-        List.of(first, second).forEach(host -> host.child().kill());
+        List.of(first, second).forEach(host -> host.process().kill());
         Calls.await(lost);
         List.of(first, second).forEach(Host::restart);
         fleet.awaitServing(TIMEOUT_MILLIS);
@@ -99,14 +99,14 @@
         CompletableFuture<CallResult> suspended = calls.start(first, booking);
         calls.awaitRunning(booking);
         long view = viewNumber(second);
-        first.child().freeze();
+        first.process().suspend();
         Poll.until(
                 "the other host has a view without the suspended host",
                 TIMEOUT_MILLIS,
                 () -> viewNumber(second) > view);
         CallResult retried = calls.send(second, booking);
         assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
-        first.child().resume();
+        first.process().resume();
         assertNotEquals(CallOutcome.NOT_RUN, Calls.await(suspended).outcome());
         assertEquals(1, calls.settledRuns(booking));
     }
@@ -115,11 +115,11 @@
     // view cannot change, when a host is killed with the booking in flight and the key is retried.
     @Test
     void shouldRunBookingOnceWhenStoreIsDownAndHostIsKilled() {
-        fleet.platformFaults(Json.object().put("storeDown", true));
+        fleet.setPlatformFaults(Json.object().put("storeDown", true));
         CallRequest booking = calls.newBooking();
         CompletableFuture<CallResult> lost = calls.start(first, booking);
         calls.awaitRunning(booking);
-        first.child().kill();
+        first.process().kill();
         Calls.await(lost);
         CallResult retried = calls.send(second, booking);
         assertNotEquals(CallOutcome.NOT_RUN, retried.outcome(), retried.toString());
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PartitionTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PartitionTest.java
@@ -43,14 +43,14 @@
     // response, or their data would be served in another region. A key of Labasa is also retried at Suva meanwhile.
     @Test
     void shouldServeLocalCallersWhenLabasaIsPartitioned() {
-        fleet.links().around("labasa-hall", LinkState.cutOff());
+        fleet.links().setStateOfLinksAround("labasa-hall", LinkState.partitioned());
         assertLocalCallersServed();
     }
 
     // Guards against the same failure where the links become unresponsive, so that connections hang instead of closing.
     @Test
     void shouldServeLocalCallersWhenLinksAroundLabasaBecomeUnresponsive() {
-        fleet.links().around("labasa-hall", LinkState.silent());
+        fleet.links().setStateOfLinksAround("labasa-hall", LinkState.dropping());
         assertLocalCallersServed();
     }
 
@@ -59,7 +59,7 @@
         CallResult first = calls.send(fleet.host("labasa-1"), booking);
         assertEquals(CallOutcome.ANSWERED, first.outcome(), first.toString());
         CallRequest draft = calls.newDraft(10);
-        assertTrue(calls.send(fleet.host("labasa-2"), draft).own());
+        assertTrue(calls.send(fleet.host("labasa-2"), draft).matchesRequest());
 
         CallResult elsewhere = calls.send(fleet.host("suva-1"), booking);
         assertNotEquals(CallOutcome.ANSWERED, elsewhere.outcome(), elsewhere.toString());
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PlannedStopTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/PlannedStopTest.java
@@ -27,8 +27,8 @@
             for (Host host : fleet.hosts()) {
                 int requiredCalls = load.endedCalls() + CALLS_BETWEEN_STOPS;
                 Poll.until("calls are still completed", TIMEOUT_MILLIS, () -> load.endedCalls() >= requiredCalls);
-                host.child().terminate();
-                assertEquals(0, host.child().awaitEnd(), host.name());
+                host.process().terminate();
+                assertEquals(0, host.process().awaitExit(), host.name());
                 host.restart();
                 fleet.awaitServing(TIMEOUT_MILLIS);
             }
--- a/rattanplank-bench/src/test/java/org/rattanplank/bench/process/TargetFaultTest.java
+++ b/rattanplank-bench/src/test/java/org/rattanplank/bench/process/TargetFaultTest.java
@@ -62,7 +62,7 @@
         for (int i = 0; i < 5; i++) {
             CallRequest booking = calls.newBooking();
             CallResult result = calls.send(host, booking);
-            assertFalse(result.isWrongAnswer(), result.toString());
+            assertFalse(result.isWrongResponse(), result.toString());
             assertEquals(1, calls.settledRuns(booking));
         }
     }
@@ -96,7 +96,7 @@
         configureFault("plank-serve", "cut-stream", 3);
         CallResult result = calls.send(host, calls.newDraft(30));
         assertEquals(CallOutcome.ANSWERED, result.outcome(), result.toString());
-        assertTrue(result.own(), result.body());
+        assertTrue(result.matchesRequest(), result.body());
     }
 
     // Guards against a stream that hangs: after some stream events the open connection delivers nothing, while new
@@ -106,7 +106,7 @@
         configureFault("plank-serve", "silent", 3);
         CallResult result = calls.send(host, calls.newDraft(30));
         assertEquals(CallOutcome.ANSWERED, result.outcome(), result.toString());
-        assertTrue(result.own(), result.body());
+        assertTrue(result.matchesRequest(), result.body());
     }
 
     // Guards against a booking that is reported as not run although it ran. A rejection before the run is the only
@@ -123,7 +123,7 @@
     /** Configures the fault in all data centres, because the router may avoid a target that failed before. */
     private static void configureFault(String service, String fault, int afterEvents) {
         for (Site site : fleet.deployment().sites()) {
-            fleet.planTargetFaults(
+            fleet.configureTargetFaults(
                     site.dataCentre(),
                     Json.object()
                             .put("forget", true)
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/MainTest.java
@@ -28,7 +28,7 @@
     private static final String SERVICE = "kind: service\nname: crew-desk\ntype: plain\nrepeatable: ";
 
     private final EventLoop loop = EventLoop.of();
-    private final String store = Addresses.write(Platform.serve(loop, new PlatformOptions()));
+    private final String store = Addresses.format(Platform.serve(loop, new PlatformOptions()));
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
@@ -129,7 +129,7 @@
 
     @Test
     void shouldReportNotInForceWhenHostHasOlderGeneration() throws Exception {
-        String host = Addresses.write(loop.serve(0, MainTest::answerStatus));
+        String host = Addresses.format(loop.serve(0, MainTest::answerStatus));
         JsonNode waited = runJson("apply", "--wait", "--wait-millis", "1", "--operators", host, firstFolder.toString());
         assertEquals("suva-1", waited.at("/notInForceAt/0").asText());
         assertTrue(err.toString().contains("suva: 0 of 1 hosts at generation 1"), err.toString());
@@ -137,21 +137,21 @@
 
     @Test
     void shouldDrainOnlyNamedHostWhenItIsReachable() {
-        String host = Addresses.write(loop.serve(0, MainTest::answerStatus));
+        String host = Addresses.format(loop.serve(0, MainTest::answerStatus));
         assertEquals(ExitCode.DONE, run("drain", "--operators", host, "suva-1"));
         assertEquals(ExitCode.REFUSED, run("drain", "--operators", host, "suva-9"));
     }
 
     @Test
     void shouldListEntryHostsWithAddressesWhenAsked() {
-        String host = Addresses.write(loop.serve(0, MainTest::answerEntryHosts));
+        String host = Addresses.format(loop.serve(0, MainTest::answerEntryHosts));
         assertEquals(ExitCode.DONE, run("entry-hosts", "--operators", host));
         assertTrue(out.toString().contains("suva-1 in suva-hall at 127.0.0.1:8080"), out.toString());
     }
 
     @Test
     void shouldListCandidatesWithScoresWhenRequestIsExplained() {
-        String host = Addresses.write(loop.serve(0, MainTest::answerExplanation));
+        String host = Addresses.format(loop.serve(0, MainTest::answerExplanation));
         assertEquals(ExitCode.DONE, run("explain", "--operators", host, "r1"));
         assertTrue(out.toString().contains("attempt 1: desk-1"), out.toString());
         assertTrue(out.toString().contains("desk-2: leaving, score 0.5"), out.toString());
@@ -159,7 +159,7 @@
 
     @Test
     void shouldShowLoadOfTargetsWhenAskedForStatus() {
-        String host = Addresses.write(loop.serve(0, MainTest::answerStatus));
+        String host = Addresses.format(loop.serve(0, MainTest::answerStatus));
         assertEquals(ExitCode.DONE, run("status", "--operators", host));
         assertTrue(out.toString().contains("target desk-1 of crew-desk, running 3 of 8, queued 1"), out.toString());
     }
--- a/rattanplank-cli/src/test/java/org/rattanplank/cli/PlatformClientTest.java
+++ b/rattanplank-cli/src/test/java/org/rattanplank/cli/PlatformClientTest.java
@@ -23,7 +23,7 @@
 class PlatformClientTest {
     private final EventLoop loop = EventLoop.of();
     private final SiteStore store = SiteStore.of(loop);
-    private final String address = "platform://" + Addresses.write(store.serve(0));
+    private final String address = "platform://" + Addresses.format(store.serve(0));
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     @TempDir
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallRequest.java
@@ -90,7 +90,7 @@
      * @param newTimeout the time within which the system has to respond
      * @return the copy
      */
-    public CallRequest within(Duration newTimeout) {
+    public CallRequest withTimeout(Duration newTimeout) {
         return new CallRequest(reference, service, kind, idempotencyKey, residency, prompt, maxTokens, newTimeout);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/CallResult.java
@@ -11,7 +11,7 @@
  * @param status the HTTP status, or zero if no response arrived
  * @param path the hosts and the target that the response passed, or empty
  * @param body the response body as far as it was received
- * @param own whether an answered call got the complete response to this call
+ * @param matchesRequest whether an answered call got the complete response to this call
  * @param reason the reason of a failure, or empty
  * @param retryAfterSeconds the delay after which the caller may retry, or zero
  */
@@ -22,7 +22,7 @@
         int status,
         String path,
         String body,
-        boolean own,
+        boolean matchesRequest,
         String reason,
         long retryAfterSeconds) {
     public CallResult {
@@ -47,7 +47,7 @@
      *
      * @return whether the call was answered with an incomplete response or with the response to another call
      */
-    public boolean isWrongAnswer() {
-        return outcome == CallOutcome.ANSWERED && !own;
+    public boolean isWrongResponse() {
+        return outcome == CallOutcome.ANSWERED && !matchesRequest;
     }
 }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Caller.java
@@ -89,7 +89,7 @@
      * @return the result
      */
     public CallResult send(String host, CallRequest call) {
-        return start(host, call).join();
+        return sendAsync(host, call).join();
     }
 
     /**
@@ -99,7 +99,7 @@
      * @param call the call
      * @return the future result, which never completes exceptionally
      */
-    public CompletableFuture<CallResult> start(String host, CallRequest call) {
+    public CompletableFuture<CallResult> sendAsync(String host, CallRequest call) {
         HttpRequest.Builder request = request(host, call.path())
                 .header("Content-Type", "application/json")
                 .header("Rattanplank-Class", call.kind().workClass())
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/Keys.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/caller/IdempotencyKeys.java
@@ -4,14 +4,14 @@
 import java.util.UUID;
 
 /** Generates idempotency keys as callers do that can't request one from the system. Stateless and thread safe. */
-public final class Keys {
+public final class IdempotencyKeys {
     private static final int TIMESTAMP_SHIFT_BITS = 16;
     private static final long VERSION_7_BITS = 0x7000;
     private static final long LOW_12_BITS_MASK = 0xfff;
     private static final long VARIANT_BITS = 0x8000000000000000L;
     private static final long LOW_62_BITS_MASK = 0x3fffffffffffffffL;
 
-    private Keys() {}
+    private IdempotencyKeys() {}
 
     /**
      * Returns a new UUID of version 7.
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/DemoCalls.java
@@ -47,7 +47,7 @@
 
     private CallResult sendAndPrint(String label, CallRequest call) {
         CallResult result = caller.send(host, call);
-        if (result.outcome() == CallOutcome.ANSWERED && result.own()) {
+        if (result.outcome() == CallOutcome.ANSWERED && result.matchesRequest()) {
             answered++;
         }
         System.out.println(label + ": " + result.outcome() + " status=" + result.status() + " path=" + result.path()
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/EnlistHosts.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/demo/EnlistHosts.java
@@ -20,7 +20,7 @@
         HostsClient client = HostsClient.of(options.platform);
         for (String host : options.hosts) {
             String[] fields = host.split(",");
-            client.put(fields[0], entry(fields[1], fields[2], fields[3], fields[4]));
+            client.put(fields[0], hostListEntry(fields[1], fields[2], fields[3], fields[4]));
         }
     }
 
@@ -33,7 +33,8 @@
      * @param peersAddress the host's address for other entry hosts
      * @return the entry
      */
-    public static ObjectNode entry(String region, String dataCentre, String callersAddress, String peersAddress) {
+    public static ObjectNode hostListEntry(
+            String region, String dataCentre, String callersAddress, String peersAddress) {
         return Json.object()
                 .put("role", "entry")
                 .put("region", region)
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Addresses.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/http/Addresses.java
@@ -12,7 +12,7 @@
      * @param address the address
      * @return the IP address and the port, separated by a colon
      */
-    public static String write(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -22,7 +22,7 @@
      * @param text the IP address and the port, separated by a colon
      * @return the address
      */
-    public static InetSocketAddress read(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
             throw new IllegalArgumentException("invalid address, expected IP:PORT: " + text);
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/Link.java
@@ -68,7 +68,7 @@
      * @return the address as IP:PORT
      */
     public String address() {
-        return Addresses.write(address);
+        return Addresses.format(address);
     }
 
     /**
@@ -84,7 +84,7 @@
     }
 
     /** Drops all further bytes of the connections that are open now, while new connections work. */
-    public void silenceOpenConnections() {
+    public void dropBytesOfOpenConnections() {
         channels.forEach(
                 channel -> channel.attr(ConnectionAttributes.DROPS_BYTES).set(Boolean.TRUE));
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/link/LinkState.java
@@ -25,7 +25,7 @@
      *
      * @return the state
      */
-    public static LinkState cutOff() {
+    public static LinkState partitioned() {
         return new LinkState(true, false, false, 0);
     }
 
@@ -34,7 +34,7 @@
      *
      * @return the state
      */
-    public static LinkState silent() {
+    public static LinkState dropping() {
         return new LinkState(false, true, true, 0);
     }
 
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/Platform.java
@@ -59,7 +59,7 @@
         PlatformOptions options = new PlatformOptions();
         JCommander.newBuilder().addObject(options).build().parse(args);
         InetSocketAddress address = serve(EventLoop.of(), options);
-        System.out.println("platform ready address=" + Addresses.write(address));
+        System.out.println("platform ready address=" + Addresses.format(address));
     }
 
     private void handle(Exchange exchange) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/SiteStore.java
@@ -75,7 +75,7 @@
     }
 
     /** Drops the history once: the next watch gets a response that says so. May be called from any thread. */
-    public void forgetHistory() {
+    public void dropHistory() {
         loop.schedule(0, () -> {
             historyDropped = true;
             checkWatches();
@@ -91,7 +91,7 @@
         PlatformOptions options = new PlatformOptions();
         JCommander.newBuilder().addObject(options).build().parse(args);
         InetSocketAddress address = SiteStore.of(EventLoop.of()).serve(options.port);
-        System.out.println("store ready address=" + Addresses.write(address));
+        System.out.println("store ready address=" + Addresses.format(address));
     }
 
     private void handle(Exchange exchange) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteCalls.java
@@ -56,7 +56,7 @@
 
     private void callBothRoutes(String host) throws IOException, InterruptedException {
         System.out.println("entry host: " + host);
-        for (String path : List.of(SiteConfigurations.DRAFTS, SiteConfigurations.BOOKINGS)) {
+        for (String path : List.of(SiteConfigurations.DRAFTS_PREFIX, SiteConfigurations.BOOKINGS_PREFIX)) {
             HttpResponse<String> response = call(host, path);
             System.out.println("POST " + path + " -> " + response.statusCode());
             System.out.println(response.body().strip());
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteConfigurations.java
@@ -9,16 +9,16 @@
     public static final String HOST_NAME = "desk.example";
 
     /** The path prefix of drafts, which are resumable streams. */
-    public static final String DRAFTS = "/drafts/";
+    public static final String DRAFTS_PREFIX = "/drafts/";
 
     /** The path prefix of bookings, which must not be executed more than once. */
-    public static final String BOOKINGS = "/bookings/";
+    public static final String BOOKINGS_PREFIX = "/bookings/";
 
     /** The service that serves drafts. */
-    public static final String WRITER = "writer";
+    public static final String WRITER_SERVICE = "writer";
 
     /** The service that serves bookings. */
-    public static final String DESK = "desk";
+    public static final String DESK_SERVICE = "desk";
 
     private static final int ROUTE_TIMEOUT_MILLIS = 5_000;
 
@@ -34,12 +34,13 @@
         ObjectNode configuration = Json.object().put("version", version);
         configuration
                 .putArray("routes")
-                .add(route("drafts", DRAFTS, "streaming", WRITER, 2).put("resumable", true))
-                .add(route("bookings", BOOKINGS, "unsafe", DESK, 1));
+                .add(route("drafts", DRAFTS_PREFIX, "streaming", WRITER_SERVICE, 2)
+                        .put("resumable", true))
+                .add(route("bookings", BOOKINGS_PREFIX, "unsafe", DESK_SERVICE, 1));
         configuration
                 .putArray("services")
-                .add(Json.object().put("name", WRITER).put("max_conns", 100))
-                .add(Json.object().put("name", DESK).put("max_conns", 100));
+                .add(Json.object().put("name", WRITER_SERVICE).put("max_conns", 100))
+                .add(Json.object().put("name", DESK_SERVICE).put("max_conns", 100));
         configuration.putObject("limits");
         return configuration;
     }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteReplica.java
@@ -21,7 +21,7 @@
     private static final int STATUS_OK = 200;
     private static final int STATUS_MISDIRECTED_REQUEST = 421;
     /** The number of events of a complete stream. */
-    public static final int EVENTS = 5;
+    public static final int EVENT_COUNT = 5;
 
     private static final long EVENT_INTERVAL_MILLIS = 20;
 
@@ -62,8 +62,8 @@
         JCommander.newBuilder().addObject(options).build().parse(args);
         InetSocketAddress address = serve(EventLoop.of(), options.id, options.streams, requestId -> {});
         SiteStoreClient.of(options.store)
-                .enterTarget(options.id, options.service, Addresses.write(address), options.dataCentre);
-        System.out.println("replica ready id=" + options.id + " address=" + Addresses.write(address));
+                .registerTarget(options.id, options.service, Addresses.format(address), options.dataCentre);
+        System.out.println("replica ready id=" + options.id + " address=" + Addresses.format(address));
     }
 
     private void handle(Exchange exchange) {
@@ -93,7 +93,7 @@
         if (!exchange.isOpen()) {
             return;
         }
-        if (number > EVENTS) {
+        if (number > EVENT_COUNT) {
             exchange.endStream();
             return;
         }
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/site/SiteStoreClient.java
@@ -54,7 +54,7 @@
      * @param address the target's address
      * @param dataCentre the target's data centre
      */
-    public void enterTarget(String id, String service, String address, String dataCentre) {
+    public void registerTarget(String id, String service, String address, String dataCentre) {
         put(
                 PlatformItems.TARGETS_PREFIX + id,
                 Json.object()
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/target/Targets.java
@@ -44,7 +44,7 @@
         Targets targets = new Targets(loop, options);
         options.modelServices.forEach(service -> targets.addService(service, true));
         options.plainServices.forEach(service -> targets.addService(service, false));
-        targets.controlAddress = Addresses.write(loop.serve(0, targets::handleControl));
+        targets.controlAddress = Addresses.format(loop.serve(0, targets::handleControl));
         return targets;
     }
 
@@ -93,7 +93,7 @@
                     ? Target.model(name, service, options, loop, ledger)
                     : Target.plain(name, service, options, loop, ledger);
             InetSocketAddress address = loop.serve(0, target::handle);
-            addresses.put(target, Addresses.write(address));
+            addresses.put(target, Addresses.format(address));
             register(target, address);
         }
     }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/platform/PlatformTest.java
@@ -22,7 +22,7 @@
 
 class PlatformTest {
     private final EventLoop loop = EventLoop.of();
-    private final TestHttp platform = new TestHttp(Addresses.write(Platform.serve(loop, new PlatformOptions())));
+    private final TestHttp platform = new TestHttp(Addresses.format(Platform.serve(loop, new PlatformOptions())));
 
     @AfterEach
     void close() {
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/site/SiteStoreTest.java
@@ -58,7 +58,7 @@
     void startFeed() {
         site = SiteStore.of(storeLoop);
         InetSocketAddress address = site.serve(0);
-        operator = SiteStoreClient.of(Addresses.write(address));
+        operator = SiteStoreClient.of(Addresses.format(address));
         client = PlatformStore.of(loop.group(), address);
         StoreFeed feed = StoreFeed.of(
                 client,
@@ -91,7 +91,7 @@
 
     @Test
     void shouldReceiveChangesWhenTheyAreMade() throws Exception {
-        operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
+        operator.registerTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
         assertEquals(
                 "t1",
                 assertInstanceOf(ClusterEvent.TargetRegistered.class, nextFact())
@@ -115,10 +115,10 @@
      */
     @Test
     void shouldReceiveRemovalWhenItFellIntoAGapOfTheHistory() throws Exception {
-        operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
+        operator.registerTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
         nextFact();
 
-        site.forgetHistory();
+        site.dropHistory();
         operator.removeTarget("t1");
 
         assertEquals(new ClusterEvent.TargetRemoved("t1"), nextFact());
@@ -166,7 +166,7 @@
         busy.await();
 
         site.down(false);
-        operator.enterTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
+        operator.registerTarget("t1", "desk", "10.0.0.9:8080", "suva-hall");
 
         assertInstanceOf(ClusterEvent.TargetRegistered.class, nextFact());
     }
--- a/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
+++ b/rattanplank-standins/src/test/java/org/rattanplank/standins/target/TargetsTest.java
@@ -106,10 +106,10 @@
     @Test
     void shouldResetConnectionWhenLinkIsPartitioned() throws Exception {
         Link link = Link.open(
-                loop, Addresses.read(targets.address("crew-desk-suva-hall-1").get()));
+                loop, Addresses.parse(targets.address("crew-desk-suva-hall-1").get()));
         TestHttp linked = new TestHttp(link.address());
         assertEquals(200, linked.post("/bookings", "{}").statusCode());
-        link.state(LinkState.cutOff());
+        link.state(LinkState.partitioned());
         assertThrows(IOException.class, () -> linked.post("/bookings", "{}"));
         link.state(LinkState.delayed(5));
         assertEquals(200, linked.post("/bookings", "{}").statusCode());
