--- a/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Action.java
@@ -67,7 +67,7 @@
      * Calls the platform's store; each call gets exactly one reply.
      *
      * @param owner the component that calls
-     * @param callId the call's identifier, which the reply repeats
+     * @param callId the call's identifier, which the reply contains too
      * @param command the command
      */
     record CallStore(StoreOwner owner, long callId, StoreCommand command) implements Action {
@@ -80,7 +80,7 @@
     /**
      * Sends an order to a target; each order gets exactly one answer.
      *
-     * @param orderId the order's identifier, which the answer repeats
+     * @param orderId the order's identifier, which the answer contains too
      * @param target the target
      * @param fencingNumber the number by which a target distinguishes a previous controller from the current one
      * @param verb the operation, such as {@code load}, {@code unload} or {@code role}
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Effects.java
@@ -29,13 +29,13 @@
         actions.add(action);
     }
 
-    void addClaimSteps(List<ClaimAction> steps) {
-        for (ClaimAction step : steps) {
-            if (step instanceof ClaimAction.Send send) {
+    void addClaimActions(List<ClaimAction> claimActions) {
+        for (ClaimAction claimAction : claimActions) {
+            if (claimAction instanceof ClaimAction.Send send) {
                 actions.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof ClaimAction.CallStore call) {
+            } else if (claimAction instanceof ClaimAction.CallStore call) {
                 actions.add(new Action.CallStore(StoreOwner.CLAIM, call.callId(), call.command()));
-            } else if (step instanceof ClaimAction.Decide decide) {
+            } else if (claimAction instanceof ClaimAction.Decide decide) {
                 decisions.add(decide);
             }
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Event.java
@@ -31,7 +31,7 @@
      * Another entry host forwarded a request to this one.
      *
      * @param host the other host
-     * @param attempt the other host's attempt number, which the answer repeats
+     * @param attempt the other host's attempt number, which the answer contains too
      * @param request the request with the hosts that have forwarded it
      */
     record PeerRequestReceived(String host, long attempt, Request request) implements Event {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -10,25 +10,25 @@
  *
  * @param requestId the request
  * @param service the requested service
- * @param routings the routing decisions of its attempts, oldest first
+ * @param decisions the routing decisions of its attempts, oldest first
  * @param outcome the outcome's label, empty while the request is in flight
  */
-public record Explanation(String requestId, String service, List<RoutingDecision> routings, String outcome) {
+public record Explanation(String requestId, String service, List<RoutingDecision> decisions, String outcome) {
     public Explanation {
         Objects.requireNonNull(requestId, "requestId");
-        routings = List.copyOf(routings);
+        decisions = List.copyOf(decisions);
         outcome = Objects.requireNonNullElse(outcome, "");
     }
 
-    Explanation withRouting(RoutingDecision routing) {
+    Explanation withRouting(RoutingDecision decision) {
         return new Explanation(
                 requestId,
                 service,
-                io.vavr.collection.List.ofAll(routings).append(routing).asJava(),
+                io.vavr.collection.List.ofAll(decisions).append(decision).asJava(),
                 outcome);
     }
 
     Explanation withOutcome(String label) {
-        return new Explanation(requestId, service, routings, label);
+        return new Explanation(requestId, service, decisions, label);
     }
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
@@ -37,10 +37,10 @@
         }
     }
 
-    void recordRouting(Request request, RoutingDecision routing) {
+    void recordRouting(Request request, RoutingDecision decision) {
         lock.lock();
         try {
-            explanationsByRequest.put(request.id(), current(request).withRouting(routing));
+            explanationsByRequest.put(request.id(), current(request).withRouting(decision));
         } finally {
             lock.unlock();
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/InFlightRequest.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/InFlightRequest.java
@@ -32,7 +32,7 @@
         this.allowedRegions = Set.copyOf(allowedRegions);
     }
 
-    /** Returns whether a call that is not safe to repeat is running under this request's claim. */
+    /** Returns whether a call that is not safe to retry is running under this request's claim. */
     boolean runsClaim() {
         return claim.isDefined() && route.isDefined();
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Node.java
@@ -35,8 +35,8 @@
  */
 public final class Node {
     private final NodeIdentity self;
-    private final Membership members;
-    private final ConfigurationManager configurations;
+    private final Membership membership;
+    private final ConfigurationManager configurationManager;
     private final Claims claims;
     private final Router router;
     private final Controller controller;
@@ -47,12 +47,12 @@
 
     private Node(NodeIdentity self, Policy policy, ClaimLimits claimLimits, long seed) {
         this.self = self;
-        members = Membership.of(self);
-        configurations = ConfigurationManager.of(self);
+        membership = Membership.of(self);
+        configurationManager = ConfigurationManager.of(self);
         claims = Claims.of(self, claimLimits);
         router = Router.of(self.location(), policy, seed);
         controller = Controller.of(self);
-        requests = new RequestFlow(self, members, configurations, claims, router, explanations);
+        requests = new RequestFlow(self, membership, configurationManager, claims, router, explanations);
     }
 
     /**
@@ -98,12 +98,12 @@
      * @return the hosts, best first
      */
     public EntryHosts entryHosts(String account, long nowMillis) {
-        String home = configurations
+        String home = configurationManager
                 .current()
                 .account(account)
                 .map(Account::homeDataCentre)
                 .getOrElse(self.location().dataCentre());
-        return members.entryHosts(account, home, nowMillis);
+        return membership.entryHosts(account, home, nowMillis);
     }
 
     /**
@@ -112,7 +112,7 @@
      * @return the most recent configuration received
      */
     public Configuration configuration() {
-        return configurations.current();
+        return configurationManager.current();
     }
 
     /**
@@ -121,7 +121,7 @@
      * @return whether a configuration is in force and the node is not draining
      */
     public boolean isReady() {
-        return configurations.current().generation() > 0 && !requests.isDraining();
+        return configurationManager.current().generation() > 0 && !requests.isDraining();
     }
 
     /**
@@ -130,7 +130,7 @@
      * @return the status
      */
     public NodeStatus status() {
-        Configuration configuration = configurations.current();
+        Configuration configuration = configurationManager.current();
         return new NodeStatus(
                 self,
                 configuration.generation(),
@@ -138,10 +138,10 @@
                 claims.viewNumber(),
                 requests.inFlight(),
                 requests.isDraining(),
-                members.targetsAcceptingWork(),
+                membership.targetsAcceptingWork(),
                 controller.reports(),
-                members.remoteRegions(),
-                members.leaving());
+                membership.remoteRegions(),
+                membership.leaving());
     }
 
     /**
@@ -178,7 +178,7 @@
         } else if (event instanceof Event.CacheReported cached) {
             router.recordCacheEvents(cached.events(), nowMillis);
         } else if (event instanceof Event.OrderAnswered answered) {
-            addControlSteps(controller.orderAnswered(answered.orderId(), answered.result(), nowMillis), effects);
+            addControlActions(controller.orderAnswered(answered.orderId(), answered.result(), nowMillis), effects);
         } else if (event instanceof Event.DrainAsked) {
             requests.drain();
         } else if (event instanceof Event.Ticked) {
@@ -192,50 +192,51 @@
         if (event instanceof Event.PeerConnected connected) {
             peerConnected(connected, nowMillis, effects);
         } else if (event instanceof Event.PeerLost lost) {
-            addMemberSteps(members.disconnected(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
-            effects.addClaimSteps(claims.disconnected(lost.host(), lost.refused(), nowMillis));
-            router.updateRegions(members.remoteRegions(), nowMillis);
+            addMemberActions(membership.disconnected(lost.host(), lost.refused(), nowMillis), nowMillis, effects);
+            effects.addClaimActions(claims.disconnected(lost.host(), lost.refused(), nowMillis));
+            router.updateRegions(membership.remoteRegions(), nowMillis);
         } else if (event instanceof Event.MessageReceived received) {
             receive(received.host(), received.incarnation(), received.message(), nowMillis, effects);
         } else if (event instanceof Event.HostsListed listed) {
-            addMemberSteps(members.updateHostList(listed.list(), nowMillis), nowMillis, effects);
-            configurations.updatePeers(members.peerView(), nowMillis);
-            effects.addClaimSteps(claims.hostListUpdated(listed.list(), nowMillis));
+            addMemberActions(membership.updateHostList(listed.list(), nowMillis), nowMillis, effects);
+            configurationManager.updatePeers(membership.peerView(), nowMillis);
+            effects.addClaimActions(claims.hostListUpdated(listed.list(), nowMillis));
             refreshTargets(nowMillis);
         } else if (event instanceof Event.StoreReplied replied) {
             storeReplied(replied, nowMillis, effects);
         } else if (event instanceof Event.StoreChanged changed) {
             storeChanged(changed, nowMillis, effects);
         } else if (event instanceof Event.WatchBroken broken && broken.owner() == StoreOwner.CONFIGURATION) {
-            addConfigurationSteps(configurations.watchFailed(nowMillis), nowMillis, effects);
+            addConfigurationActions(configurationManager.watchFailed(nowMillis), nowMillis, effects);
         }
     }
 
     private void peerConnected(Event.PeerConnected peer, long nowMillis, Effects effects) {
-        Location place = Location.of(peer.region(), peer.dataCentre());
-        addMemberSteps(members.connected(peer.host(), peer.incarnation(), place, nowMillis), nowMillis, effects);
-        if (place.dataCentre().equals(self.location().dataCentre())) {
-            effects.addClaimSteps(claims.connected(peer.host(), peer.incarnation(), nowMillis));
+        Location location = Location.of(peer.region(), peer.dataCentre());
+        addMemberActions(
+                membership.connected(peer.host(), peer.incarnation(), location, nowMillis), nowMillis, effects);
+        if (location.dataCentre().equals(self.location().dataCentre())) {
+            effects.addClaimActions(claims.connected(peer.host(), peer.incarnation(), nowMillis));
         }
-        router.updateRegions(members.remoteRegions(), nowMillis);
+        router.updateRegions(membership.remoteRegions(), nowMillis);
     }
 
     private void receive(String host, long incarnation, PeerMessage message, long nowMillis, Effects effects) {
         if (message instanceof ClaimMessage claim) {
-            effects.addClaimSteps(claims.receive(host, incarnation, claim, nowMillis));
+            effects.addClaimActions(claims.receive(host, incarnation, claim, nowMillis));
         } else if (message instanceof ControlMessage control) {
-            addConfigurationSteps(configurations.receive(host, control, nowMillis), nowMillis, effects);
+            addConfigurationActions(configurationManager.receive(host, control, nowMillis), nowMillis, effects);
         } else if (message instanceof MemberMessage member) {
-            addMemberSteps(members.receive(host, incarnation, member, nowMillis), nowMillis, effects);
+            addMemberActions(membership.receive(host, incarnation, member, nowMillis), nowMillis, effects);
             if (member instanceof RegionSummary) {
-                router.updateRegions(members.remoteRegions(), nowMillis);
+                router.updateRegions(membership.remoteRegions(), nowMillis);
             }
         }
     }
 
     private void recordLoadReport(Event.LoadReported reported, long nowMillis) {
         if (reported.load().leaving()) {
-            members.leaving(reported.load().target(), nowMillis);
+            membership.leaving(reported.load().target(), nowMillis);
             refreshTargets(nowMillis);
         }
         router.recordLoadReport(reported.load(), nowMillis);
@@ -244,10 +245,12 @@
 
     private void storeReplied(Event.StoreReplied replied, long nowMillis, Effects effects) {
         switch (replied.owner()) {
-            case CLAIM -> effects.addClaimSteps(claims.storeReplied(replied.callId(), replied.reply(), nowMillis));
-            case CONFIGURATION -> addConfigurationSteps(
-                    configurations.storeReplied(replied.callId(), replied.reply(), nowMillis), nowMillis, effects);
-            case CONTROL -> addControlSteps(
+            case CLAIM -> effects.addClaimActions(claims.storeReplied(replied.callId(), replied.reply(), nowMillis));
+            case CONFIGURATION -> addConfigurationActions(
+                    configurationManager.storeReplied(replied.callId(), replied.reply(), nowMillis),
+                    nowMillis,
+                    effects);
+            case CONTROL -> addControlActions(
                     controller.storeReplied(replied.callId(), replied.reply(), nowMillis), effects);
             default -> throw new IllegalStateException("no component owns store calls of " + replied.owner());
         }
@@ -255,28 +258,30 @@
 
     private void storeChanged(Event.StoreChanged changed, long nowMillis, Effects effects) {
         if (changed.owner() == StoreOwner.CLAIM) {
-            effects.addClaimSteps(claims.storeChanged(changed.entries(), changed.revision(), nowMillis));
+            effects.addClaimActions(claims.storeChanged(changed.entries(), changed.revision(), nowMillis));
         } else if (changed.owner() == StoreOwner.CONFIGURATION) {
-            addConfigurationSteps(
-                    configurations.storeChanged(changed.entries(), changed.revision(), nowMillis), nowMillis, effects);
+            addConfigurationActions(
+                    configurationManager.storeChanged(changed.entries(), changed.revision(), nowMillis),
+                    nowMillis,
+                    effects);
         }
     }
 
     private void tick(long nowMillis, Effects effects) {
         requests.tick(nowMillis, effects);
-        effects.addClaimSteps(claims.tick(nowMillis));
-        configurations.updatePeers(members.peerView(), nowMillis);
-        addConfigurationSteps(configurations.tick(nowMillis), nowMillis, effects);
-        controller.candidateChanged(members.isControllerCandidate());
-        addControlSteps(controller.tick(nowMillis), effects);
+        effects.addClaimActions(claims.tick(nowMillis));
+        configurationManager.updatePeers(membership.peerView(), nowMillis);
+        addConfigurationActions(configurationManager.tick(nowMillis), nowMillis, effects);
+        controller.candidateChanged(membership.isControllerCandidate());
+        addControlActions(controller.tick(nowMillis), effects);
         SelfReport report = new SelfReport(
-                configurations.current().generation(),
+                configurationManager.current().generation(),
                 requests.isDraining(),
                 requests.inFlight(),
                 router.summary(nowMillis),
-                configurations.isStoreReachable(nowMillis));
-        addMemberSteps(members.tick(report, nowMillis), nowMillis, effects);
-        router.updateRegions(members.remoteRegions(), nowMillis);
+                configurationManager.isStoreReachable(nowMillis));
+        addMemberActions(membership.tick(report, nowMillis), nowMillis, effects);
+        router.updateRegions(membership.remoteRegions(), nowMillis);
         refreshTargets(nowMillis);
         drain(nowMillis, effects);
     }
@@ -287,7 +292,7 @@
         }
         if (!leaveRequested) {
             leaveRequested = true;
-            effects.addClaimSteps(claims.leave(nowMillis));
+            effects.addClaimActions(claims.leave(nowMillis));
         }
         if (claims.hasLeft()) {
             stopped = true;
@@ -296,50 +301,51 @@
     }
 
     private void refreshTargets(long nowMillis) {
-        List<ListedHost> targets = members.targetsAcceptingWork();
+        List<ListedHost> targets = membership.targetsAcceptingWork();
         router.updateTargets(targets, nowMillis);
         controller.targetsUpdated(targets, nowMillis);
     }
 
-    private void addMemberSteps(List<MemberAction> steps, long nowMillis, Effects effects) {
-        for (MemberAction step : steps) {
-            if (step instanceof MemberAction.Send send) {
+    private void addMemberActions(List<MemberAction> actions, long nowMillis, Effects effects) {
+        for (MemberAction action : actions) {
+            if (action instanceof MemberAction.Send send) {
                 effects.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof MemberAction.KeepLinks links) {
+            } else if (action instanceof MemberAction.KeepLinks links) {
                 effects.add(new Action.KeepLinks(links.hosts()));
-            } else if (step instanceof MemberAction.GenerationReported heard) {
-                addConfigurationSteps(
-                        configurations.generationReported(heard.host(), heard.generation(), nowMillis),
+            } else if (action instanceof MemberAction.GenerationReported reportedGeneration) {
+                addConfigurationActions(
+                        configurationManager.generationReported(
+                                reportedGeneration.host(), reportedGeneration.generation(), nowMillis),
                         nowMillis,
                         effects);
             }
         }
     }
 
-    private void addConfigurationSteps(List<ConfigurationAction> steps, long nowMillis, Effects effects) {
-        for (ConfigurationAction step : steps) {
-            if (step instanceof ConfigurationAction.CallStore call) {
+    private void addConfigurationActions(List<ConfigurationAction> actions, long nowMillis, Effects effects) {
+        for (ConfigurationAction action : actions) {
+            if (action instanceof ConfigurationAction.CallStore call) {
                 effects.add(new Action.CallStore(StoreOwner.CONFIGURATION, call.callId(), call.command()));
-            } else if (step instanceof ConfigurationAction.Send send) {
+            } else if (action instanceof ConfigurationAction.Send send) {
                 effects.add(new Action.SendMessage(send.host(), send.message()));
-            } else if (step instanceof ConfigurationAction.Activated inForce) {
+            } else if (action instanceof ConfigurationAction.Activated inForce) {
                 applyConfiguration(inForce.configuration(), nowMillis);
             }
         }
     }
 
     private void applyConfiguration(Configuration configuration, long nowMillis) {
-        members.updateRetiring(configuration.retiring(), nowMillis);
+        membership.updateRetiring(configuration.retiring(), nowMillis);
         router.applyConfiguration(configuration, nowMillis);
         controller.configurationUpdated(configuration, nowMillis);
         refreshTargets(nowMillis);
     }
 
-    private void addControlSteps(List<ControlAction> steps, Effects effects) {
-        for (ControlAction step : steps) {
-            if (step instanceof ControlAction.CallStore call) {
+    private void addControlActions(List<ControlAction> actions, Effects effects) {
+        for (ControlAction action : actions) {
+            if (action instanceof ControlAction.CallStore call) {
                 effects.add(new Action.CallStore(StoreOwner.CONTROL, call.callId(), call.command()));
-            } else if (step instanceof ControlAction.Order order) {
+            } else if (action instanceof ControlAction.Order order) {
                 effects.add(new Action.OrderTarget(
                         order.orderId(), order.target(), order.fencingNumber(), order.verb(), order.subject()));
             }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
@@ -42,8 +42,8 @@
     private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final NodeIdentity self;
-    private final Membership members;
-    private final ConfigurationManager configurations;
+    private final Membership membership;
+    private final ConfigurationManager configurationManager;
     private final Claims claims;
     private final Router router;
     private final Explanations explanations;
@@ -53,14 +53,14 @@
 
     RequestFlow(
             NodeIdentity self,
-            Membership members,
-            ConfigurationManager configurations,
+            Membership membership,
+            ConfigurationManager configurationManager,
             Claims claims,
             Router router,
             Explanations explanations) {
         this.self = self;
-        this.members = members;
-        this.configurations = configurations;
+        this.membership = membership;
+        this.configurationManager = configurationManager;
         this.claims = claims;
         this.router = router;
         this.explanations = explanations;
@@ -132,8 +132,8 @@
             Route route = request.route.get();
             long durationMillis = nowMillis - request.attemptStartedMillis;
             router.recordEnd(request.request, route, event.result(), durationMillis, nowMillis);
-            if (event.result() instanceof AttemptResult.Completed whole) {
-                answered(request, whole, nowMillis, effects);
+            if (event.result() instanceof AttemptResult.Completed completed) {
+                answered(request, completed, nowMillis, effects);
             } else if (event.result() instanceof AttemptResult.NotRun notRun) {
                 attemptNotRun(request, notRun, nowMillis, effects);
             } else if (event.result() instanceof AttemptResult.Lost lost) {
@@ -183,7 +183,7 @@
             // A duplicate message: a second outcome under the same identifier would answer the first requester.
             return;
         }
-        Configuration configuration = configurations.current();
+        Configuration configuration = configurationManager.current();
         Option<Failure> rejection = draining
                 ? Option.some(Failure.of(Step.ADMIT, self.host(), "this host is leaving"))
                 : AcceptRules.validate(request, configuration, self.host());
@@ -216,7 +216,7 @@
             ClaimKey key = ClaimKey.of(
                     request.request.account(), request.request.idempotencyKey().getOrElse(""));
             request.claim = Option.some(key);
-            effects.addClaimSteps(claims.open(key, request.request.id(), nowMillis));
+            effects.addClaimActions(claims.open(key, request.request.id(), nowMillis));
             return;
         }
         forwardToHome(request, home, nowMillis, effects);
@@ -224,7 +224,7 @@
 
     /** Forwards the request to a reachable host of the data centre that manages its key and that has not been tried. */
     private void forwardToHome(InFlightRequest request, String home, long nowMillis, Effects effects) {
-        Option<String> host = Option.ofOptional(members.reachableHosts(home).stream()
+        Option<String> host = Option.ofOptional(membership.reachableHosts(home).stream()
                 .filter(name -> !request.triedPeers.contains(name))
                 .findFirst());
         if (request.request.isForwarded() || host.isEmpty()) {
@@ -232,7 +232,7 @@
             endWithoutAnswer(request, failure, RETRY_AFTER_MILLIS, nowMillis, effects);
             return;
         }
-        String region = members.regionOf(host.get()).getOrElse("");
+        String region = membership.regionOf(host.get()).getOrElse("");
         if (!request.allowedRegions.contains(region)) {
             Failure failure =
                     Failure.of(Step.CLAIM, home, "the residency does not allow the data centre that manages the key");
@@ -244,15 +244,16 @@
 
     private void releaseClaim(ClaimAction.Decide decide, long nowMillis, Effects effects) {
         if (decide.decision() instanceof ClaimDecision.Run) {
-            effects.addClaimSteps(claims.settle(decide.key(), decide.requestId(), new ClaimResult.NotRun(), nowMillis));
+            effects.addClaimActions(
+                    claims.settle(decide.key(), decide.requestId(), new ClaimResult.NotRun(), nowMillis));
         }
     }
 
     private void applyDecision(ClaimDecision decision, InFlightRequest request, long nowMillis, Effects effects) {
         if (decision instanceof ClaimDecision.Run) {
             chooseRoute(request, nowMillis, effects);
-        } else if (decision instanceof ClaimDecision.Replay kept) {
-            finish(request, new Outcome.Answered(kept.answer(), List.of(self.host())), nowMillis, effects);
+        } else if (decision instanceof ClaimDecision.Replay replay) {
+            finish(request, new Outcome.Answered(replay.answer(), List.of(self.host())), nowMillis, effects);
         } else if (decision instanceof ClaimDecision.Unknown unknown) {
             finish(request, new Outcome.Unknown(unknown.failure()), nowMillis, effects);
         } else if (decision instanceof ClaimDecision.NotRun notRun) {
@@ -263,11 +264,11 @@
     private void chooseRoute(InFlightRequest request, long nowMillis, Effects effects) {
         boolean mayLeaveRegion = !request.request.isForwarded();
         Eligibility eligibility = new Eligibility(request.allowedRegions, mayLeaveRegion, request.triedPeers);
-        RoutingDecision routing = router.choose(request.request, eligibility, nowMillis);
-        explanations.recordRouting(request.request, routing);
-        if (routing instanceof RoutingDecision.Dispatch dispatch) {
+        RoutingDecision routingDecision = router.choose(request.request, eligibility, nowMillis);
+        explanations.recordRouting(request.request, routingDecision);
+        if (routingDecision instanceof RoutingDecision.Dispatch dispatch) {
             startAttempt(request, dispatch.route(), 0, nowMillis, effects);
-        } else if (routing instanceof RoutingDecision.Reject reject) {
+        } else if (routingDecision instanceof RoutingDecision.Reject reject) {
             endWithoutAnswer(request, reject.failure(), reject.retryAfterMillis(), nowMillis, effects);
         }
     }
@@ -276,7 +277,7 @@
     private void endWithoutAnswer(
             InFlightRequest request, Failure failure, long retryAfterMillis, long nowMillis, Effects effects) {
         // An earlier attempt whose answer was lost may have run. Judged by the latest attempt alone, the request would
-        // be reported as "not run"; symptom: a caller repeats a call that has already run.
+        // be reported as "not run"; symptom: a caller retries a call that has already run.
         if (request.mayHaveRun) {
             settleClaim(request, new ClaimResult.Unknown(failure), nowMillis, effects);
             finish(request, new Outcome.Unknown(failure), nowMillis, effects);
@@ -301,14 +302,14 @@
                 request.request.id(), request.attempt, route, outgoing, resumeAtStreamEvent, timeoutMillis));
     }
 
-    private void answered(InFlightRequest request, AttemptResult.Completed whole, long nowMillis, Effects effects) {
-        settleClaim(request, new ClaimResult.Answered(whole.answer()), nowMillis, effects);
+    private void answered(InFlightRequest request, AttemptResult.Completed completed, long nowMillis, Effects effects) {
+        settleClaim(request, new ClaimResult.Answered(completed.answer()), nowMillis, effects);
         List<String> path = io.vavr.collection.List.of(
                         self.host(), request.route.get().peer())
-                .appendAll(whole.path())
+                .appendAll(completed.path())
                 .distinct()
                 .asJava();
-        finish(request, new Outcome.Answered(whole.answer(), path), nowMillis, effects);
+        finish(request, new Outcome.Answered(completed.answer(), path), nowMillis, effects);
     }
 
     private void attemptNotRun(InFlightRequest request, AttemptResult.NotRun notRun, long nowMillis, Effects effects) {
@@ -365,7 +366,7 @@
     private void retry(InFlightRequest request, long nowMillis, Effects effects) {
         request.route = Option.none();
         if (lacksHomeClaim(request)) {
-            claim(request, configurations.current(), nowMillis, effects);
+            claim(request, configurationManager.current(), nowMillis, effects);
             return;
         }
         chooseRoute(request, nowMillis, effects);
@@ -405,7 +406,7 @@
 
     private void settleClaim(InFlightRequest request, ClaimResult result, long nowMillis, Effects effects) {
         request.claim.forEach(
-                key -> effects.addClaimSteps(claims.settle(key, request.request.id(), result, nowMillis)));
+                key -> effects.addClaimActions(claims.settle(key, request.request.id(), result, nowMillis)));
     }
 
     private void finish(InFlightRequest request, Outcome outcome, long nowMillis, Effects effects) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ClaimCoordinator.java
@@ -139,7 +139,7 @@
         }
         if (held.exists(claim ->
                 claim.isClaimedBy(pendingOpen.requestId()) && claim.state().isFree())) {
-            // No primary orders a released claim of the same request again; a repeated request to the primary would
+            // No primary orders a released claim of the same request again; a retried request to the primary would
             // return the same result without end.
             reject(pendingOpen, "the request was abandoned earlier", nowMillis, out);
             return;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/Claims.java
@@ -209,7 +209,7 @@
     }
 
     /**
-     * Records that the connection to a host of the data centre is lost.
+     * Records that the connection to a host of the data centre was closed.
      *
      * @param host the other host
      * @param refused whether the address of the host refused the connection, so that no process listens there
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/TerminationEvidence.java
@@ -25,8 +25,8 @@
     private final Set<String> unlistedHosts = new TreeSet<>();
     private long viewUpdatedAtMillis;
 
-    TerminationEvidence(Location place, long listLagMillis) {
-        this.location = place;
+    TerminationEvidence(Location location, long listLagMillis) {
+        this.location = location;
         this.hostListLagMillis = listLagMillis;
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -128,7 +128,7 @@
 
     /**
      * Returns whether no claim can be granted until the store recovers: the store is unavailable, and either no other
-     * member can be asked, or a member is lost and only the store could remove it.
+     * member can be queried, or a member is lost and only the store could remove it.
      */
     boolean isClaimingBlocked(long nowMillis) {
         if (!store.isUnavailable()) {
@@ -556,7 +556,7 @@
         } else if (reply instanceof StoreReply.Unavailable && change.get().canWithdraw()) {
             abandonChange(nowMillis, out);
         }
-        // A write with an unknown outcome is repeated unchanged when due: the record shows whether it was applied,
+        // A write with an unknown outcome is retried unchanged when due: the record shows whether it was applied,
         // whereas an unchanged record does not prove that it never will be.
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/control/Rollout.java
@@ -14,7 +14,7 @@
 /**
  * Moves the targets of one service to the wanted version, a few at a time.
  *
- * <p>Invariants: an order states the wanted result, so that it may be repeated; another target receives its order only
+ * <p>Invariants: an order states the wanted result, so that it may be sent again; another target receives its order only
  * when a pending one reports the version; while other targets of the service are unresponsive, fewer are started, so
  * that at least half continue to serve. Not thread safe.
  */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryHostDirectory.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/EntryHostDirectory.java
@@ -65,7 +65,7 @@
      * @param hosts the hosts that accept callers
      * @param location the location of the caller; none while no configuration states where its requests may go
      * @param nowMillis the time
-     * @return the addresses; empty if the caller should ask another host, or later
+     * @return the addresses; empty if the caller should query another host, or retry later
      */
     public List<String> list(Collection<GatewayHost> hosts, Option<CallerLocation> location, long nowMillis) {
         return list(hosts, List.of(), location, nowMillis);
@@ -78,7 +78,7 @@
      * @param closing the hosts that are about to shut down and accept work as the last of their regions
      * @param location the location of the caller; none while no configuration states where its requests may go
      * @param nowMillis the time
-     * @return the addresses; empty if the caller should ask another host, or later
+     * @return the addresses; empty if the caller should query another host, or retry later
      */
     public List<String> list(
             Collection<GatewayHost> hosts,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PeerAvailability.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/PeerAvailability.java
@@ -32,7 +32,7 @@
     static final long MIN_REMAINING_MILLIS = 1_000;
 
     /**
-     * Time by which another host must be able to go on longer, as hosts learn of each other's state with that delay.
+     * Time by which another host must be able to go on longer, as hosts observe each other's state with that delay.
      */
     private static final long COMPARISON_MARGIN_MILLIS = 200;
 
@@ -53,6 +53,6 @@
         return hasPeers ? UNAVAILABLE : NONE;
     }
 
-    /** Returns until when after the start of a shutdown the host accepts work in place of the others. */
+    /** Returns until when after the start of a shutdown the host accepts work instead of the others. */
     abstract long acceptUntilMillis(long closeMillis);
 }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceEstimate.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ServiceEstimate.java
@@ -6,7 +6,7 @@
  * The estimate for a request at one candidate, and its cost to other requests there. Immutable and thread safe.
  *
  * @param region the region of the candidate, empty if there is none or it is not named
- * @param queueWaitMillis the part of the time that is due to other requests; infinite if there is no candidate
+ * @param queueWaitMillis the share of the time that is due to other requests; infinite if there is no candidate
  * @param expectedMillis the time to the first event or answer, network round trip included; infinite if there is no
  *     candidate
  * @param delayCostMillis the time that its prefill takes from lagging streams there
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ShutdownPlan.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/ShutdownPlan.java
@@ -27,7 +27,7 @@
      */
     static final long ACCEPT_ALL_MILLIS = 2_800;
 
-    /** Remaining part of the shutdown time when all connections are closed, in which the last answers are sent. */
+    /** Remaining shutdown time when all connections are closed, in which the last answers are sent. */
     static final long CLOSE_MARGIN_MILLIS = 700;
 
     /** A late request takes less than so many times the recent maximum of its kind. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreWatchers.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/StoreWatchers.java
@@ -18,7 +18,7 @@
  * choose alike. Immutable and thread safe.
  */
 public final class StoreWatchers {
-    /** Two watchers may be lost at once. */
+    /** Two watchers may fail at once. */
     public static final int MIN_WATCHERS = 3;
 
     /** One watcher for so many hosts, so that what a watcher relays doesn't grow with the region. */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChoice.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/TargetChoice.java
@@ -35,7 +35,7 @@
     }
 
     /**
-     * Returns the part of that time that is due to other requests.
+     * Returns the share of that time that is due to other requests.
      *
      * @return milliseconds
      */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Urgency.java
@@ -12,9 +12,9 @@
     private final int level;
     private final double tolerance;
 
-    Urgency(int level, double patience) {
+    Urgency(int level, double tolerance) {
         this.level = level;
-        this.tolerance = patience;
+        this.tolerance = tolerance;
     }
 
     /**
--- a/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyOperation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/intent/ApplyOperation.java
@@ -10,7 +10,7 @@
 import org.rattanplank.schema.intent.IntentFault;
 
 /**
- * State machine that applies one configuration change to the store: read, merge, check and compare-and-swap, repeated
+ * State machine that applies one configuration change to the store: read, merge, check and compare-and-swap, retried
  * when another operator's write came first. Usage:
  *
  * <pre>{@code
@@ -38,13 +38,13 @@
 
     private ApplyOperation(
             ConfigurationChange change,
-            ApplyState step,
+            ApplyState state,
             Option<Document> written,
             boolean unsettled,
             int failures,
             int rounds) {
         this.change = change;
-        this.state = step;
+        this.state = state;
         this.written = written;
         this.writeOutcomeUnknown = unsettled;
         this.failures = failures;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Ejection.java
@@ -43,7 +43,7 @@
         return consecutiveEjections == 0 || ownInFlight <= successesSinceEjection;
     }
 
-    /** Sends nothing to the peer until the given time, because it asked for a pause without failing. */
+    /** Sends nothing to the peer until the given time, because it requested a pause without failing. */
     void pauseUntil(long untilMillis) {
         pausedUntilMillis = untilMillis;
     }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/route/Router.java
@@ -49,8 +49,8 @@
     private final Map<String, Attempt> attempts = new HashMap<>();
     private Configuration configuration = Configuration.empty();
 
-    private Router(Location place, Policy policy, RandomGenerator random) {
-        this.region = place.region();
+    private Router(Location location, Policy policy, RandomGenerator random) {
+        this.region = location.region();
         this.policy = policy;
         this.targetTable = new TargetTable(policy);
         this.admission = AdmissionControl.of(random);
@@ -62,13 +62,13 @@
     /**
      * Creates a router without targets.
      *
-     * @param place the region and data centre of this host
+     * @param location the region and data centre of this host
      * @param policy the routing policy
      * @param seed the seed of random choices
      * @return the router
      */
-    public static Router of(Location place, Policy policy, long seed) {
-        return new Router(place, policy, new SplittableRandom(seed));
+    public static Router of(Location location, Policy policy, long seed) {
+        return new Router(location, policy, new SplittableRandom(seed));
     }
 
     /**
@@ -206,7 +206,7 @@
     }
 
     /**
-     * Decides whether a request that definitely did not run, or that is safe to repeat, may be retried.
+     * Decides whether a request that definitely did not run, or that is safe to retry, may be retried.
      *
      * @param request the request
      * @param previousAttempts the number of attempts so far
@@ -331,12 +331,12 @@
             return false;
         }
         for (String name : configuration.allowedRegions(request.homeRegion(), request.residency())) {
-            boolean hasRoom = !name.equals(region)
+            boolean hasCapacity = !name.equals(region)
                     && remoteRegions.region(name).exists(remote -> remote.summary(request.service())
                             .exists(summary -> remote.hasCapacity(
                                     request.service(),
                                     remote.slots(summary, remoteRegions.share(name, nowMillis), nowMillis))));
-            if (hasRoom) {
+            if (hasCapacity) {
                 return true;
             }
         }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimCluster.java
@@ -306,18 +306,18 @@
         }
     }
 
-    private void perform(String host, List<ClaimAction> steps) {
-        for (ClaimAction step : steps) {
-            if (step instanceof ClaimAction.Send send) {
+    private void perform(String host, List<ClaimAction> actions) {
+        for (ClaimAction action : actions) {
+            if (action instanceof ClaimAction.Send send) {
                 boolean delivered = processes.containsKey(send.host()) && !isPartitioned(host, send.host());
                 if (delivered) {
                     link(host, send.host())
                             .items
                             .add(new FakeLink.Item.Message(incarnations.get(host), send.message()));
                 }
-            } else if (step instanceof ClaimAction.CallStore call) {
+            } else if (action instanceof ClaimAction.CallStore call) {
                 storeCalls.add(new StoreCall(host, incarnations.get(host), call.callId(), call.command()));
-            } else if (step instanceof ClaimAction.Decide decide) {
+            } else if (action instanceof ClaimAction.Decide decide) {
                 recordDecision(host, decide);
             }
         }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/claim/ClaimsTest.java
@@ -340,11 +340,11 @@
     }
 
     private static HostList hosts(String... names) {
-        Location place = Location.of("suva", "suva-hall");
+        Location location = Location.of("suva", "suva-hall");
         return new HostList(
                 names.length,
                 List.of(names).stream()
-                        .map(name -> new ListedHost(name, HostRole.ENTRY, place, "127.0.0.1", 1, 2, "", false))
+                        .map(name -> new ListedHost(name, HostRole.ENTRY, location, "127.0.0.1", 1, 2, "", false))
                         .toList());
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/control/ControllerTest.java
@@ -231,18 +231,18 @@
         });
     }
 
-    private void perform(Controller controller, List<ControlAction> steps) {
-        for (ControlAction step : steps) {
-            if (step instanceof ControlAction.CallStore call) {
+    private void perform(Controller controller, List<ControlAction> actions) {
+        for (ControlAction action : actions) {
+            if (action instanceof ControlAction.CallStore call) {
                 StoreCommand command = call.command();
                 boolean lose = store.calls() + 1 == callWithLostReply;
                 FakeStore.Fault now = lose ? FakeStore.Fault.ANSWER_LOST : fault;
                 perform(
                         controller,
                         controller.storeReplied(call.callId(), store.call(command, now, nowMillis), nowMillis));
-            } else if (step instanceof ControlAction.Order order && delayOrders) {
+            } else if (action instanceof ControlAction.Order order && delayOrders) {
                 delayedOrders.add(order);
-            } else if (step instanceof ControlAction.Order order) {
+            } else if (action instanceof ControlAction.Order order) {
                 OrderResult result = targets.get(order.target()).order(order, checksFencing, nowMillis);
                 perform(controller, controller.orderAnswered(order.orderId(), result, nowMillis));
             }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RollingStopSearchTest.java
@@ -34,7 +34,7 @@
     private static final long CALLER_INTERVAL_MILLIS = 250;
     private static final long MAX_STREAM_MILLIS = 6_000;
 
-    /** Each of two hosts may learn with one report delay that the other one stops. */
+    /** Each of two hosts may observe with one report delay that the other one stops. */
     private static final long GAP_MILLIS = 2 * MAX_DELAY_MILLIS + STEP_MILLIS;
 
     @Test
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/SimulatedRegion.java
@@ -12,7 +12,7 @@
 
 /**
  * Simulates the hosts of one region and their engines in virtual time. The decisions are made by the production code,
- * and hosts learn of each other's work with a delay.
+ * and hosts observe each other's work with a delay.
  *
  * <p>Invariant: the same parameters and seed give the same results. Confined to one thread.
  */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreWatchersTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/StoreWatchersTest.java
@@ -80,13 +80,13 @@
         List<Candidate> hosts = hosts(count, count / 7, count - count / 5);
         List<Candidate> shuffled = new ArrayList<>(hosts);
         Collections.shuffle(shuffled, new Random(seed));
-        StoreWatchers one = StoreWatchers.of(hosts);
+        StoreWatchers first = StoreWatchers.of(hosts);
         StoreWatchers other = StoreWatchers.of(shuffled);
 
         for (Candidate host : hosts) {
-            assertEquals(one.isWatcher(host.name()), other.isWatcher(host.name()));
-            assertEquals(one.relayFor(host.name()), other.relayFor(host.name()));
-            assertEquals(one.position(host.name()), other.position(host.name()));
+            assertEquals(first.isWatcher(host.name()), other.isWatcher(host.name()));
+            assertEquals(first.relayFor(host.name()), other.relayFor(host.name()));
+            assertEquals(first.position(host.name()), other.position(host.name()));
         }
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyOperationTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ApplyOperationTest.java
@@ -51,9 +51,9 @@
             List<ApplyOperation> finished = run(store, ours, theirs, new Random(seed));
             long done = finished.stream().filter(ApplyOperationTest::isDone).count();
             long conflicts = finished.stream()
-                    .filter(apply -> apply.state() instanceof ApplyState.Conflicting)
+                    .filter(operation -> operation.state() instanceof ApplyState.Conflicting)
                     .count();
-            boolean anyFailed = finished.stream().anyMatch(apply -> apply.state() instanceof ApplyState.Failed);
+            boolean anyFailed = finished.stream().anyMatch(operation -> operation.state() instanceof ApplyState.Failed);
             assertTrue(anyFailed || (done == 1 && conflicts == 1), "seed " + seed + ": " + states(finished));
             String reason = newest(store).files().get("a").path("reason").asText();
             assertEquals(isDone(finished.get(0)), "ours".equals(reason), "seed " + seed + ": " + states(finished));
@@ -66,16 +66,17 @@
         // lost, another operator changes the same file, then the first operation reads the store. The operator would
         // get a conflict with their own file.
         FakeStore store = storeWithBase();
-        ApplyOperation apply =
+        ApplyOperation operation =
                 ApplyOperation.of(new ConfigurationChange(base, TestIntentFiles.retiring("a", "b", "c"), "mine"));
-        apply = advance(apply, store, FakeStore.Fault.NONE);
-        apply = advance(apply, store, FakeStore.Fault.ANSWER_LOST);
+        operation = advance(operation, store, FakeStore.Fault.NONE);
+        operation = advance(operation, store, FakeStore.Fault.ANSWER_LOST);
         Document mine = newest(store);
         SortedMap<String, JsonNode> later = TestIntentFiles.retiring("a", "b", "c");
         later.put("c", TestIntentFiles.retire("c", "changed later"));
         store.write(ConfigurationManager.KEY, mine.next(later, "other").toText());
-        apply = advance(apply, store, FakeStore.Fault.NONE);
-        assertEquals(2, assertInstanceOf(ApplyState.Done.class, apply.state()).generation());
+        operation = advance(operation, store, FakeStore.Fault.NONE);
+        assertEquals(
+                2, assertInstanceOf(ApplyState.Done.class, operation.state()).generation());
     }
 
     @Test
@@ -89,12 +90,13 @@
         store.write(ConfigurationManager.KEY, second.toText());
         SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b", "c");
         desired.put("c", TestIntentFiles.retire("c", "mine"));
-        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(second, desired, "mine"));
-        apply = apply.storeReplied(store.staleGet(ConfigurationManager.KEY, old));
-        while (!isFinished(apply)) {
-            apply = advance(apply, store, FakeStore.Fault.NONE);
+        ApplyOperation operation = ApplyOperation.of(new ConfigurationChange(second, desired, "mine"));
+        operation = operation.storeReplied(store.staleGet(ConfigurationManager.KEY, old));
+        while (!isFinished(operation)) {
+            operation = advance(operation, store, FakeStore.Fault.NONE);
         }
-        assertEquals(3, assertInstanceOf(ApplyState.Done.class, apply.state()).generation());
+        assertEquals(
+                3, assertInstanceOf(ApplyState.Done.class, operation.state()).generation());
     }
 
     @Test
@@ -103,19 +105,20 @@
         SortedMap<String, JsonNode> desired = TestIntentFiles.retiring("a", "b");
         desired.put("c", TestIntentFiles.retire("floor", "x").deepCopy());
         ((com.fasterxml.jackson.databind.node.ObjectNode) desired.get("c")).put("kind", "limit");
-        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(base, desired, "mine"));
-        apply = advance(apply, store, FakeStore.Fault.NONE);
-        assertInstanceOf(ApplyState.Rejected.class, apply.state());
+        ApplyOperation operation = ApplyOperation.of(new ConfigurationChange(base, desired, "mine"));
+        operation = advance(operation, store, FakeStore.Fault.NONE);
+        assertInstanceOf(ApplyState.Rejected.class, operation.state());
         assertEquals(1, newest(store).generation());
     }
 
     @Test
     void shouldReportThatNothingWasAppliedWhenTheStoreIsDown() {
-        ApplyOperation apply = ApplyOperation.of(new ConfigurationChange(base, TestIntentFiles.retiring("c"), "mine"));
-        while (!isFinished(apply)) {
-            apply = apply.storeReplied(new StoreReply.Unavailable("down"));
+        ApplyOperation operation =
+                ApplyOperation.of(new ConfigurationChange(base, TestIntentFiles.retiring("c"), "mine"));
+        while (!isFinished(operation)) {
+            operation = operation.storeReplied(new StoreReply.Unavailable("down"));
         }
-        assertTrue(assertInstanceOf(ApplyState.Failed.class, apply.state()).definitelyNotApplied());
+        assertTrue(assertInstanceOf(ApplyState.Failed.class, operation.state()).definitelyNotApplied());
     }
 
     private void race(SortedMap<String, JsonNode> ours, SortedMap<String, JsonNode> theirs, Set<String> expected) {
@@ -123,7 +126,7 @@
             FakeStore store = storeWithBase();
             List<ApplyOperation> finished = run(store, ours, theirs, new Random(seed));
             boolean bothDone = finished.stream().allMatch(ApplyOperationTest::isDone);
-            boolean anyFailed = finished.stream().anyMatch(apply -> apply.state() instanceof ApplyState.Failed);
+            boolean anyFailed = finished.stream().anyMatch(operation -> operation.state() instanceof ApplyState.Failed);
             assertTrue(bothDone || anyFailed, "seed " + seed + ": " + states(finished));
             if (bothDone) {
                 assertEquals(expected, newest(store).files().keySet(), "seed " + seed);
@@ -134,16 +137,16 @@
 
     private List<ApplyOperation> run(
             FakeStore store, SortedMap<String, JsonNode> ours, SortedMap<String, JsonNode> theirs, Random random) {
-        List<ApplyOperation> applies = new ArrayList<>(List.of(
+        List<ApplyOperation> operations = new ArrayList<>(List.of(
                 ApplyOperation.of(new ConfigurationChange(base, ours, "ours")),
                 ApplyOperation.of(new ConfigurationChange(base, theirs, "theirs"))));
-        while (!applies.stream().allMatch(ApplyOperationTest::isFinished)) {
-            int turn = random.nextInt(applies.size());
-            if (!isFinished(applies.get(turn))) {
-                applies.set(turn, advance(applies.get(turn), store, fault(random)));
+        while (!operations.stream().allMatch(ApplyOperationTest::isFinished)) {
+            int turn = random.nextInt(operations.size());
+            if (!isFinished(operations.get(turn))) {
+                operations.set(turn, advance(operations.get(turn), store, fault(random)));
             }
         }
-        return applies;
+        return operations;
     }
 
     private static FakeStore.Fault fault(Random random) {
@@ -159,8 +162,8 @@
         return store;
     }
 
-    private static ApplyOperation advance(ApplyOperation apply, FakeStore store, FakeStore.Fault fault) {
-        return apply.storeReplied(store.call(((ApplyState.CallStore) apply.state()).command(), fault, 0));
+    private static ApplyOperation advance(ApplyOperation operation, FakeStore store, FakeStore.Fault fault) {
+        return operation.storeReplied(store.call(((ApplyState.CallStore) operation.state()).command(), fault, 0));
     }
 
     private static Document newest(FakeStore store) {
@@ -168,15 +171,15 @@
                 .get();
     }
 
-    private static boolean isFinished(ApplyOperation apply) {
-        return !(apply.state() instanceof ApplyState.CallStore);
+    private static boolean isFinished(ApplyOperation operation) {
+        return !(operation.state() instanceof ApplyState.CallStore);
     }
 
-    private static boolean isDone(ApplyOperation apply) {
-        return apply.state() instanceof ApplyState.Done;
+    private static boolean isDone(ApplyOperation operation) {
+        return operation.state() instanceof ApplyState.Done;
     }
 
-    private static List<ApplyState> states(List<ApplyOperation> applies) {
-        return applies.stream().map(ApplyOperation::state).toList();
+    private static List<ApplyState> states(List<ApplyOperation> operations) {
+        return operations.stream().map(ApplyOperation::state).toList();
     }
 }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationManagerTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/intent/ConfigurationManagerTest.java
@@ -27,7 +27,7 @@
     private static final int DATA_CENTRE_COUNT = 82;
 
     private final FakeStore store = new FakeStore();
-    private final ConfigurationManager configurations = of("suva-1");
+    private final ConfigurationManager configurationManager = of("suva-1");
 
     @Test
     void shouldKeepActiveGenerationWhenReadIsOlder() {
@@ -38,11 +38,11 @@
         long old = store.revision();
         store.write(
                 ConfigurationManager.KEY, TestIntentFiles.document(2, "a", "b").toText());
-        configurations.storeReplied(1, store.call(new StoreCommand.Get(ConfigurationManager.KEY), 0), 0);
+        configurationManager.storeReplied(1, store.call(new StoreCommand.Get(ConfigurationManager.KEY), 0), 0);
         List<ConfigurationAction> actions =
-                configurations.storeReplied(2, store.staleGet(ConfigurationManager.KEY, old), 100);
+                configurationManager.storeReplied(2, store.staleGet(ConfigurationManager.KEY, old), 100);
         assertEquals(List.of(), actions);
-        assertEquals(2, configurations.current().generation());
+        assertEquals(2, configurationManager.current().generation());
     }
 
     @Test
@@ -50,24 +50,26 @@
         // Guards against activating the first answer: generation 2 was active, the host restarts, and the store answers
         // with generation 1 before any peer has reported. The restarted host would serve with an outdated
         // configuration.
-        configurations.updatePeers(new PeerView(Set.of("suva-2"), List.of(), List.of()), 0);
+        configurationManager.updatePeers(new PeerView(Set.of("suva-2"), List.of(), List.of()), 0);
         StoreReply old = new StoreReply.Found(List.of(entry(TestIntentFiles.document(1, "a"))), 1);
-        assertEquals(List.of(), configurations.storeReplied(1, old, 10));
-        configurations.updatePeers(view("suva-2"), 20);
-        List<ConfigurationAction> actions = configurations.generationReported("suva-2", 2, 20);
+        assertEquals(List.of(), configurationManager.storeReplied(1, old, 10));
+        configurationManager.updatePeers(view("suva-2"), 20);
+        List<ConfigurationAction> actions = configurationManager.generationReported("suva-2", 2, 20);
         assertInstanceOf(ConfigurationPull.class, ((ConfigurationAction.Send) actions.get(0)).message());
-        assertEquals(0, configurations.current().generation());
-        configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "a", "b")), 30);
-        assertEquals(2, configurations.current().generation());
+        assertEquals(0, configurationManager.current().generation());
+        configurationManager.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "a", "b")), 30);
+        assertEquals(2, configurationManager.current().generation());
     }
 
     @Test
     void shouldKeepFirstDocumentWhenAnotherHasTheSameGeneration() {
-        configurations.storeReplied(1, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "a"))), 1), 0);
-        configurations.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "b")), 10);
-        configurations.storeReplied(2, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "b"))), 2), 20);
-        assertEquals(Set.of("a"), configurations.current().retiring());
-        assertEquals(1, configurations.digestMismatches());
+        configurationManager.storeReplied(
+                1, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "a"))), 1), 0);
+        configurationManager.receive("suva-2", DocumentDelta.fullPush(TestIntentFiles.document(2, "b")), 10);
+        configurationManager.storeReplied(
+                2, new StoreReply.Found(List.of(entry(TestIntentFiles.document(2, "b"))), 2), 20);
+        assertEquals(Set.of("a"), configurationManager.current().retiring());
+        assertEquals(1, configurationManager.digestMismatches());
     }
 
     @Test
@@ -77,30 +79,30 @@
         ConfigurationManager peer = of("suva-2");
         peer.receive("suva-1", DocumentDelta.fullPush(first), 0);
         peer.tick(5_000);
-        configurations.updatePeers(view("suva-2"), 0);
-        configurations.generationReported("suva-2", 1, 0);
-        configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
+        configurationManager.updatePeers(view("suva-2"), 0);
+        configurationManager.generationReported("suva-2", 1, 0);
+        configurationManager.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
         List<ConfigurationAction> actions =
-                configurations.storeReplied(2, new StoreReply.Found(List.of(entry(second)), 2), 10);
+                configurationManager.storeReplied(2, new StoreReply.Found(List.of(entry(second)), 2), 10);
         ConfigurationPush push =
                 assertInstanceOf(ConfigurationPush.class, ((ConfigurationAction.Send) actions.get(1)).message());
         assertEquals("", push.document());
         assertEquals(Set.of("c"), push.changed().keySet());
         assertEquals(List.of("b"), push.removed());
         peer.receive("suva-1", push, 5_010);
-        assertEquals(configurations.current(), peer.current());
+        assertEquals(configurationManager.current(), peer.current());
     }
 
     @Test
     void shouldPullWhenDeltaHasAnotherBaseDocument() {
         Document first = TestIntentFiles.document(1, "a");
-        configurations.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
-        configurations.updatePeers(view("suva-2"), 0);
+        configurationManager.storeReplied(1, new StoreReply.Found(List.of(entry(first)), 1), 0);
+        configurationManager.updatePeers(view("suva-2"), 0);
         Document other = TestIntentFiles.document(1, "x");
         ConfigurationPush push = DocumentDelta.deltaPush(other, other.next(TestIntentFiles.retiring("x", "y"), "c2"));
-        List<ConfigurationAction> actions = configurations.receive("suva-2", push, 10);
+        List<ConfigurationAction> actions = configurationManager.receive("suva-2", push, 10);
         assertInstanceOf(ConfigurationPull.class, ((ConfigurationAction.Send) actions.get(0)).message());
-        assertEquals(1, configurations.current().generation());
+        assertEquals(1, configurationManager.current().generation());
     }
 
     @Test
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/Fixtures.java
@@ -113,8 +113,8 @@
 
     /** Routes, starts and ends one request, and returns its route. */
     static Route serve(Router router, Request request, AttemptResult result, long durationMillis, long nowMillis) {
-        RoutingDecision routing = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
-        Route route = ((RoutingDecision.Dispatch) routing).route();
+        RoutingDecision decision = router.choose(request, new Eligibility(Set.of("suva"), false, Set.of()), nowMillis);
+        Route route = ((RoutingDecision.Dispatch) decision).route();
         router.recordStart(request, route, nowMillis);
         router.recordEnd(request, route, result, durationMillis, nowMillis + durationMillis);
         router.recordFinish(request, nowMillis + durationMillis);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterPropertiesTest.java
@@ -70,8 +70,8 @@
     void shouldBoundCandidatesWhenThereAreManyTargetsAndRegions() {
         Router router = Fixtures.router(500);
         Request request = Fixtures.request("a", "floor", WorkClass.DRAFT, 60_000, List.of(1L, 2L));
-        RoutingDecision routing = router.choose(request, Fixtures.eligibleAnywhere(Set.of("t1")), 10);
-        assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
+        RoutingDecision decision = router.choose(request, Fixtures.eligibleAnywhere(Set.of("t1")), 10);
+        assertTrue(decision.candidates().size() <= CandidateLog.MAX_CANDIDATES);
     }
 
     private static List<RoutingDecision> decisions(Policy policy, long seed) {
@@ -180,15 +180,15 @@
             Set<String> allowed = random.nextInt(4) == 0 ? Set.of("lautoka") : Fixtures.ANYWHERE;
             boolean mayLeaveRegion = random.nextBoolean();
             router.admit(request, nowMillis);
-            RoutingDecision routing =
+            RoutingDecision decision =
                     router.choose(request, new Eligibility(allowed, mayLeaveRegion, triedPeers), nowMillis);
-            if (routing instanceof RoutingDecision.Dispatch go) {
-                checkRoute(request, go.route(), allowed, mayLeaveRegion, triedPeers);
-                router.recordStart(request, go.route(), nowMillis);
+            if (decision instanceof RoutingDecision.Dispatch dispatch) {
+                checkRoute(request, dispatch.route(), allowed, mayLeaveRegion, triedPeers);
+                router.recordStart(request, dispatch.route(), nowMillis);
                 running.add(request);
             }
-            assertTrue(routing.candidates().size() <= CandidateLog.MAX_CANDIDATES);
-            return routing;
+            assertTrue(decision.candidates().size() <= CandidateLog.MAX_CANDIDATES);
+            return decision;
         }
 
         private void checkRoute(
--- a/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/route/RouterTest.java
@@ -217,7 +217,7 @@
             assertEquals("eligible", dispatch.candidates().get(0).verdict());
         }
 
-        /** A target that asks for a pause has not failed: it gets no requests for that time, and not longer. */
+        /** A target that requests a pause has not failed: it gets no requests for that time, and not longer. */
         @Test
         void shouldPauseTargetWhenItReturnsRetryAfter() {
             Router router = Fixtures.router(2);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -62,7 +62,7 @@
     }
 
     /*
-     * Guards against reporting "not run" to a caller that joined a running call: a key is repeated while its first call
+     * Guards against reporting "not run" to a caller that joined a running call: a key is sent again while its first call
      * runs, and the second caller's deadline passes first. The joined request has no attempt of its own.
      */
     @Test
@@ -107,7 +107,7 @@
 
     /*
      * Guards against losing the answer of a booking that outlasts its caller's deadline. The answer arrives late and
-     * the caller repeats its key; the claimed call must not be cancelled, and its late answer must be stored.
+     * the caller retries with its key; the claimed call must not be cancelled, and its late answer must be stored.
      */
     @Test
     void shouldStoreLateAnswerWhenCallersDeadlineHasPassed() {
@@ -123,7 +123,7 @@
 
     /*
      * Guards against running a booking twice. The host that accepted it is killed after sending it to the target, and
-     * the caller repeats its key at the other host, which must have a copy of the claim.
+     * the caller retries with its key at the other host, which must have a copy of the claim.
      */
     @Test
     void shouldRunBookingOnceWhenHostIsKilledAfterItsClaim() {
@@ -139,7 +139,7 @@
 
     /*
      * Guards against keeping a caller waiting until its deadline for a result that is lost. The store is unavailable,
-     * the host that runs a booking is killed, and the key is repeated at the other host, which holds the claim; the
+     * the host that runs a booking is killed, and the key is sent again to the other host, which holds the claim; the
      * lost host cannot be removed from the view while the store is unavailable.
      */
     @Test
@@ -155,7 +155,7 @@
     }
 
     /*
-     * Guards against running a booking again that is repeated the next day: its claim has been removed after the
+     * Guards against running a booking again that is retried the next day: its claim has been removed after the
      * retention period, and an old key without a timestamp cannot be distinguished from a new one.
      */
     @Test
@@ -169,7 +169,7 @@
 
     /*
      * Guards against running the same booking in Labasa and in Suva. Labasa is partitioned from the other regions and
-     * from the platform; a caller books there and repeats its key in Suva, which must not take over the key because
+     * from the platform; a caller books there and retries with its key in Suva, which must not take over the key because
      * Labasa is unresponsive.
      */
     @Test
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
@@ -67,17 +67,17 @@
         return new UUID(createdAtMillis << 16 | 0x7000L, 0x8000_0000_0000_0000L | number).toString();
     }
 
-    /** Returns a draft request, which is safe to repeat. */
+    /** Returns a draft request, which is safe to retry. */
     static Request draft(Session session, String id, String region) {
         return request(session, id, region, "plank-serve", true, Option.none());
     }
 
-    /** Returns a booking request, which is not safe to repeat. */
+    /** Returns a booking request, which is not safe to retry. */
     static Request booking(Session session, String id, String region, String key) {
         return request(session, id, region, "crew-desk", false, Option.some(key));
     }
 
-    /** Returns the result of an attempt with a whole answer. */
+    /** Returns the result of an attempt with a complete answer. */
     static AttemptResult whole(String body) {
         byte[] bytes = body.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         return new AttemptResult.Completed(Answer.of(200, "application/json", bytes), List.of());
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -124,7 +124,7 @@
 
     /*
      * Guards against reporting "not run" for a request that ran: the answer of the first attempt is lost, the retries
-     * are refused, and the outcome is judged by the last attempt alone.
+     * are rejected, and the outcome is judged by the last attempt alone.
      */
     @Test
     void shouldNotReportNotRunWhenEarlierAttemptMayHaveRun() {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -64,7 +64,7 @@
     }
 
     /*
-     * Guards against a retry storm. Both targets refuse every request; retries must be bounded over all requests, not
+     * Guards against a retry storm. Both targets reject every request; retries must be bounded over all requests, not
      * only per request.
      */
     @Test
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -126,10 +126,10 @@
 
     /** Starts an entry host, and adds it to the platform's host list if it is not listed. */
     Session start(String host, String region, String dataCentre) {
-        Location place = Location.of(region, dataCentre);
+        Location location = Location.of(region, dataCentre);
         listed.removeIf(known -> known.name().equals(host));
-        listed.add(new ListedHost(host, HostRole.ENTRY, place, "127.0.0.1", 1, 1, "", false));
-        NodeIdentity identity = new NodeIdentity(host, nowMillis, place);
+        listed.add(new ListedHost(host, HostRole.ENTRY, location, "127.0.0.1", 1, 1, "", false));
+        NodeIdentity identity = new NodeIdentity(host, nowMillis, location);
         identities.put(host, identity);
         nodes.put(host, Node.of(identity, Policy.COST, host.hashCode()));
         links.put(host, new HashSet<>());
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/Daemon.java
@@ -73,7 +73,7 @@
     private final Targets targets;
     private final Links links;
     private final EtcdStore store;
-    private final HostListPoller hostsPoller;
+    private final HostListPoller hostListPoller;
     private final TargetPoller targetPoller;
     private final CallerServer callerServer;
     private final OperatorServer operatorServer;
@@ -121,7 +121,7 @@
                 settings.watchRenewMillis(),
                 settings.storeCallsPerSecond(),
                 metrics::storeReplied);
-        hostsPoller = HostListPoller.of(
+        hostListPoller = HostListPoller.of(
                 client, settings.hostsUrl(), settings.pollTimeoutMillis(), directory, instrumentation);
         targetPoller = new TargetPoller(resources, directory, settings.region(), settings.pollTimeoutMillis());
         callerServer = new CallerServer(settings.host(), node, calls, instrumentation, clock, callerLimits());
@@ -197,7 +197,7 @@
     private Daemon onPortsOpened(int callersPort, int operatorsPort) {
         addGauges();
         runner.startTicking(settings.tickIntervalMillis());
-        pollRepeatedly(hostsPoller::poll, settings.hostsIntervalMillis());
+        pollRepeatedly(hostListPoller::poll, settings.hostsIntervalMillis());
         pollRepeatedly(targetPoller::pollLoads, settings.loadIntervalMillis());
         pollRepeatedly(targetPoller::pollCaches, settings.cacheIntervalMillis());
         System.out.printf(
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/NodeInstrumentation.java
@@ -25,14 +25,14 @@
     private static final String FORWARD = "forward";
     private static final String NOT_RUN = "not run";
 
-    private final EventSink node;
+    private final EventSink eventSink;
     private final Calls calls;
     private final DaemonMetrics metrics;
     private final RequestTracer tracer;
     private final Map<AttemptKey, RunningAttempt> attempts = new ConcurrentHashMap<>();
 
-    NodeInstrumentation(EventSink node, Calls calls, DaemonMetrics metrics, RequestTracer tracer) {
-        this.node = node;
+    NodeInstrumentation(EventSink eventSink, Calls calls, DaemonMetrics metrics, RequestTracer tracer) {
+        this.eventSink = eventSink;
         this.calls = calls;
         this.metrics = metrics;
         this.tracer = tracer;
@@ -46,7 +46,7 @@
             metrics.requesterLeft();
             tracer.requestEnded(left.requestId(), "asker left", "");
         }
-        node.raise(event);
+        eventSink.raise(event);
     }
 
     @Override
@@ -56,7 +56,7 @@
         } else if (event instanceof Event.PeerRequestReceived received) {
             requestStarted(received.request().id(), "peer");
         }
-        boolean accepted = node.offer(event);
+        boolean accepted = eventSink.offer(event);
         if (!accepted && event instanceof Event.CallerRequestReceived received) {
             tracer.requestEnded(received.request().id(), NOT_RUN, "admit");
         } else if (!accepted && event instanceof Event.PeerRequestReceived received) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/caller/CallerServer.java
@@ -47,7 +47,7 @@
     private final String host;
     private final Node node;
     private final Calls calls;
-    private final EventSink events;
+    private final EventSink eventSink;
     private final MillisClock clock;
     private final CallerLimits limits;
     private final TokenAuthenticator authenticator = new TokenAuthenticator();
@@ -64,15 +64,16 @@
      * @param host this host's name
      * @param node the node
      * @param calls the requests in flight
-     * @param events receives the events that callers cause
+     * @param eventSink receives the events that callers cause
      * @param clock the clock
      * @param limits the limits on connections and requests
      */
-    public CallerServer(String host, Node node, Calls calls, EventSink events, MillisClock clock, CallerLimits limits) {
+    public CallerServer(
+            String host, Node node, Calls calls, EventSink eventSink, MillisClock clock, CallerLimits limits) {
         this.host = host;
         this.node = node;
         this.calls = calls;
-        this.events = events;
+        this.eventSink = eventSink;
         this.clock = clock;
         this.limits = limits;
         connectionLimiter = new ConnectionLimiter(host, limits.maxConnections(), limits.readTimeoutMillis());
@@ -226,7 +227,7 @@
                 .setIdleTimeout(Duration.ofMillis(deadlineMillis - clock.nowMillis() + IDLE_TIMEOUT_GRACE_MILLIS));
         detectDisconnect(context, channel, requestId, requester);
         calls.add(Call.of(parsed.request(), parsed.envelope(), requester));
-        if (!events.offer(new Event.CallerRequestReceived(parsed.request()))) {
+        if (!eventSink.offer(new Event.CallerRequestReceived(parsed.request()))) {
             calls.remove(requestId);
             send(context, CallerResponses.of(requestId, Rejection.busy(host, "event queue is full")));
             return;
@@ -247,7 +248,7 @@
     private void requesterLeft(String requestId, HttpRequester requester) {
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.RequesterLeft(requestId));
+            eventSink.raise(new Event.RequesterLeft(requestId));
             requester.abandon();
         }
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
@@ -108,7 +108,9 @@
         if (message instanceof ForwardChunk && active.containsKey(key)) {
             long eventsDelivered = attempt.get().call().streamEventsDelivered();
             if (eventsDelivered > 0) {
-                resources.events().raise(new Event.StreamProgressed(key.requestId(), key.attempt(), eventsDelivered));
+                resources
+                        .eventSink()
+                        .raise(new Event.StreamProgressed(key.requestId(), key.attempt(), eventsDelivered));
             }
         }
     }
@@ -117,7 +119,7 @@
         Option.of(active.remove(key)).forEach(attempt -> {
             attempt.cancelDeadlineTimer();
             attempt.call().endAttempt(key.attempt());
-            resources.events().raise(new Event.AttemptEnded(key.requestId(), key.attempt(), result));
+            resources.eventSink().raise(new Event.AttemptEnded(key.requestId(), key.attempt(), result));
         });
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Links.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/Links.java
@@ -98,14 +98,14 @@
     @Override
     public void connected(Hello hello) {
         resources
-                .events()
+                .eventSink()
                 .raise(new Event.PeerConnected(hello.host(), hello.incarnation(), hello.region(), hello.dataCentre()));
     }
 
     @Override
     public void disconnected(String host, boolean connectionRefused) {
         forwardedAttempts.linkDisconnected(host);
-        resources.events().raise(new Event.PeerLost(host, connectionRefused));
+        resources.eventSink().raise(new Event.PeerLost(host, connectionRefused));
     }
 
     @Override
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerConnection.java
@@ -47,7 +47,7 @@
 
     private final LinkContext context;
     private final Calls calls;
-    private final EventSink events;
+    private final EventSink eventSink;
     private final AtomicInteger unsentResponses;
     private final LivenessCheck livenessCheck;
     private final Map<String, Long> attemptsInFlight = new ConcurrentHashMap<>();
@@ -64,11 +64,11 @@
     private boolean closing;
     private long requestsAccepted;
 
-    PeerConnection(LinkContext context, Calls calls, EventSink events, AtomicInteger unsentResponses) {
+    PeerConnection(LinkContext context, Calls calls, EventSink eventSink, AtomicInteger unsentResponses) {
         super(context.traffic());
         this.context = context;
         this.calls = calls;
-        this.events = events;
+        this.eventSink = eventSink;
         this.unsentResponses = unsentResponses;
         livenessCheck = new LivenessCheck(
                 context.times().pingIntervalMillis(),
@@ -132,7 +132,7 @@
             // Peer messages may be lost. They are dropped when the event queue is full, so that no peer can exhaust
             // the memory.
             Hello from = remoteHello.get();
-            events.offer(new Event.MessageReceived(from.host(), from.incarnation(), message));
+            eventSink.offer(new Event.MessageReceived(from.host(), from.incarnation(), message));
         }
     }
 
@@ -164,7 +164,7 @@
         }
         attemptsInFlight.put(message.requestId(), message.attempt());
         Event event = new Event.PeerRequestReceived(remoteHello.get().host(), message.attempt(), call.request());
-        if (!events.offer(event)) {
+        if (!eventSink.offer(event)) {
             calls.finish(
                     message.requestId(),
                     new Outcome.NotRun(
@@ -184,7 +184,7 @@
         awaitingResponse.remove(requestId);
         if (calls.find(requestId).isDefined()) {
             calls.remove(requestId);
-            events.raise(new Event.RequesterLeft(requestId));
+            eventSink.raise(new Event.RequesterLeft(requestId));
         }
     }
 
@@ -193,7 +193,7 @@
             attemptsInFlight.remove(end.requestId());
         }
         // A requester that reads too slowly would exhaust this host's memory. Its connection is closed, so that it
-        // learns at once that its requests are lost.
+        // observes at once that its requests are lost.
         if (!channel.isWritable()) {
             channel.close();
             return;
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerServer.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/PeerServer.java
@@ -36,11 +36,11 @@
      * @param loops Ratpack's event loops
      * @param links the links, whose settings the connections share
      * @param calls the table of requests in flight
-     * @param events receives the events of all connections
+     * @param eventSink receives the events of all connections
      * @return the server, or the reason why the port cannot be bound
      */
     public static Try<PeerServer> open(
-            String address, int port, EventLoopGroup loops, Links links, Calls calls, EventSink events) {
+            String address, int port, EventLoopGroup loops, Links links, Calls calls, EventSink eventSink) {
         LinkContext context = links.context();
         AtomicInteger connections = new AtomicInteger();
         AtomicInteger unsent = new AtomicInteger();
@@ -58,7 +58,7 @@
                             child.close();
                             return;
                         }
-                        PeerConnection connection = new PeerConnection(context, calls, events, unsent);
+                        PeerConnection connection = new PeerConnection(context, calls, eventSink, unsent);
                         open.add(connection);
                         child.closeFuture().addListener(done -> open.remove(connection));
                         connection.addTo(child.pipeline(), context.sizes().maxFrameBytes());
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListPoller.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListPoller.java
@@ -22,16 +22,16 @@
     private final URI uri;
     private final long timeoutMillis;
     private final Directory directory;
-    private final EventSink events;
+    private final EventSink eventSink;
     private final AtomicBoolean pollInFlight = new AtomicBoolean();
     private volatile boolean lastPollFailed;
 
-    private HostListPoller(WebClient client, URI uri, long timeoutMillis, Directory directory, EventSink events) {
+    private HostListPoller(WebClient client, URI uri, long timeoutMillis, Directory directory, EventSink eventSink) {
         this.client = client;
         this.uri = uri;
         this.timeoutMillis = timeoutMillis;
         this.directory = directory;
-        this.events = events;
+        this.eventSink = eventSink;
     }
 
     /**
@@ -41,25 +41,25 @@
      * @param baseUrl the base URL of the platform
      * @param timeoutMillis timeout of one poll
      * @param directory the directory, which is updated first
-     * @param events receives the event with the list afterwards
+     * @param eventSink receives the event with the list afterwards
      * @return the poller
      */
     public static HostListPoller of(
-            WebClient client, String baseUrl, long timeoutMillis, Directory directory, EventSink events) {
-        return new HostListPoller(client, URI.create(baseUrl + "/hosts"), timeoutMillis, directory, events);
+            WebClient client, String baseUrl, long timeoutMillis, Directory directory, EventSink eventSink) {
+        return new HostListPoller(client, URI.create(baseUrl + "/hosts"), timeoutMillis, directory, eventSink);
     }
 
     /** Requests the host list once, unless a poll is in flight. */
     public void poll() {
         if (pollInFlight.compareAndSet(false, true)) {
             client.send(WebRequest.get(uri, timeoutMillis))
-                    .whenComplete((reply, error) -> pollInFlight.set(false))
+                    .whenComplete((result, error) -> pollInFlight.set(false))
                     .thenAccept(this::handleReply);
         }
     }
 
-    private void handleReply(WebResult reply) {
-        boolean valid = reply.successBody()
+    private void handleReply(WebResult result) {
+        boolean valid = result.successBody()
                 .flatMap(body -> HostListJson.read(body).toOption())
                 .peek(this::publish)
                 .isDefined();
@@ -71,6 +71,6 @@
 
     private void publish(HostList list) {
         directory.update(list);
-        events.raise(new Event.HostsListed(list));
+        eventSink.raise(new Event.HostsListed(list));
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/IoResources.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/IoResources.java
@@ -12,16 +12,20 @@
  * @param loops the event loops of Ratpack
  * @param webClient sends short requests
  * @param exchangeClient sends requests whose responses are processed incrementally
- * @param events receives the events of the components
+ * @param eventSink receives the events of the components
  * @param clock the clock
  */
 public record IoResources(
-        EventLoopGroup loops, WebClient webClient, ExchangeClient exchangeClient, EventSink events, MillisClock clock) {
+        EventLoopGroup loops,
+        WebClient webClient,
+        ExchangeClient exchangeClient,
+        EventSink eventSink,
+        MillisClock clock) {
     public IoResources {
         Objects.requireNonNull(loops, "loops");
         Objects.requireNonNull(webClient, "webClient");
         Objects.requireNonNull(exchangeClient, "exchangeClient");
-        Objects.requireNonNull(events, "events");
+        Objects.requireNonNull(eventSink, "events");
         Objects.requireNonNull(clock, "clock");
     }
 }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
@@ -71,7 +71,10 @@
             watch(call.owner(), watch);
         } else {
             WebRequest post = WebRequest.post(uriOf(call.command()), EtcdJson.bodyOf(call.command()), timeoutMillis);
-            resources.webClient().send(post).thenAccept(reply -> raiseReply(call, replyOf(call.command(), reply)));
+            resources
+                    .webClient()
+                    .send(post)
+                    .thenAccept(webResult -> raiseReply(call, replyOf(call.command(), webResult)));
         }
     }
 
@@ -92,14 +95,14 @@
 
     private void raiseReply(Action.CallStore call, StoreReply reply) {
         replyCounter.accept(reply);
-        resources.events().raise(new Event.StoreReplied(call.owner(), call.callId(), reply));
+        resources.eventSink().raise(new Event.StoreReplied(call.owner(), call.callId(), reply));
     }
 
     private void watch(StoreOwner owner, StoreCommand.Watch watch) {
         WatchKey key = new WatchKey(owner, watch.prefix());
         EtcdWatch newWatch = new EtcdWatch(
                 (entries, revision) ->
-                        resources.events().raise(new Event.StoreChanged(owner, watch.prefix(), entries, revision)),
+                        resources.eventSink().raise(new Event.StoreChanged(owner, watch.prefix(), entries, revision)),
                 endedWatch -> {
                     if (watches.remove(key, endedWatch)) {
                         raiseBroken(owner, watch.prefix());
@@ -123,7 +126,7 @@
                 .loops()
                 .next()
                 .schedule(
-                        () -> resources.events().raise(new Event.WatchBroken(owner, prefix)),
+                        () -> resources.eventSink().raise(new Event.WatchBroken(owner, prefix)),
                         WATCH_RETRY_DELAY_MILLIS,
                         TimeUnit.MILLISECONDS);
     }
@@ -132,13 +135,13 @@
         return URI.create(baseUri + EtcdJson.pathOf(command));
     }
 
-    private static StoreReply replyOf(StoreCommand command, WebResult reply) {
-        if (reply instanceof WebResult.NotSent notSent) {
+    private static StoreReply replyOf(StoreCommand command, WebResult webResult) {
+        if (webResult instanceof WebResult.NotSent notSent) {
             return new StoreReply.Unavailable(notSent.reason());
-        } else if (reply instanceof WebResult.Lost lost) {
+        } else if (webResult instanceof WebResult.Lost lost) {
             return replyWithoutResponse(command, lost.reason());
         }
-        WebResult.Response answered = (WebResult.Response) reply;
+        WebResult.Response answered = (WebResult.Response) webResult;
         if (!answered.isSuccess()) {
             return replyWithoutResponse(command, "the store responded with status " + answered.status());
         }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdWatch.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdWatch.java
@@ -23,7 +23,7 @@
 /**
  * A watch: a stream of JSON lines that lasts as long as the connection.
  *
- * <p>A watch receives nothing while nothing changes, so one whose connection is unresponsive cannot be told from a
+ * <p>A watch receives nothing while nothing changes, so one whose connection is unresponsive cannot be distinguished from a
  * healthy one; symptom: a host misses a change permanently. Each watch therefore ends after a fixed time, and its owner
  * reads the keys again.
  *
@@ -46,8 +46,8 @@
         this.onBroken = onBroken;
     }
 
-    void start(ExchangeClient exchanges, EventLoop loop, URI baseUri, byte[] body, long renewMillis) {
-        ExchangeRequest call = new ExchangeRequest(
+    void start(ExchangeClient exchangeClient, EventLoop loop, URI baseUri, byte[] body, long renewMillis) {
+        ExchangeRequest request = new ExchangeRequest(
                 baseUri.getHost(),
                 baseUri.getPort(),
                 "POST",
@@ -56,7 +56,7 @@
                 body);
         loop.execute(() -> {
             if (!closed) {
-                exchange = Option.some(exchanges.start(loop, call, this));
+                exchange = Option.some(exchangeClient.start(loop, request, this));
                 renewalTimer = Option.some(loop.schedule(this::end, renewMillis, TimeUnit.MILLISECONDS));
             }
         });
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
@@ -81,12 +81,12 @@
     }
 
     /** Starts the attempt, which ends as lost after the given timeout; may be called on any thread. */
-    void start(ExchangeClient exchanges, long timeoutMillis) {
+    void start(ExchangeClient exchangeClient, long timeoutMillis) {
         loop.execute(() -> {
             if (finished) {
                 return;
             }
-            exchange = Option.some(exchanges.start(loop, targetCall.exchange(), this));
+            exchange = Option.some(exchangeClient.start(loop, targetCall.exchange(), this));
             deadlineTimer = Option.some(loop.schedule(this::expire, timeoutMillis, TimeUnit.MILLISECONDS));
             scheduleOverdueCheck();
         });
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Schedules the check of the connection, anew after each received part of the response. */
+    /** Schedules the check of the connection, again after each received chunk of the response. */
     private void scheduleOverdueCheck() {
         overdueTimer.forEach(timer -> timer.cancel(false));
         if (finished) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetPoller.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetPoller.java
@@ -57,7 +57,7 @@
         for (ListedHost target : directory.targetsInRegion(region)) {
             if (loadPollsInFlight.add(target.name())) {
                 poll(target, "/load", loadPollsInFlight)
-                        .thenAccept(reply -> resources.events().raise(loadEvent(target, reply)));
+                        .thenAccept(result -> resources.eventSink().raise(loadEvent(target, result)));
             }
         }
     }
@@ -68,7 +68,7 @@
             if (cachePollsInFlight.add(target.name())) {
                 long lastSequence = lastCacheSequences.getOrDefault(target.name(), 0L);
                 poll(target, "/cache-events?after=" + lastSequence, cachePollsInFlight)
-                        .thenAccept(reply -> reply.successBody().forEach(body -> takeCacheEvents(target, body)));
+                        .thenAccept(result -> result.successBody().forEach(body -> takeCacheEvents(target, body)));
             }
         }
     }
@@ -77,11 +77,11 @@
         return resources
                 .webClient()
                 .send(WebRequest.get(uriOf(target, path), timeoutMillis))
-                .whenComplete((reply, error) -> inFlight.remove(target.name()));
+                .whenComplete((result, error) -> inFlight.remove(target.name()));
     }
 
-    private Event loadEvent(ListedHost target, WebResult reply) {
-        return reply.successBody()
+    private Event loadEvent(ListedHost target, WebResult result) {
+        return result.successBody()
                 .flatMap(body -> Try.of(() -> JSON.readTree(body)).toOption())
                 .<Event>map(json -> new Event.LoadReported(loadOf(target, json)))
                 .getOrElse(() -> new Event.LoadMissed(target.name()));
@@ -111,7 +111,7 @@
         Option<CacheEvent> newest = io.vavr.collection.List.ofAll(changes).maxBy(CacheEvent::sequence);
         newest.forEach(event -> lastCacheSequences.merge(target.name(), event.sequence(), Math::max));
         if (!changes.isEmpty()) {
-            resources.events().raise(new Event.CacheReported(changes));
+            resources.eventSink().raise(new Event.CacheReported(changes));
         }
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
@@ -84,7 +84,7 @@
                 .map(host -> resources
                         .webClient()
                         .send(WebRequest.get(uriOf(host, "/load"), controlTimeoutMillis))
-                        .thenApply(reply -> reply instanceof WebResult.Response))
+                        .thenApply(webResult -> webResult instanceof WebResult.Response))
                 .getOrElse(() -> CompletableFuture.completedFuture(false));
     }
 
@@ -105,7 +105,7 @@
     public void sendOrder(Action.OrderTarget order) {
         Option<ListedHost> target = directory.find(order.target());
         if (target.isEmpty()) {
-            resources.events().raise(new Event.OrderAnswered(order.orderId(), OrderResult.REFUSED));
+            resources.eventSink().raise(new Event.OrderAnswered(order.orderId(), OrderResult.REFUSED));
             return;
         }
         byte[] body = JSON.createObjectNode()
@@ -117,9 +117,9 @@
                 .getBytes(StandardCharsets.UTF_8);
         WebRequest call = WebRequest.post(uriOf(target.get(), "/orders"), body, controlTimeoutMillis)
                 .withHeader(TargetCall.REQUEST_ID, "order-" + order.orderId());
-        resources.webClient().send(call).thenAccept(reply -> resources
-                .events()
-                .raise(new Event.OrderAnswered(order.orderId(), resultOf(reply))));
+        resources.webClient().send(call).thenAccept(webResult -> resources
+                .eventSink()
+                .raise(new Event.OrderAnswered(order.orderId(), resultOf(webResult))));
     }
 
     private void begin(Call call, Action.StartAttempt start, ListedHost target, String traceParent) {
@@ -133,7 +133,7 @@
                     @Override
                     public void progressed(long eventsDelivered) {
                         resources
-                                .events()
+                                .eventSink()
                                 .raise(new Event.StreamProgressed(key.requestId(), key.attempt(), eventsDelivered));
                     }
 
@@ -150,7 +150,7 @@
     }
 
     private void ended(AttemptKey key, AttemptResult result) {
-        resources.events().raise(new Event.AttemptEnded(key.requestId(), key.attempt(), result));
+        resources.eventSink().raise(new Event.AttemptEnded(key.requestId(), key.attempt(), result));
     }
 
     /** Cancels the stream at the engine, best effort: if the call is lost, the engine only wastes work. */
@@ -167,13 +167,13 @@
         return URI.create("http://" + host.address() + ":" + host.port() + path);
     }
 
-    private static OrderResult resultOf(WebResult reply) {
-        if (reply instanceof WebResult.Response answered) {
+    private static OrderResult resultOf(WebResult webResult) {
+        if (webResult instanceof WebResult.Response answered) {
             if (answered.isSuccess()) {
                 return OrderResult.TAKEN;
             }
             return answered.status() == CONFLICT ? OrderResult.FENCED : OrderResult.REFUSED;
         }
-        return reply instanceof WebResult.NotSent ? OrderResult.REFUSED : OrderResult.UNSURE;
+        return webResult instanceof WebResult.NotSent ? OrderResult.REFUSED : OrderResult.UNSURE;
     }
 }
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestFixtures.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/TestFixtures.java
@@ -31,12 +31,12 @@
 
     private TestFixtures() {}
 
-    public static IoResources resources(DefaultExecController controller, EventSink events) {
+    public static IoResources resources(DefaultExecController controller, EventSink eventSink) {
         return new IoResources(
                 controller.getEventLoopGroup(),
                 WebClient.of(controller, CONNECT_TIMEOUT_MILLIS, MAX_RESPONSE_BYTES, bytes -> {}, bytes -> {}),
                 ExchangeClient.of(CONNECT_TIMEOUT_MILLIS),
-                events,
+                eventSink,
                 MillisClock.ofWallClock());
     }
 
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/caller/CallerServerTest.java
@@ -50,7 +50,7 @@
     private static final int MAX_BODY_BYTES = 2_048;
     private static final long RESPONSE_TIMEOUT_SECONDS = 20;
 
-    private final RecordingEventSink events = new RecordingEventSink();
+    private final RecordingEventSink eventSink = new RecordingEventSink();
     private final Calls calls = Calls.of(2);
     private final MillisClock clock = MillisClock.ofWallClock();
     private final Node node = Node.of(new NodeIdentity("suva-1", 1, TestFixtures.SUVA), Policy.COST, 1);
@@ -76,7 +76,7 @@
     @Test
     void shouldSendResponseWithPathWhenAnswered() throws Exception {
         try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", false))) {
-            Request request = events.next(Event.CallerRequestReceived.class).request();
+            Request request = eventSink.next(Event.CallerRequestReceived.class).request();
             assertEquals("floor", request.account());
             Call call = calls.find(request.id()).get();
             assertTrue(new String(call.envelope().body(), StandardCharsets.UTF_8).contains("\"priority\":5"));
@@ -95,7 +95,7 @@
     void shouldSendReasonAndRetryAfterWhenNotRun() throws Exception {
         try (Socket caller =
                 sendRequest("POST", "/services/crew-desk/book?x=1", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
-            Request request = events.next(Event.CallerRequestReceived.class).request();
+            Request request = eventSink.next(Event.CallerRequestReceived.class).request();
             assertFalse(request.repeatable());
             assertEquals("/book?x=1", calls.find(request.id()).get().envelope().path());
             Failure failure = Failure.of(Step.ROUTE, "crew-desk", "no target can take it");
@@ -113,7 +113,7 @@
                 new ListedHost("suva-2", HostRole.ENTRY, TestFixtures.SUVA, "127.0.0.1", 8_080, 9_090, "", false);
         node.handle(new Event.HostsListed(new HostList(1, List.of(other))), clock.nowMillis());
         try (Socket caller = sendRequest("POST", "/services/crew-desk/book", TOKEN + "Idempotency-Key: k\r\n", "{}")) {
-            Request request = events.next(Event.CallerRequestReceived.class).request();
+            Request request = eventSink.next(Event.CallerRequestReceived.class).request();
             Failure failure = Failure.of(Step.ADMIT, "suva-1", "this host is leaving");
             calls.finish(request.id(), new Outcome.NotRun(failure, 1_000));
             assertEquals("127.0.0.1:8080", RawServer.header(readUntil(caller, "}}"), "Rattanplank-Entry-Hosts"));
@@ -136,7 +136,7 @@
         assertEquals(413, status("POST", "/v1/chat/completions", TOKEN, "x".repeat(MAX_BODY_BYTES + 1)));
         assertEquals(431, status("GET", "/healthz", "X-Long: " + "x".repeat(9_000) + "\r\n", ""));
         assertEquals(200, status("GET", "/healthz", "", ""));
-        assertEquals(0, events.count(Event.CallerRequestReceived.class));
+        assertEquals(0, eventSink.count(Event.CallerRequestReceived.class));
     }
 
     /*
@@ -147,7 +147,7 @@
     void shouldAbortStreamVisiblyWhenOutcomeIsUnknown() throws Exception {
         try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", true))) {
             String requestId =
-                    events.next(Event.CallerRequestReceived.class).request().id();
+                    eventSink.next(Event.CallerRequestReceived.class).request().id();
             Call call = calls.find(requestId).get();
             call.beginAttempt(1, false, "x");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(StandardCharsets.UTF_8), List.of("t1"));
@@ -163,7 +163,7 @@
     void shouldEndStreamWithDoneEventWhenAnswered() throws Exception {
         try (Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", true))) {
             String requestId =
-                    events.next(Event.CallerRequestReceived.class).request().id();
+                    eventSink.next(Event.CallerRequestReceived.class).request().id();
             calls.find(requestId).get().beginAttempt(1, false, "x");
             calls.find(requestId)
                     .get()
@@ -183,9 +183,9 @@
     void shouldRaiseRequesterLeftWhenCallerDisconnects() throws Exception {
         Socket caller = sendRequest("POST", "/v1/chat/completions", TOKEN, chatBody("plank-serve", false));
         String requestId =
-                events.next(Event.CallerRequestReceived.class).request().id();
+                eventSink.next(Event.CallerRequestReceived.class).request().id();
         caller.close();
-        assertEquals(new Event.RequesterLeft(requestId), events.next(Event.RequesterLeft.class));
+        assertEquals(new Event.RequesterLeft(requestId), eventSink.next(Event.RequesterLeft.class));
         assertEquals(0, calls.size());
         awaitNoUnsentResponse();
     }
@@ -224,7 +224,7 @@
     private void openServer(long readTimeoutMillis, int maxConnections) {
         CallerLimits limits = new CallerLimits(
                 MAX_BODY_BYTES, 8_192, maxConnections, 65_536, 60_000, readTimeoutMillis, 30_000, 60_000);
-        server = new CallerServer("suva-1", node, calls, events, clock, limits);
+        server = new CallerServer("suva-1", node, calls, eventSink, clock, limits);
         port = server.open("127.0.0.1", 0, 2).get();
     }
 
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/peer/LinksTest.java
@@ -40,8 +40,8 @@
 
     private final DefaultExecController controller = new DefaultExecController(2);
     private final DefaultExecController otherController = new DefaultExecController(1);
-    private final RecordingEventSink events = new RecordingEventSink();
-    private final RecordingEventSink otherEvents = new RecordingEventSink();
+    private final RecordingEventSink eventSink = new RecordingEventSink();
+    private final RecordingEventSink otherEventSink = new RecordingEventSink();
     private final Calls otherCalls = Calls.of(10);
     private final RecordingRequester requester = new RecordingRequester();
 
@@ -55,26 +55,26 @@
     void shouldDeliverMessagesAndResponsesWhenLinkIsEstablished() {
         withPeer(30_000, (links, peer) -> {
             links.send("labasa-1", heartbeat());
-            Event.PeerConnected connected = events.next(Event.PeerConnected.class);
+            Event.PeerConnected connected = eventSink.next(Event.PeerConnected.class);
             assertEquals("labasa-1", connected.host());
             assertInstanceOf(
                     Heartbeat.class,
-                    otherEvents.next(Event.MessageReceived.class).message());
+                    otherEventSink.next(Event.MessageReceived.class).message());
 
             forward(links, "r1");
-            Event.PeerRequestReceived received = otherEvents.next(Event.PeerRequestReceived.class);
+            Event.PeerRequestReceived received = otherEventSink.next(Event.PeerRequestReceived.class);
             assertEquals(List.of("suva-1"), received.request().passedHosts());
             Call call = otherCalls.find("r1").get();
             call.beginAttempt(1, false, "r1.1.1");
             call.relay(1, 0, "id: 0\ndata: p\n\n".getBytes(), List.of("t1"));
             otherCalls.finish(
                     "r1", new Outcome.Answered(Answer.ofStream(200, "text/event-stream"), List.of("labasa-1", "t1")));
-            AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, nextResult());
-            assertEquals(List.of("t1"), whole.path());
+            AttemptResult.Completed completed = assertInstanceOf(AttemptResult.Completed.class, nextResult());
+            assertEquals(List.of("t1"), completed.path());
             assertEquals(List.of("id: 0\ndata: p\n\n"), requester.streamEvents());
 
             forward(links, "r2");
-            otherEvents.next(Event.PeerRequestReceived.class);
+            otherEventSink.next(Event.PeerRequestReceived.class);
             byte[] large = new byte[600_000];
             otherCalls.finish(
                     "r2", new Outcome.Answered(Answer.of(200, "application/json", large), List.of("labasa-1", "t1")));
@@ -82,7 +82,7 @@
             assertArrayEquals(large, unary.answer().body());
 
             forward(links, "r3");
-            otherEvents.next(Event.PeerRequestReceived.class);
+            otherEventSink.next(Event.PeerRequestReceived.class);
             otherCalls.finish("r3", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             assertEquals(new AttemptResult.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700), nextResult());
         });
@@ -99,10 +99,10 @@
             connection.writeFrame(hello);
             connection.awaitClose();
         })) {
-            Links links = links(TestFixtures.directory("labasa-1", unresponsive.port()), events, 300);
+            Links links = links(TestFixtures.directory("labasa-1", unresponsive.port()), eventSink, 300);
             forward(links, "r1");
             assertInstanceOf(AttemptResult.Lost.class, nextResult());
-            Event.PeerLost lost = events.next(Event.PeerLost.class);
+            Event.PeerLost lost = eventSink.next(Event.PeerLost.class);
             assertEquals(new Event.PeerLost("labasa-1", false), lost);
             links.close();
         }
@@ -115,21 +115,21 @@
      */
     @Test
     void shouldReportNotRunAndWhetherRefusedWhenLinkCannotBeEstablished() throws Exception {
-        Links refused = links(TestFixtures.directory("labasa-1", RawServer.freePort()), events, 30_000);
+        Links refused = links(TestFixtures.directory("labasa-1", RawServer.freePort()), eventSink, 30_000);
         forward(refused, "r1");
         assertInstanceOf(AttemptResult.NotRun.class, nextResult());
-        assertEquals(new Event.PeerLost("labasa-1", true), events.next(Event.PeerLost.class));
+        assertEquals(new Event.PeerLost("labasa-1", true), eventSink.next(Event.PeerLost.class));
 
         byte[] otherHello = FrameCodec.encode(new Hello("suva-9", 1, "suva", "suva-hall", 1));
         try (RawServer other = RawServer.of(connection -> {
             connection.writeFrame(otherHello);
             connection.awaitClose();
         })) {
-            Links links = links(TestFixtures.directory("labasa-1", other.port()), events, 30_000);
+            Links links = links(TestFixtures.directory("labasa-1", other.port()), eventSink, 30_000);
             forward(links, "r2");
             assertInstanceOf(AttemptResult.NotRun.class, nextResult());
-            assertEquals(new Event.PeerLost("labasa-1", false), events.next(Event.PeerLost.class));
-            assertEquals(0, events.count(Event.PeerConnected.class));
+            assertEquals(new Event.PeerLost("labasa-1", false), eventSink.next(Event.PeerLost.class));
+            assertEquals(0, eventSink.count(Event.PeerConnected.class));
         }
     }
 
@@ -141,13 +141,13 @@
     void shouldRaiseRequesterLeftWhenForwardIsCancelledOrLinkIsDisconnected() {
         withPeer(30_000, (links, peer) -> {
             forward(links, "r1");
-            otherEvents.next(Event.PeerRequestReceived.class);
+            otherEventSink.next(Event.PeerRequestReceived.class);
             links.forwardedAttempts().cancel("r1", 1);
-            assertEquals(new Event.RequesterLeft("r1"), otherEvents.next(Event.RequesterLeft.class));
+            assertEquals(new Event.RequesterLeft("r1"), otherEventSink.next(Event.RequesterLeft.class));
             forward(links, "r2");
-            otherEvents.next(Event.PeerRequestReceived.class);
+            otherEventSink.next(Event.PeerRequestReceived.class);
             links.close();
-            assertEquals(new Event.RequesterLeft("r2"), otherEvents.next(Event.RequesterLeft.class));
+            assertEquals(new Event.RequesterLeft("r2"), otherEventSink.next(Event.RequesterLeft.class));
             assertInstanceOf(AttemptResult.Lost.class, nextResult());
             assertEquals(0, otherCalls.size());
         });
@@ -160,11 +160,11 @@
     }
 
     private void withPeer(long pingTimeoutMillis, Scenario scenario) {
-        Links otherLinks = links(Directory.empty(), otherEvents, pingTimeoutMillis, "labasa-1");
+        Links otherLinks = links(Directory.empty(), otherEventSink, pingTimeoutMillis, "labasa-1");
         PeerServer peer = PeerServer.open(
-                        "127.0.0.1", 0, otherController.getEventLoopGroup(), otherLinks, otherCalls, otherEvents)
+                        "127.0.0.1", 0, otherController.getEventLoopGroup(), otherLinks, otherCalls, otherEventSink)
                 .get();
-        Links links = links(TestFixtures.directory("labasa-1", peer.port()), events, pingTimeoutMillis);
+        Links links = links(TestFixtures.directory("labasa-1", peer.port()), eventSink, pingTimeoutMillis);
         try (peer) {
             scenario.run(links, peer);
         } catch (InterruptedException e) {
@@ -182,7 +182,7 @@
     void shouldAcceptUnreadRequestWhenOtherHostClosesIdleConnections() {
         withPeer(30_000, (links, peer) -> {
             forward(links, "r1");
-            otherEvents.next(Event.PeerRequestReceived.class);
+            otherEventSink.next(Event.PeerRequestReceived.class);
             otherCalls.finish("r1", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             nextResult();
             CountDownLatch resume = pauseOtherHost();
@@ -194,7 +194,10 @@
 
             assertEquals(
                     "r2",
-                    otherEvents.next(Event.PeerRequestReceived.class).request().id());
+                    otherEventSink
+                            .next(Event.PeerRequestReceived.class)
+                            .request()
+                            .id());
             otherCalls.finish("r2", new Outcome.NotRun(Failure.of(Step.ROUTE, "any", "full"), 700));
             assertInstanceOf(AttemptResult.NotRun.class, nextResult());
             while (!peer.closeIdleConnections()) {
@@ -235,7 +238,7 @@
     }
 
     private AttemptResult nextResult() throws InterruptedException {
-        return events.next(Event.AttemptEnded.class).result();
+        return eventSink.next(Event.AttemptEnded.class).result();
     }
 
     private Links links(Directory directory, RecordingEventSink recorder, long pingTimeoutMillis) {
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/store/EtcdStoreTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/store/EtcdStoreTest.java
@@ -29,7 +29,7 @@
             "{\"key\": \"%s\", \"value\": \"%s\", \"mod_revision\": \"7\"}".formatted(base64("k"), base64("old"));
 
     private final DefaultExecController controller = new DefaultExecController(2);
-    private final RecordingEventSink events = new RecordingEventSink();
+    private final RecordingEventSink eventSink = new RecordingEventSink();
 
     @AfterEach
     void close() {
@@ -89,21 +89,21 @@
         })) {
             EtcdStore client = store(store.port(), 5_000, 100);
             client.call(new Action.CallStore(StoreOwner.CLAIM, 1, new StoreCommand.Watch("k", 6)));
-            Event.StoreChanged change = events.next(Event.StoreChanged.class);
+            Event.StoreChanged change = eventSink.next(Event.StoreChanged.class);
             assertEquals(List.of(new StoreEntry("k", "old", 7)), change.entries());
             assertEquals(7, change.revision());
-            assertEquals(new Event.WatchBroken(StoreOwner.CLAIM, "k"), events.next(Event.WatchBroken.class));
+            assertEquals(new Event.WatchBroken(StoreOwner.CLAIM, "k"), eventSink.next(Event.WatchBroken.class));
         }
     }
 
     private StoreReply reply(EtcdStore client, StoreCommand command) throws InterruptedException {
         client.call(new Action.CallStore(StoreOwner.CLAIM, 1, command));
-        return events.next(Event.StoreReplied.class).reply();
+        return eventSink.next(Event.StoreReplied.class).reply();
     }
 
     private EtcdStore store(int port, long timeoutMillis, long callsPerSecond) {
         return new EtcdStore(
-                TestFixtures.resources(controller, events),
+                TestFixtures.resources(controller, eventSink),
                 URI.create("http://127.0.0.1:" + port),
                 timeoutMillis,
                 60_000,
--- a/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
+++ b/rattanplank-daemon/src/test/java/org/rattanplank/daemon/target/TargetsTest.java
@@ -27,7 +27,7 @@
     private static final String LAST_CHUNK = "0\r\n\r\n";
 
     private final DefaultExecController controller = new DefaultExecController(2);
-    private final RecordingEventSink events = new RecordingEventSink();
+    private final RecordingEventSink eventSink = new RecordingEventSink();
     private final RecordingRequester requester = new RecordingRequester();
 
     @AfterEach
@@ -38,8 +38,9 @@
     @Test
     void shouldReturnCompleteResponseWhenLengthAndIdentifierMatch() throws Exception {
         try (RawServer target = RawServer.of(respond(OK + "Content-Length: 4\r\n\r\nbook"))) {
-            AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, run(target, "/book", 0));
-            assertArrayEquals("book".getBytes(), whole.answer().body());
+            AttemptResult.Completed completed =
+                    assertInstanceOf(AttemptResult.Completed.class, run(target, "/book", 0));
+            assertArrayEquals("book".getBytes(), completed.answer().body());
             assertTrue(target.nextRequest().startsWith("POST /book HTTP/1.1"));
         }
     }
@@ -86,15 +87,15 @@
             Targets targets = targets(target.port(), 60_000);
             for (int attempt = 1; attempt <= 2; attempt++) {
                 start(targets, TestFixtures.call("r1", "/book", requester), attempt, 0);
-                AttemptResult.Completed whole = assertInstanceOf(AttemptResult.Completed.class, nextResult());
-                assertArrayEquals("a".getBytes(), whole.answer().body());
+                AttemptResult.Completed completed = assertInstanceOf(AttemptResult.Completed.class, nextResult());
+                assertArrayEquals("a".getBytes(), completed.answer().body());
             }
-            assertEquals(2, events.count(Event.AttemptEnded.class));
+            assertEquals(2, eventSink.count(Event.AttemptEnded.class));
         }
     }
 
     /*
-     * Guards against a stream that ends early but looks complete, or that repeats text after a reconnect: the
+     * Guards against a stream that ends early but looks complete, or that contains text twice after a reconnect: the
      * connection ends after two events, the stream is resumed, and the engine sends one event again. Happens when
      * events carry no number or the number is not checked.
      */
@@ -143,9 +144,9 @@
         start(unreachable, TestFixtures.call("r1", "/book", requester), 1, 0);
         AttemptResult.NotRun notConnected = assertInstanceOf(AttemptResult.NotRun.class, nextResult());
         assertEquals(Step.CONNECT, notConnected.failure().step());
-        String refusal = "HTTP/1.1 503 Busy\r\nX-Request-Id: r1.1\r\nX-Not-Run: true\r\nRetry-After: 2\r\n"
+        String rejection = "HTTP/1.1 503 Busy\r\nX-Request-Id: r1.1\r\nX-Not-Run: true\r\nRetry-After: 2\r\n"
                 + "Content-Length: 0\r\n\r\n";
-        try (RawServer target = RawServer.of(respond(refusal), RawServer.Connection::request)) {
+        try (RawServer target = RawServer.of(respond(rejection), RawServer.Connection::request)) {
             AttemptResult.NotRun refused = assertInstanceOf(AttemptResult.NotRun.class, run(target, "/book", 0));
             assertEquals(2_000, refused.retryAfterMillis());
             assertLost(run(target, "/book", 0), 0);
@@ -189,12 +190,12 @@
                 respond("HTTP/1.1 204 None\r\n\r\n"))) {
             Targets targets = targets(target.port(), 60_000);
             start(targets, TestFixtures.call("r1", TestFixtures.CHAT, requester), 1, 0);
-            events.next(Event.StreamProgressed.class);
+            eventSink.next(Event.StreamProgressed.class);
             targets.cancel("r1", 1);
             target.nextRequest();
             assertTrue(target.nextRequest().startsWith("DELETE /v1/streams/r1.1 "));
             assertEquals(0, targets.size());
-            assertEquals(0, events.count(Event.AttemptEnded.class));
+            assertEquals(0, eventSink.count(Event.AttemptEnded.class));
         }
     }
 
@@ -204,14 +205,14 @@
     }
 
     private AttemptResult nextResult() throws InterruptedException {
-        return events.next(Event.AttemptEnded.class).result();
+        return eventSink.next(Event.AttemptEnded.class).result();
     }
 
     private Targets targets(int port, long overdueMillis) {
         AttemptLimits limits =
                 new AttemptLimits(65_536, 65_536, new OverdueTimes(overdueMillis, overdueMillis, overdueMillis));
         return new Targets(
-                TestFixtures.resources(controller, events), TestFixtures.directory("t1", port), limits, 10_000);
+                TestFixtures.resources(controller, eventSink), TestFixtures.directory("t1", port), limits, 10_000);
     }
 
     private static void start(Targets targets, Call call, int attempt, long resumeAtEvent) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
@@ -19,7 +19,7 @@
 import org.rattanplank.gateway.store.StoreItem;
 import org.rattanplank.gateway.store.StoreReadKind;
 
-/** Applies facts read from the store to this host's cluster state and logs each change. Confined to the event loop. */
+/** Applies events read from the store to this host's cluster state and logs each change. Confined to the event loop. */
 final class ClusterStateUpdater implements FeedListener {
     /** Each key and reason is logged once; they take 100 KB of memory at most. */
     private static final int MAX_REPORTED_UNREADABLE = 1_000;
@@ -39,31 +39,31 @@
     }
 
     @Override
-    public void itemChanged(StoreItem item, ClusterEvent fact) {
-        if (fact instanceof ClusterEvent.ConfigurationChanged configured) {
+    public void itemChanged(StoreItem item, ClusterEvent event) {
+        if (event instanceof ClusterEvent.ConfigurationChanged configured) {
             applyConfiguration(configured.configuration());
-        } else if (fact instanceof ClusterEvent.IntentsChanged applied) {
+        } else if (event instanceof ClusterEvent.IntentsChanged applied) {
             applyIntents(applied.document());
-        } else if (fact instanceof ClusterEvent.TargetRegistered entered) {
-            applyTargetEntry(entered.entry());
-        } else if (fact instanceof ClusterEvent.TargetRemoved removed) {
+        } else if (event instanceof ClusterEvent.TargetRegistered registered) {
+            applyTargetEntry(registered.entry());
+        } else if (event instanceof ClusterEvent.TargetRemoved removed) {
             state.pool().remove(removed.id(), state.nowMillis());
             logTargetGone(removed.id(), "its entry was removed");
-        } else if (fact instanceof ClusterEvent.EvacuationChanged evacuation) {
+        } else if (event instanceof ClusterEvent.EvacuationChanged evacuation) {
             state.pool().evacuate(evacuation.dataCentre(), evacuation.active(), state.nowMillis());
             state.log()
                     .writeImportant(LogLine.of(LogEvent.EVACUATION)
                             .with("dataCentre", evacuation.dataCentre())
                             .with("active", evacuation.active())
                             .with("revision", item.revision()));
-        } else if (fact instanceof ClusterEvent.HostRegistered host) {
+        } else if (event instanceof ClusterEvent.HostRegistered host) {
             links.hostRegistered(host.host());
-        } else if (fact instanceof ClusterEvent.HostRemoved host) {
+        } else if (event instanceof ClusterEvent.HostRemoved host) {
             links.hostRemoved(host.name());
             if (host.name().equals(state.self().name())) {
                 onOwnKeyLost.run();
             }
-        } else if (fact instanceof ClusterEvent.Unreadable unreadable) {
+        } else if (event instanceof ClusterEvent.Unreadable unreadable) {
             reportUnreadable(item, unreadable);
         }
     }
@@ -74,11 +74,11 @@
     }
 
     @Override
-    public void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis) {
+    public void pageReceived(StoreReadKind kind, long bytes, int items, long tookMillis) {
         if (bytes >= LARGE_RESPONSE_BYTES) {
             state.log()
                     .writeOrdinary(LogLine.of(LogEvent.STORE_READ)
-                            .with("reading", reading.name())
+                            .with("reading", kind.name())
                             .with("bytes", bytes)
                             .with("items", items)
                             .with("tookMillis", tookMillis));
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -62,7 +62,7 @@
     private static final long CONGESTED_LINK_BYTES = 32 << 10;
 
     private final GatewaySettings settings;
-    private final PlatformFormats names;
+    private final PlatformFormats formats;
     private final MonotonicClock clock = MonotonicClock.ofProcess();
     private final ReadWatermark readWatermark = ReadWatermark.of(clock.nowMillis(), LATE_TICK_MILLIS);
     private final EventLoopGroup group;
@@ -87,13 +87,13 @@
 
     private Gateway(
             GatewaySettings settings,
-            PlatformFormats names,
+            PlatformFormats formats,
             EventLoopGroup group,
             ClusterStore store,
             EventLog log,
             long incarnation) {
         this.settings = settings;
-        this.names = names;
+        this.formats = formats;
         this.group = group;
         this.log = log;
         loop = group.next();
@@ -104,18 +104,18 @@
                 hostAndPort(settings.callers()),
                 hostAndPort(settings.peers()));
         RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
-        reader = new RequestReader(names.headers());
-        connections = new TargetConnections(group, names.headers(), clock);
+        reader = new RequestReader(formats.headers());
+        connections = new TargetConnections(group, formats.headers(), clock);
         state = new GatewayState(settings, self, clock, random, connections, log, metrics);
         links = new PeerLinks(self, group, clock, readWatermark::millis, this);
 
         callers = new CallerServer(group, clock, this::bounds, this::onRequest, this::onMalformedRequest);
         stateUpdater = new ClusterStateUpdater(state, links, this::onKeyLost);
         feed = StoreFeed.of(
-                store, names.storeFormat(), stateUpdater, loop, clock, random, settings.linkBytesPerMilli());
+                store, formats.storeFormat(), stateUpdater, loop, clock, random, settings.linkBytesPerMilli());
         state.attach(links, feed::isComplete);
         lease = HostLease.of(
-                store, names.storeFormat(), self, loop, settings.limits().minLeaseMillis(), this::onLeaseAnswer);
+                store, formats.storeFormat(), self, loop, settings.limits().minLeaseMillis(), this::onLeaseAnswer);
         stateExchange = new PeerStateExchange(
                 state, links, feed, settings.linkBytesPerMilli(), this::acceptsCallers, this::acceptMillis);
         registerGauges(store.traffic());
@@ -125,7 +125,7 @@
      * Creates the gateway of a process; nothing is served until {@link #start}.
      *
      * @param settings the settings of this process
-     * @param names the names and formats of the installation
+     * @param formats the names and formats of the installation
      * @param group the event loop group, which has one thread
      * @param store the platform's store
      * @param log the log
@@ -134,15 +134,15 @@
      */
     public static Gateway of(
             GatewaySettings settings,
-            PlatformFormats names,
+            PlatformFormats formats,
             EventLoopGroup group,
             ClusterStore store,
             EventLog log,
             long incarnation) {
-        return new Gateway(settings, names, group, store, log, incarnation);
+        return new Gateway(settings, formats, group, store, log, incarnation);
     }
 
-    /** Binds all ports and starts to follow the store. */
+    /** Binds all ports and starts to watch the store. */
     public void start() {
         AdminServer.listen(group, settings.readiness(), this::handleAdmin);
         AdminServer.listen(group, settings.directory(), this::handleAdmin);
@@ -303,15 +303,16 @@
     }
 
     private AdminResponse handleAdmin(String uri) {
-        if (names.directoryFormat().isReadinessProbe(uri)) {
+        if (formats.directoryFormat().isReadinessProbe(uri)) {
             return acceptsCallers() ? AdminResponse.text("ready\n") : AdminResponse.unavailable();
         }
-        Option<PlatformFormats.EntryHostsQuery> query = names.directoryFormat().parse(uri);
+        Option<PlatformFormats.EntryHostsQuery> query =
+                formats.directoryFormat().parse(uri);
         if (query.isDefined()) {
             List<String> hosts = entryHosts(query.get());
             return hosts.isEmpty()
                     ? AdminResponse.unavailable()
-                    : names.directoryFormat().format(hosts, settings.limits().entryHostsTtlSeconds());
+                    : formats.directoryFormat().format(hosts, settings.limits().entryHostsTtlSeconds());
         }
         if (uri.startsWith("/status")) {
             return AdminResponse.json(
@@ -323,13 +324,13 @@
     private List<String> entryHosts(PlatformFormats.EntryHostsQuery query) {
         List<GatewayHost> accepting = hosts(acceptsCallers(), PeerFrame.State::acceptsCallers);
         List<GatewayHost> draining = hosts(acceptMillis() > 0 && !acceptsCallers(), PeerFrame.State::isLastOfRegion);
-        Option<CallerLocation> callerPlace = state.configuration()
+        Option<CallerLocation> callerLocation = state.configuration()
                 .map(configuration -> new CallerLocation(
                         query.region(),
                         query.dataCentre(),
                         configuration.homeRegions(query.hostName()),
                         configuration.commonHomeRegions(query.hostName())));
-        return directory.list(accepting, draining, callerPlace, clock.nowMillis());
+        return directory.list(accepting, draining, callerLocation, clock.nowMillis());
     }
 
     private List<GatewayHost> hosts(boolean withSelf, Predicate<PeerFrame.State> condition) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
@@ -20,7 +20,7 @@
  * period is never exceeded. Confined to the event loop.
  */
 final class GatewayStop {
-    /** The part of the grace period that is kept for the process to terminate. */
+    /** The time at the end of the grace period that is reserved for the process to terminate. */
     private static final long TERMINATION_MARGIN_MILLIS = 300;
 
     private final GatewayState state;
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
@@ -89,7 +89,7 @@
             StoreFeed feed,
             long linkBytesPerMilli,
             BooleanSupplier acceptsCallers,
-            LongSupplier workMillis) {
+            LongSupplier acceptMillis) {
         this.state = state;
         this.links = links;
         this.feed = feed;
@@ -97,7 +97,7 @@
         replication = new RegionReplication(state, feed, linkBytesPerMilli);
         this.acceptsCallers = acceptsCallers;
         state.onLargePrefill(this::sendLargePrefillNotice);
-        this.acceptMillis = workMillis;
+        this.acceptMillis = acceptMillis;
     }
 
     void tick(long nowMillis) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ReadWatermark.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ReadWatermark.java
@@ -3,7 +3,7 @@
 /**
  * The time up to which all data that arrived on any connection has been read.
  *
- * <p>Timeouts of silent connections are measured up to this time instead of the current time. A process that was paused
+ * <p>Timeouts of idle connections are measured up to this time instead of the current time. A process that was paused
  * for two seconds runs its due timers before it reads its sockets; measured up to the current time, every other host
  * and target would seem unresponsive, links would be closed and requests abandoned although their responses are ready
  * to be read. Invariant: it never decreases. Confined to the event loop.
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
@@ -15,14 +15,14 @@
 import org.rattanplank.gateway.store.StoreFeed;
 
 /**
- * Decides whether this host follows the store, and to which hosts it replicates store changes.
+ * Decides whether this host watches the store, and to which hosts it replicates store changes.
  *
- * <p>Invariant: a host that doesn't follow the store, or is rejected by it, replicates only to hosts without a
+ * <p>Invariant: a host that doesn't watch the store, or is rejected by it, replicates only to hosts without a
  * configuration. Confined to the event loop.
  */
 final class RegionReplication implements ReplicationPolicy {
-    /** How often the hosts that follow the store are selected. */
-    private static final long FOLLOWER_SELECTION_INTERVAL_MILLIS = 250;
+    /** How often the hosts that watch the store are selected. */
+    private static final long WATCHER_SELECTION_INTERVAL_MILLIS = 250;
 
     /**
      * The time that a change takes to reach the other hosts; a host that lacks a newer change for less time isn't
@@ -40,9 +40,9 @@
     private final StoreFeed feed;
     private final StoreReplicator replicator;
     private final long linkBytesPerMilli;
-    private StoreWatchers followers = StoreWatchers.of(List.of());
-    private long followersChecksum = Long.MIN_VALUE;
-    private long followersChosenAtMillis;
+    private StoreWatchers watchers = StoreWatchers.of(List.of());
+    private long watchersChecksum = Long.MIN_VALUE;
+    private long watchersUpdatedAtMillis;
 
     RegionReplication(GatewayState state, StoreFeed feed, long linkBytesPerMilli) {
         this.state = state;
@@ -53,10 +53,10 @@
     }
 
     void tick(List<PeerLink> alive, long nowMillis) {
-        if (nowMillis - followersChosenAtMillis >= FOLLOWER_SELECTION_INTERVAL_MILLIS) {
-            followersChosenAtMillis = nowMillis;
-            chooseFollowers(alive);
-            feed.setWatching(shouldFollow(alive));
+        if (nowMillis - watchersUpdatedAtMillis >= WATCHER_SELECTION_INTERVAL_MILLIS) {
+            watchersUpdatedAtMillis = nowMillis;
+            updateWatchers(alive);
+            feed.setWatching(shouldWatch(alive));
         }
         replicator.tick(alive, this, nowMillis);
     }
@@ -65,9 +65,9 @@
         replicator.disconnected(link);
     }
 
-    /** Returns whether this host follows the store: it is selected as a follower, or no other host follows. */
-    private boolean shouldFollow(List<PeerLink> alive) {
-        if (!feed.isComplete() || followers.isWatcher(state.self().name())) {
+    /** Returns whether this host watches the store: it is selected as a watcher, or no other host watches. */
+    private boolean shouldWatch(List<PeerLink> alive) {
+        if (!feed.isComplete() || watchers.isWatcher(state.self().name())) {
             return true;
         }
         for (PeerLink link : alive) {
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Selects the followers again if a host of this region was added, removed or has changed, which a checksum over the
+     * Selects the watchers again if a host of this region was added, removed or has changed, which a checksum over the
      * hosts detects.
      */
-    private void chooseFollowers(List<PeerLink> alive) {
+    private void updateWatchers(List<PeerLink> alive) {
         long checksum = feed.isHealthy() ? 1 : 0;
         for (PeerLink link : alive) {
             if (link.isInOwnRegion()) {
@@ -94,13 +94,13 @@
                         RendezvousHashing.mix(RendezvousHashing.mix(link.name().hashCode()) ^ candidate);
             }
         }
-        if (checksum != followersChecksum) {
-            followersChecksum = checksum;
-            followers = followers(alive);
+        if (checksum != watchersChecksum) {
+            watchersChecksum = checksum;
+            watchers = chooseWatchers(alive);
         }
     }
 
-    private StoreWatchers followers(List<PeerLink> alive) {
+    private StoreWatchers chooseWatchers(List<PeerLink> alive) {
         List<StoreWatchers.Candidate> candidates = new ArrayList<>();
         candidates.add(new StoreWatchers.Candidate(state.self().name(), feed.isHealthy(), linkBytesPerMilli));
         for (PeerLink link : alive) {
@@ -115,10 +115,10 @@
     @Override
     public boolean relaysTo(StoreReceiver receiver) {
         PeerFrame.State peer = receiver.state();
-        return isHealthyFollower()
+        return isHealthyWatcher()
                 && needsRelay(peer)
                 && peer.knownRevision() != PeerFrame.State.UNREPORTED
-                && followers.relayFor(receiver.name()).contains(state.self().name());
+                && watchers.relayFor(receiver.name()).contains(state.self().name());
     }
 
     @Override
@@ -134,15 +134,15 @@
                     + CatchUpOrder.delayMillis(
                             state.regionView().hosts(), state.self().name(), receiver.name());
         }
-        if (!isHealthyFollower() || !isBehind(receiver)) {
+        if (!isHealthyWatcher() || !isBehind(receiver)) {
             return NEVER;
         }
         long delayMillis = Math.max(PROPAGATION_MILLIS, REPORT_PERIODS * peer.periodMillis());
         return delayMillis
-                + CATCH_UP_TURN_MILLIS * followers.position(state.self().name());
+                + CATCH_UP_TURN_MILLIS * watchers.position(state.self().name());
     }
 
-    private boolean isHealthyFollower() {
+    private boolean isHealthyWatcher() {
         return feed.isWatching() && feed.isHealthy();
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RequestReader.java
@@ -64,7 +64,7 @@
     /**
      * Reads a request.
      *
-     * @param head its head
+     * @param head its request line and headers
      * @param body its body
      * @return the request, or none if it has no host name or several
      */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerConnection.java
@@ -58,7 +58,7 @@
     private static final long FIRST_REQUEST_GRACE_MILLIS = 500;
 
     private final CallerServer server;
-    private final CallerLimits bounds;
+    private final CallerLimits limits;
     private Channel channel;
     private HttpRequest incompleteRequest;
     private List<ByteBuf> bodyChunks = new ArrayList<>();
@@ -75,9 +75,9 @@
     private long firstByteAtMillis;
     private long receiveMillis;
 
-    CallerConnection(CallerServer server, CallerLimits bounds) {
+    CallerConnection(CallerServer server, CallerLimits limits) {
         this.server = server;
-        this.bounds = bounds;
+        this.limits = limits;
     }
 
     /**
@@ -205,18 +205,18 @@
         if (activeRequest != null || closing || !channel.isActive()) {
             return;
         }
-        if (incompleteRequest != null && idleMillis > bounds.idleTimeoutMillis()
-                || incompleteRequest == null && receivingRequest && idleMillis > bounds.headerTimeoutMillis()) {
+        if (incompleteRequest != null && idleMillis > limits.idleTimeoutMillis()
+                || incompleteRequest == null && receivingRequest && idleMillis > limits.headerTimeoutMillis()) {
             reject(HttpResponseStatus.REQUEST_TIMEOUT);
-        } else if (idleMillis > bounds.idleTimeoutMillis()) {
+        } else if (idleMillis > limits.idleTimeoutMillis()) {
             closeIfIdle();
         }
     }
 
     private long applicableTimeoutMillis() {
         return receivingRequest && incompleteRequest == null && !closing
-                ? bounds.headerTimeoutMillis()
-                : bounds.idleTimeoutMillis();
+                ? limits.headerTimeoutMillis()
+                : limits.idleTimeoutMillis();
     }
 
     /**
@@ -311,7 +311,7 @@
         incompleteRequest = request;
         headRequest = request.method().name().equals("HEAD");
         keepAlive = HttpUtil.isKeepAlive(request);
-        if (HttpUtil.getContentLength(request, 0L) > bounds.maxBodyBytes()) {
+        if (HttpUtil.getContentLength(request, 0L) > limits.maxBodyBytes()) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
@@ -327,7 +327,7 @@
             return;
         }
         bodyBytes += content.content().readableBytes();
-        if (bodyBytes > bounds.maxBodyBytes()) {
+        if (bodyBytes > limits.maxBodyBytes()) {
             reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
             return;
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/caller/CallerServer.java
@@ -44,7 +44,7 @@
 
     private final EventLoopGroup group;
     private final MonotonicClock clock;
-    private final Supplier<CallerLimits> bounds;
+    private final Supplier<CallerLimits> limits;
     private final RequestHandler handler;
     private final IntConsumer requestRejected;
     private final Set<CallerConnection> connections = new HashSet<>();
@@ -58,19 +58,19 @@
      *
      * @param group the event loop
      * @param clock the clock
-     * @param bounds supplies the limits that currently apply to callers
+     * @param limits supplies the limits that currently apply to callers
      * @param handler receives complete requests
      * @param requestRejected receives the status of each malformed or oversized request
      */
     public CallerServer(
             EventLoopGroup group,
             MonotonicClock clock,
-            Supplier<CallerLimits> bounds,
+            Supplier<CallerLimits> limits,
             RequestHandler handler,
             IntConsumer requestRejected) {
         this.group = group;
         this.clock = clock;
-        this.bounds = bounds;
+        this.limits = limits;
         this.handler = handler;
         this.requestRejected = requestRejected;
     }
@@ -91,10 +91,10 @@
                 .childHandler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) {
-                        CallerConnection connection = new CallerConnection(CallerServer.this, bounds.get());
+                        CallerConnection connection = new CallerConnection(CallerServer.this, limits.get());
                         channel.pipeline()
                                 .addLast(new ByteCountHandler(bytes -> connection.bytesReceived()))
-                                .addLast(new RequestDecoder(bounds.get(), connection))
+                                .addLast(new RequestDecoder(limits.get(), connection))
                                 .addLast(new HttpResponseEncoder())
                                 .addLast(connection);
                     }
@@ -215,8 +215,8 @@
     private static final class RequestDecoder extends HttpRequestDecoder {
         private final CallerConnection connection;
 
-        private RequestDecoder(CallerLimits bounds, CallerConnection connection) {
-            super(bounds.maxHeaderBytes(), bounds.maxHeaderBytes(), MAX_CHUNK_BYTES);
+        private RequestDecoder(CallerLimits limits, CallerConnection connection) {
+            super(limits.maxHeaderBytes(), limits.maxHeaderBytes(), MAX_CHUNK_BYTES);
             this.connection = connection;
         }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/CallerResponse.java
@@ -14,7 +14,7 @@
  * Assembles the response to one caller from what one or more attempts return.
  *
  * <p>Invariants: a response that is not a stream is buffered until it is complete or exceeds a size limit, so that a
- * failed attempt can be replaced unseen; a stream is forwarded in whole events only, under the head of the first
+ * failed attempt can be replaced unseen; a stream is forwarded in whole events only, under the headers of the first
  * attempt that returned one. Confined to the event loop.
  */
 public final class CallerResponse {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
@@ -42,7 +42,7 @@
     private final RequestLog requestLog;
     private final Runnable onFinished;
     private final Work work;
-    private final Set<String> tried;
+    private final Set<String> excluded;
     private final long deadlineMillis;
     private final long acceptedAtMillis;
     private Attempt attempt;
@@ -72,7 +72,7 @@
         this.frame = frame;
         this.request = request;
         this.onFinished = onFinished;
-        tried = new HashSet<>(frame.excludedTargets());
+        excluded = new HashSet<>(frame.excludedTargets());
         requestLog = new RequestLog(state.log(), frame.requestId());
         acceptedAtMillis = state.nowMillis();
         long delayMillis = ForwardDelay.delayMillis(
@@ -179,7 +179,7 @@
         }
         target = choice.get().target().incarnationText();
         expectedMillis = choice.get().expectedMillis();
-        tried.add(target);
+        excluded.add(target);
         requestLog.add(LogLine.of(LogEvent.FORWARD_TAKEN)
                 .with("from", link.host().map(host -> host.name()).getOrElse(""))
                 .with("target", target)
@@ -205,8 +205,8 @@
     private Option<TargetChoice> choose(ServiceRule service) {
         long now = state.nowMillis();
         return route().map(rule -> state.chooser()
-                        .choose(new PlacementRequest(rule, service, work, tried), state.regionView(), now))
-                .getOrElse(() -> state.chooser().choose(service, work, tried, state.regionView(), now));
+                        .choose(new PlacementRequest(rule, service, work, excluded), state.regionView(), now))
+                .getOrElse(() -> state.chooser().choose(service, work, excluded, state.regionView(), now));
     }
 
     /**
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
@@ -206,14 +206,14 @@
     }
 
     /** Returns where a request could be sent now, and over which links. */
-    RoutingOptions routingOptions(PlacementRequest demand) {
-        Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(demand.route()) : Map.of();
+    RoutingOptions routingOptions(PlacementRequest request) {
+        Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(request.route()) : Map.of();
         Map<String, Double> networkRoundTripMillis = new HashMap<>();
         linksByRegion.forEach((region, link) -> networkRoundTripMillis.put(region, link.roundTripMillis()));
-        ClusterView surroundings =
+        ClusterView clusterView =
                 new ClusterView(self.location().region(), regionView(), networkRoundTripMillis, drawRegionsOverShare());
         return new RoutingOptions(
-                Placement.of(demand, surroundings, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
+                Placement.of(request, clusterView, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
     }
 
     /** Draws the regions that accept no further request, each with probability 1 minus its configured share. */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -66,7 +66,7 @@
     private final CallerResponse response;
     private final DecisionLog decisionLog;
     private final long arrivedAtMillis;
-    private final Set<String> tried = new HashSet<>();
+    private final Set<String> excluded = new HashSet<>();
     private final Runnable onFinished;
     private RouteRule route;
     private ServiceRule service;
@@ -224,7 +224,7 @@
     }
 
     private RoutingOptions routingOptions() {
-        return state.routingOptions(new PlacementRequest(route, service, remainingWork(), tried));
+        return state.routingOptions(new PlacementRequest(route, service, remainingWork(), excluded));
     }
 
     private void send() {
@@ -290,7 +290,7 @@
                         call.lastEventId(),
                         work.urgency(),
                         !route.isIdempotent(),
-                        List.copyOf(tried)),
+                        List.copyOf(excluded)),
                 handler);
         setAttempt(handler, started);
     }
@@ -486,7 +486,7 @@
                 return;
             }
             active = false;
-            tried.add(destination);
+            excluded.add(destination);
             lastTarget = attempt == null ? destination : attempt.destination();
             if (localTarget == null && !failure.mayHaveRun()) {
                 state.regionLoads().recordRejected(destination, service.name(), work.urgency());
@@ -501,13 +501,13 @@
                     || state.retryBudget().remaining(service.name(), state.nowMillis()) < 1) {
                 return false;
             }
-            tried.add(destination);
+            excluded.add(destination);
             return routingOptions().placement().hasCandidate();
         }
 
         private void abandon(String reason) {
             active = false;
-            tried.add(destination);
+            excluded.add(destination);
             Attempt failed = attempt;
             if (failed != null) {
                 failed.cancel();
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrame.java
@@ -200,7 +200,7 @@
     }
 
     /**
-     * The head of a response.
+     * The headers of a response.
      *
      * @param call the call
      * @param status the status
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerFrameCodec.java
@@ -194,15 +194,15 @@
 
     private static void write(PeerFrame.TargetWork work, MessageBufferPacker out) throws IOException {
         out.packString(work.target()).packInt(work.work().requests());
-        PrefillBacklog waiting = work.work().prefillBacklog();
-        out.packLong(waiting.first()).packLong(waiting.middle()).packLong(waiting.last());
+        PrefillBacklog prefillBacklog = work.work().prefillBacklog();
+        out.packLong(prefillBacklog.first()).packLong(prefillBacklog.middle()).packLong(prefillBacklog.last());
         out.packLong(work.work().kvCacheTokens());
     }
 
-    private static void write(StreamStats latency, MessageBufferPacker out) throws IOException {
-        out.packInt(latency.streams())
-                .packFloat((float) latency.totalInterTokenMillis())
-                .packInt(latency.lagging());
+    private static void write(StreamStats stats, MessageBufferPacker out) throws IOException {
+        out.packInt(stats.streams())
+                .packFloat((float) stats.totalInterTokenMillis())
+                .packInt(stats.lagging());
     }
 
     private static void write(PeerFrame.CallRequest request, MessageBufferPacker out) throws IOException {
@@ -310,14 +310,15 @@
     private static PeerFrame.TargetWork readTargetWork(MessageUnpacker in) throws IOException {
         String target = in.unpackString();
         int requests = in.unpackInt();
-        PrefillBacklog waiting = new PrefillBacklog(in.unpackLong(), in.unpackLong(), in.unpackLong());
-        return new PeerFrame.TargetWork(target, new InFlightWork(requests, waiting, in.unpackLong()), StreamStats.NONE);
+        PrefillBacklog prefillBacklog = new PrefillBacklog(in.unpackLong(), in.unpackLong(), in.unpackLong());
+        return new PeerFrame.TargetWork(
+                target, new InFlightWork(requests, prefillBacklog, in.unpackLong()), StreamStats.NONE);
     }
 
     private static PeerFrame.TargetWork withStreamLatency(PeerFrame.TargetWork work, MessageUnpacker in)
             throws IOException {
-        StreamStats latency = new StreamStats(in.unpackInt(), in.unpackFloat(), in.unpackInt());
-        return new PeerFrame.TargetWork(work.target(), work.work(), latency);
+        StreamStats stats = new StreamStats(in.unpackInt(), in.unpackFloat(), in.unpackInt());
+        return new PeerFrame.TargetWork(work.target(), work.work(), stats);
     }
 
     private static PeerFrame.RegionLoad withStreams(PeerFrame.RegionLoad load, MessageUnpacker in) throws IOException {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -234,7 +234,7 @@
     }
 
     /**
-     * Closes the link gracefully: reads pending input in the same step, and sends the other host the number of the last
+     * Closes the link gracefully: reads pending input in the same event loop task, and sends the other host the number of the last
      * accepted call. Without that number it could not determine whether a call that crossed the close has run, and a
      * booking would end with an unknown outcome. Does nothing if a call has arrived.
      *
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLinks.java
@@ -45,7 +45,7 @@
     /** Longer than a link over the longest network round trip takes to open, so that two hosts seldom open two links. */
     private static final long FALLBACK_CONNECT_MILLIS = 1_200;
 
-    /** Two of the links to another region may be lost at once. */
+    /** Two of the links to another region may be disconnected at once. */
     private static final int LINKS_PER_OTHER_REGION = 3;
 
     /** Interval between two attempts to connect to a host that does not respond. */
@@ -321,7 +321,7 @@
     /**
      * Returns whether a connection is the one that both hosts use if there are two: the one that the host with the smaller
      * name opened. If each chose independently, each could send over a connection that the other doesn't use, take the
-     * link for dead and reopen it endlessly. Symptom: hosts of other regions are lost and connected again every two
+     * link for dead and reopen it endlessly. Symptom: hosts of other regions are disconnected and connected again every two
      * seconds.
      *
      * @param self this host's name
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/ReceiverProgress.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/ReceiverProgress.java
@@ -74,7 +74,7 @@
 
     /**
      * Returns whether the host has failed for some time to reach a revision that this host had at its start. A host that
-     * lags slightly during continuous changes does not count as behind.
+     * lags slightly during continuous changes does not count as lagging.
      */
     boolean isBehindFor(long millis, long nowMillis) {
         return receiver.state().knownRevision() < expectedRevision
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreReplicator.java
@@ -42,8 +42,8 @@
     private final StoreCopy copy;
     private final LongUnaryOperator graceMillis;
     private final Consumer<LogLine> log;
-    private final LinkRateLimiter relayShare;
-    private final LinkRateLimiter catchUpShare;
+    private final LinkRateLimiter relayLimiter;
+    private final LinkRateLimiter catchUpLimiter;
     private final Map<StoreReceiver, ReceiverProgress> progressByReceiver = new HashMap<>();
     private Option<EncodedFrame> lastEncoded = Option.none();
 
@@ -61,8 +61,8 @@
         this.copy = copy;
         this.graceMillis = graceMillis;
         this.log = log;
-        relayShare = LinkRateLimiter.of(linkBytesPerMilli, RELAY_SHARE);
-        catchUpShare = LinkRateLimiter.of(linkBytesPerMilli, CATCH_UP_SHARE);
+        relayLimiter = LinkRateLimiter.of(linkBytesPerMilli, RELAY_SHARE);
+        catchUpLimiter = LinkRateLimiter.of(linkBytesPerMilli, CATCH_UP_SHARE);
     }
 
     /**
@@ -111,7 +111,7 @@
     private void sendSmallItems(ReceiverProgress host, long nowMillis) {
         long revision = copy.revision();
         if (host.sentSmallItemsRevision() >= revision
-                || !relayShare.isAvailable(nowMillis)
+                || !relayLimiter.isAvailable(nowMillis)
                 || host.receiver().pendingBytes() > 0) {
             return;
         }
@@ -130,7 +130,7 @@
             return;
         }
         host.receiver().send(frame.frame(), frame.bytes());
-        relayShare.consume(frame.bytes().length, nowMillis);
+        relayLimiter.consume(frame.bytes().length, nowMillis);
         if (complete) {
             host.recordAllSent(revision, nowMillis);
         } else {
@@ -143,17 +143,17 @@
             return;
         }
         if (host.sentRevision() < copy.revision() && policy.relaysTo(host.receiver())) {
-            if (relayShare.isAvailable(nowMillis)) {
-                startTransfer(host, relayShare, nowMillis);
+            if (relayLimiter.isAvailable(nowMillis)) {
+                startTransfer(host, relayLimiter, nowMillis);
             }
-        } else if (catchUpShare.isAvailable(nowMillis)
+        } else if (catchUpLimiter.isAvailable(nowMillis)
                 && host.isBehindFor(policy.catchUpAfterMillis(host.receiver()), nowMillis)) {
             host.rewindToReported();
-            startTransfer(host, catchUpShare, nowMillis);
+            startTransfer(host, catchUpLimiter, nowMillis);
         }
     }
 
-    private void startTransfer(ReceiverProgress host, LinkRateLimiter share, long nowMillis) {
+    private void startTransfer(ReceiverProgress host, LinkRateLimiter limiter, long nowMillis) {
         long baseRevision = host.sentRevision();
         List<StoreItem> items = new ArrayList<>();
         for (StoreItem item : baseRevision == 0 ? copy.items() : changesSince(baseRevision)) {
@@ -168,14 +168,14 @@
                 .with("bytes", frame.bytes().length)
                 .with("baseRevision", baseRevision)
                 .with("revision", copy.revision())
-                .with("help", share == catchUpShare));
+                .with("help", limiter == catchUpLimiter));
         if (frame.bytes().length <= StoreTransfer.FRAGMENT_BYTES || !host.supportsFragments()) {
             host.receiver().send(frame.frame(), frame.bytes());
-            share.consume(frame.bytes().length, nowMillis);
+            limiter.consume(frame.bytes().length, nowMillis);
             host.recordAllSent(copy.revision(), nowMillis);
             return;
         }
-        host.transferStarted(new StoreTransfer(frame.bytes(), share, copy.revision()), nowMillis);
+        host.transferStarted(new StoreTransfer(frame.bytes(), limiter, copy.revision()), nowMillis);
     }
 
     private static void sendFragments(ReceiverProgress host, StoreTransfer transfer, long nowMillis) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreTransfer.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/StoreTransfer.java
@@ -14,7 +14,7 @@
     static final int FRAGMENT_BYTES = 8 << 10;
 
     private final byte[] frame;
-    private final LinkRateLimiter share;
+    private final LinkRateLimiter limiter;
     private final long revision;
     private int sentBytes;
 
@@ -22,17 +22,17 @@
      * Creates a transfer of which nothing is sent yet.
      *
      * @param frame the encoded frame
-     * @param share the link share that its bytes are counted against
+     * @param limiter the link share that its bytes are counted against
      * @param revision the revision up to which the receiver is complete once it has the frame
      */
-    StoreTransfer(byte[] frame, LinkRateLimiter share, long revision) {
+    StoreTransfer(byte[] frame, LinkRateLimiter limiter, long revision) {
         this.frame = frame;
-        this.share = share;
+        this.limiter = limiter;
         this.revision = revision;
     }
 
     LinkRateLimiter share() {
-        return share;
+        return limiter;
     }
 
     long revision() {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/FeedListener.java
@@ -20,12 +20,12 @@
     /**
      * Called when a page of items or changes was received.
      *
-     * @param reading the kind of call
+     * @param kind the kind of call
      * @param bytes the size of its values
      * @param items the number of items
      * @param tookMillis the time from the call to its response
      */
-    void pageReceived(StoreReadKind reading, long bytes, int items, long tookMillis);
+    void pageReceived(StoreReadKind kind, long bytes, int items, long tookMillis);
 
     /** Called when the store responds again after an outage; entries that expired meanwhile may be registered again. */
     void storeRecovered();
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/store/StoreFeed.java
@@ -57,7 +57,7 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final LinkRateLimiter readShare;
+    private final LinkRateLimiter readLimiter;
     private final StoreCopy copy = new StoreCopy();
     private final Set<String> listedKeys = new HashSet<>();
     private Backoff backoff = Backoff.of(0, MIN_RETRY_MILLIS, MAX_RETRY_MILLIS);
@@ -84,7 +84,7 @@
         this.loop = loop;
         this.clock = clock;
         this.random = random;
-        readShare = LinkRateLimiter.of(linkBytesPerMilli, READ_SHARE);
+        readLimiter = LinkRateLimiter.of(linkBytesPerMilli, READ_SHARE);
         lastResponseMillis = clock.nowMillis();
     }
 
@@ -276,14 +276,14 @@
             watch();
             return;
         }
-        long pauseMillis = Math.max(BATCH_DELAY_MILLIS, readShare.delayMillis(clock.nowMillis()));
+        long pauseMillis = Math.max(BATCH_DELAY_MILLIS, readLimiter.delayMillis(clock.nowMillis()));
         Runnable next = pauseMillis > MAX_WATCH_PAUSE_MILLIS ? () -> list("") : this::watch;
         loop.schedule(next, pauseMillis, TimeUnit.MILLISECONDS);
     }
 
     private void watchFailed(StoreFailure failure) {
         if (failure == StoreFailure.HISTORY_GONE) {
-            long pauseMillis = readShare.delayMillis(clock.nowMillis());
+            long pauseMillis = readLimiter.delayMillis(clock.nowMillis());
             loop.schedule(() -> list(""), pauseMillis, TimeUnit.MILLISECONDS);
         } else if (failure == StoreFailure.NO_ANSWER && lastResponseAgeMillis() < WATCH_TIMEOUT_MILLIS) {
             // A waiting watch may be closed although the store is healthy; watching again costs one call.
@@ -296,7 +296,7 @@
 
     private void recordPage(StoreReadKind kind, StorePage page) {
         long bytes = page.valueBytes();
-        readShare.consume(Math.round(bytes * BASE64_BYTES_PER_BYTE), clock.nowMillis());
+        readLimiter.consume(Math.round(bytes * BASE64_BYTES_PER_BYTE), clock.nowMillis());
         listener.pageReceived(kind, bytes, page.items().size(), clock.nowMillis() - calledAtMillis);
     }
 
@@ -318,7 +318,7 @@
 
     private void scheduleRetry(Runnable next) {
         backoff = backoff.failed();
-        long pauseMillis = Math.max(backoff.delayMillis(random), readShare.delayMillis(clock.nowMillis()));
+        long pauseMillis = Math.max(backoff.delayMillis(random), readLimiter.delayMillis(clock.nowMillis()));
         loop.schedule(next, pauseMillis, TimeUnit.MILLISECONDS);
     }
 }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
@@ -4,12 +4,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * Receives the events of one attempt: at most one head, then content, then one completion or failure. Called on the event
+ * Receives the events of one attempt: at most one set of response headers, then content, then one completion or failure. Called on the event
  * loop.
  */
 public interface AttemptListener {
     /**
-     * Called when the head of the response was received.
+     * Called when the headers of the response were received.
      *
      * @param status the status
      * @param headers the headers, without hop-by-hop headers
@@ -27,7 +27,7 @@
     void completed();
 
     /**
-     * Called when the attempt failed before the head or within the body of the response.
+     * Called when the attempt failed before the headers or within the body of the response.
      *
      * @param failure how it failed
      * @param reason the cause, for logs
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/LargePrefillFlowTest.java
@@ -57,8 +57,9 @@
     }
 
     /** Sends a peer's state report and waits for the gateway's. */
-    private static PeerFrame.State exchangeStates(TestPeer peer, boolean readsLargeReads) throws IOException {
-        List<PeerFrame> frames = unreadFrames(peer, readsLargeReads);
+    private static PeerFrame.State exchangeStates(TestPeer peer, boolean supportsLargePrefillNotices)
+            throws IOException {
+        List<PeerFrame> frames = unreadFrames(peer, supportsLargePrefillNotices);
         return (PeerFrame.State) frames.get(frames.size() - 1);
     }
 
@@ -66,13 +67,14 @@
      * Returns all frames sent to a peer that it hasn't read yet: the peer reports its state again and reads up to the
      * reply.
      */
-    private static List<PeerFrame> unreadFrames(TestPeer peer, boolean readsLargeReads) throws IOException {
-        peer.reportIdle(readsLargeReads);
+    private static List<PeerFrame> unreadFrames(TestPeer peer, boolean supportsLargePrefillNotices) throws IOException {
+        peer.reportIdle(supportsLargePrefillNotices);
         return peer.framesUntilEchoed();
     }
 
-    private static void assertNoLargePrefillNotice(TestPeer peer, boolean readsLargeReads) throws IOException {
-        List<PeerFrame> frames = unreadFrames(peer, readsLargeReads);
+    private static void assertNoLargePrefillNotice(TestPeer peer, boolean supportsLargePrefillNotices)
+            throws IOException {
+        List<PeerFrame> frames = unreadFrames(peer, supportsLargePrefillNotices);
         assertTrue(frames.stream().noneMatch(PeerFrame.LargePrefillNotice.class::isInstance), frames::toString);
     }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/OverloadFlowTest.java
@@ -104,7 +104,7 @@
      * Guards against retries at a target or region that is expected to take several times the objective: a target
      * reports that it did not run a request (another target has its address, or it is full), and every other target has
      * a long queue. The estimate must be checked before each send, not only the first. The request has not run, so its
-     * caller can be told at once. A third of the requests that were late or left by their callers had been sent again
+     * caller can be notified at once. A third of the requests that were late or left by their callers had been sent again
      * to one expected to take up to seven times the objective.
      */
     @Test
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
@@ -18,7 +18,7 @@
 /** Tests how a host serves hosts of other regions. */
 @Timeout(60)
 class PeerFlowTest {
-    /** Longer than the time-out of a silent link. */
+    /** Longer than the time-out of an unresponsive link. */
     private static final long LONG_PAUSE_MILLIS = 2_000;
 
     /** Longer than a stopping host keeps serving callers. */
@@ -75,7 +75,7 @@
 
     /**
      * Guards against links closed by a host that was paused for two seconds: it runs its timers before it reads what
-     * other hosts sent meanwhile. Silence must be measured up to the last time at which everything was read.
+     * other hosts sent meanwhile. Inactivity must be measured up to the last time at which everything was read.
      */
     @Test
     void shouldKeepALinkWhenThisHostPausedAndHasNotReadYet() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -21,7 +21,7 @@
 @Timeout(60)
 class StoreBandwidthFlowTest {
     private static final int PEERS = 27;
-    private static final int FOLLOWERS = 3;
+    private static final int WATCHERS = 3;
 
     /** A compressed configuration of two thousand routes. */
     private static final int LARGE_BYTES = 60_000;
@@ -80,16 +80,16 @@
     }
 
     /**
-     * Guards against a follower change that reads the whole store over the link of a host that has nearly all of it.
+     * Guards against a watcher change that reads the whole store over the link of a host that has nearly all of it.
      */
     @Test
-    void shouldRequestOnlyChangesWhenItStartsFollowingTheStore() throws Exception {
-        List<TestPeer> followers = followers();
-        awaitFollowing(followers.get(0), false);
+    void shouldRequestOnlyChangesWhenItStartsWatchingTheStore() throws Exception {
+        List<TestPeer> watchers = watchers();
+        awaitWatching(watchers.get(0), false);
         long lists = gateway.storeLists();
 
-        for (TestPeer follower : followers) {
-            follower.close();
+        for (TestPeer watcher : watchers) {
+            watcher.close();
         }
         gateway.putBytes("after", 1);
         gateway.awaitUnreadable(1);
@@ -99,23 +99,23 @@
 
     /** Guards against hosts that list the store repeatedly while the store rejects them. */
     @Test
-    void shouldNotListTheStoreWhenItRejectsThisHostAndOthersFollowIt() throws Exception {
-        List<TestPeer> followers = followers();
-        awaitFollowing(followers.get(0), false);
+    void shouldNotListTheStoreWhenItRejectsThisHostAndOthersWatchIt() throws Exception {
+        List<TestPeer> watchers = watchers();
+        awaitWatching(watchers.get(0), false);
         long lists = gateway.storeLists();
 
         gateway.loseStore();
         gateway.awaitLogged("\"event\":\"lease_failed\"");
         for (int i = 0; i < ROUNDS; i++) {
-            for (TestPeer follower : followers) {
-                follower.reportWatching(1);
+            for (TestPeer watcher : watchers) {
+                watcher.reportWatching(1);
             }
             Thread.sleep(ROUND_MILLIS);
         }
 
         assertEquals(lists, gateway.storeLists());
-        for (TestPeer follower : followers) {
-            follower.close();
+        for (TestPeer watcher : watchers) {
+            watcher.close();
         }
     }
 
@@ -125,26 +125,26 @@
      */
     @Test
     void shouldNotRelayPeerUpdatesWhenTheStoreRejectsThisHost() throws Exception {
-        List<TestPeer> followers = followers();
+        List<TestPeer> watchers = watchers();
         try (TestPeer peer = gateway.sameRegionPeer("n1")) {
             peer.drainInBackground();
-            awaitFollowing(followers.get(0), false);
+            awaitWatching(watchers.get(0), false);
             gateway.loseStore();
-            keepReporting(followers, peer);
+            keepReporting(watchers, peer);
             gateway.awaitLogged("\"event\":\"lease_failed\"");
             long bytesBefore = gateway.metric("peer_bytes_sent{kind=\"store\"}");
 
-            followers.get(1).sendSlowly(LARGE_BYTES, 1, 0);
-            keepReporting(followers, peer);
+            watchers.get(1).sendSlowly(LARGE_BYTES, 1, 0);
+            keepReporting(watchers, peer);
 
             assertEquals(bytesBefore, gateway.metric("peer_bytes_sent{kind=\"store\"}"));
         }
-        for (TestPeer follower : followers) {
-            follower.close();
+        for (TestPeer watcher : watchers) {
+            watcher.close();
         }
     }
 
-    /** Guards against a follower whose link is full of versions of an item that are replaced before they are read. */
+    /** Guards against a watcher whose link is full of versions of an item that are replaced before they are read. */
     @Test
     void shouldReadOnlyTheNewestVersionWhenALargeItemIsWrittenRepeatedly() throws Exception {
         long lists = gateway.storeLists();
@@ -170,37 +170,37 @@
         }
     }
 
-    /** Reports for three seconds that the store answers the followers, and that the peer doesn't follow it. */
-    private static void keepReporting(List<TestPeer> followers, TestPeer peer) throws Exception {
+    /** Reports for three seconds that the store answers the watchers, and that the peer doesn't watch it. */
+    private static void keepReporting(List<TestPeer> watchers, TestPeer peer) throws Exception {
         for (int i = 0; i < ROUNDS; i++) {
-            for (TestPeer follower : followers) {
-                follower.reportWatching(1);
+            for (TestPeer watcher : watchers) {
+                watcher.reportWatching(1);
             }
             peer.reportState(0, Long.MAX_VALUE);
             Thread.sleep(ROUND_MILLIS);
         }
     }
 
-    /** Returns as many followers as a region has, each ranked before the gateway's own host. */
-    private List<TestPeer> followers() throws IOException {
+    /** Returns as many watchers as a region has, each ranked before the gateway's own host. */
+    private List<TestPeer> watchers() throws IOException {
         List<String> names = IntStream.iterate(0, i -> i + 1)
                 .mapToObj(i -> "f" + i)
                 .filter(name -> RendezvousHashing.rank(List.of(name, "h1"), "store")
                         .get(0)
                         .equals(name))
-                .limit(FOLLOWERS)
+                .limit(WATCHERS)
                 .toList();
-        List<TestPeer> followers = new ArrayList<>();
+        List<TestPeer> watchers = new ArrayList<>();
         for (String name : names) {
-            TestPeer follower = gateway.sameRegionPeer(name);
-            follower.reportWatching(1);
-            followers.add(follower);
+            TestPeer watcher = gateway.sameRegionPeer(name);
+            watcher.reportWatching(1);
+            watchers.add(watcher);
         }
-        return followers;
+        return watchers;
     }
 
-    private static void awaitFollowing(TestPeer peer, boolean following) throws IOException {
-        while (peer.await(PeerFrame.State.class).watchesStore() != following) {
+    private static void awaitWatching(TestPeer peer, boolean watching) throws IOException {
+        while (peer.await(PeerFrame.State.class).watchesStore() != watching) {
             peer.reportWatching(1);
         }
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreCatchUpFlowTest.java
@@ -13,10 +13,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tests that a host that follows the store sends other hosts of its region the changes they lack. */
+/** Tests that a host that watches the store sends other hosts of its region the changes they lack. */
 @Timeout(60)
 class StoreCatchUpFlowTest {
-    /** The number of hosts that don't follow the store in a region of a large installation. */
+    /** The number of hosts that don't watch the store in a region of a large installation. */
     private static final int PEERS = 27;
 
     /** About 240 targets and hosts with their configuration. */
@@ -48,7 +48,7 @@
      * Guards against a link full of store changes. Symptom: one host sends requests to targets of an evacuated data
      * centre seven seconds after the evacuation was confirmed, its connections time out, and its requests arrive 2.5 s
      * after they were sent. The store's history is compacted during an evacuation and other changes, and one of three
-     * followers of its region receives them later than the others. It sees that the 27 other hosts differ and sends
+     * watchers of its region receives them later than the others. It sees that the 27 other hosts differ and sends
      * each of them everything once per second. Its link of 10 Mbit/s is full, so its own store calls are delayed behind
      * and it stays late. Catch-up traffic must be limited by the bandwidth of the link.
      */
@@ -104,7 +104,7 @@
 
     /**
      * Guards against links closed during a transfer, which starts again each time: a large item arrives over a
-     * congested link for longer than the time-out of a silent link. Not only whole frames count as heartbeats.
+     * congested link for longer than the time-out of an unresponsive link. Not only whole frames count as heartbeats.
      */
     @Test
     void shouldKeepALinkWhenALargeItemArrivesSlowly() throws Exception {
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -178,9 +178,9 @@
     }
 
     /** Adds an incarnation of a target. */
-    void enterTarget(TargetIncarnation run, int port) {
-        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
-        store.put("targets/" + run.id(), new ClusterEvent.TargetRegistered(entry), false);
+    void enterTarget(TargetIncarnation incarnation, int port) {
+        TargetEntry entry = new TargetEntry(incarnation, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
+        store.put("targets/" + incarnation.id(), new ClusterEvent.TargetRegistered(entry), false);
     }
 
     /** Waits for the final log line of a request, and returns all its lines. */
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestStore.java
@@ -19,12 +19,12 @@
 import org.rattanplank.gateway.store.StoreItem;
 import org.rattanplank.gateway.store.StorePage;
 
-/** An in-memory store whose items have the facts that a test puts. Its calls are confined to the event loop. */
+/** An in-memory store whose items decode to the events that a test puts. Its calls are confined to the event loop. */
 final class TestStore implements ClusterStore, StoreFormat {
     private final EventLoop loop;
     private final TreeMap<String, StoreItem> items = new TreeMap<>();
     private final TreeMap<Long, StoreItem> history = new TreeMap<>();
-    private final TreeMap<Long, ClusterEvent> facts = new TreeMap<>();
+    private final TreeMap<Long, ClusterEvent> events = new TreeMap<>();
     private final List<Runnable> waiting = new ArrayList<>();
     private final AtomicLong lists = new AtomicLong();
     private long revision = 1;
@@ -35,15 +35,15 @@
     }
 
     /** Puts an item, or removes it. */
-    void put(String key, ClusterEvent fact, boolean removed) {
-        put(key, new byte[0], fact, removed);
+    void put(String key, ClusterEvent event, boolean removed) {
+        put(key, new byte[0], event, removed);
     }
 
-    void put(String key, byte[] value, ClusterEvent fact, boolean removed) {
+    void put(String key, byte[] value, ClusterEvent event, boolean removed) {
         loop.submit(() -> {
                     revision++;
                     StoreItem item = new StoreItem(key, value, revision, removed);
-                    facts.put(revision, fact);
+                    events.put(revision, event);
                     history.put(revision, item);
                     if (removed) {
                         items.remove(key);
@@ -136,7 +136,7 @@
 
     @Override
     public ClusterEvent read(StoreItem item) {
-        return facts.get(item.revision());
+        return events.get(item.revision());
     }
 
     @Override
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestTarget.java
@@ -65,7 +65,7 @@
                 + body.length() + "\r\nKeep-Alive: timeout=5\r\nStamp: s\r\n\r\n" + body;
     }
 
-    /** Returns the head of a stream that echoes the identifier of its request. */
+    /** Returns the headers of a stream that echoes the identifier of its request. */
     static String streamHead(String request) {
         return "HTTP/1.1 200 OK\r\nRequest-Id: " + header(request, "request-id")
                 + "\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/caller/EventSplitterTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/caller/EventSplitterTest.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Guards against a caller that receives a part of an event twice. This happens when bytes are passed on before
+     * Guards against a caller that receives a fragment of an event twice. This happens when bytes are passed on before
      * their event is complete, and the stream is then interrupted and resumed at another target.
      */
     @Property
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
@@ -18,7 +18,7 @@
 
 class PeerLinksTest {
     /**
-     * Symptom: hosts of other regions are lost and connected again every two seconds, and callers are misdirected meanwhile.
+     * Symptom: hosts of other regions are disconnected and connected again every two seconds, and callers are misdirected meanwhile.
      * Sequence: two hosts connect to each other at once; each uses the connection of its last handshake, sends its states
      * there, and receives nothing on it. Cause: the two hosts did not choose the same connection.
      */
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/TestPeer.java
@@ -45,15 +45,15 @@
      *
      * @param address the address at which the other host listens
      * @param name its name
-     * @param place its region and data centre
+     * @param location its region and data centre
      * @throws IOException if it is unreachable
      */
-    public TestPeer(InetSocketAddress address, String name, Location place) throws IOException {
+    public TestPeer(InetSocketAddress address, String name, Location location) throws IOException {
         socket.connect(address, SOCKET_TIMEOUT_MILLIS);
         socket.setSoTimeout(SOCKET_TIMEOUT_MILLIS);
         in = new DataInputStream(socket.getInputStream());
         out = new DataOutputStream(socket.getOutputStream());
-        send(new PeerFrame.Hello(new GatewayHost(name, 1, place, "127.0.0.1:1", "127.0.0.1:2")));
+        send(new PeerFrame.Hello(new GatewayHost(name, 1, location, "127.0.0.1:1", "127.0.0.1:2")));
     }
 
     /**
