--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -20,7 +20,7 @@
         outcome = Objects.requireNonNullElse(outcome, "");
     }
 
-    Explanation withRouting(RoutingDecision decision) {
+    Explanation withDecision(RoutingDecision decision) {
         return new Explanation(
                 requestId,
                 service,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanations.java
@@ -37,10 +37,10 @@
         }
     }
 
-    void recordRouting(Request request, RoutingDecision decision) {
+    void recordDecision(Request request, RoutingDecision decision) {
         lock.lock();
         try {
-            explanationsByRequest.put(request.id(), current(request).withRouting(decision));
+            explanationsByRequest.put(request.id(), current(request).withDecision(decision));
         } finally {
             lock.unlock();
         }
--- a/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/RequestFlow.java
@@ -265,7 +265,7 @@
         boolean mayLeaveRegion = !request.request.isForwarded();
         Eligibility eligibility = new Eligibility(request.allowedRegions, mayLeaveRegion, request.triedPeers);
         RoutingDecision routingDecision = router.choose(request.request, eligibility, nowMillis);
-        explanations.recordRouting(request.request, routingDecision);
+        explanations.recordDecision(request.request, routingDecision);
         if (routingDecision instanceof RoutingDecision.Dispatch dispatch) {
             startAttempt(request, dispatch.route(), 0, nowMillis, effects);
         } else if (routingDecision instanceof RoutingDecision.Reject reject) {
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -724,10 +724,9 @@
         }
         boolean sameView =
                 view.get().number() == message.fromNumber() && view.get().contains(new ViewMemberId(host, incarnation));
-        boolean repeated =
-                consentedView.exists(consented -> consented.changeId().equals(proposed.changeId()));
-        boolean consents = sameView && change.isEmpty() && (repeated || phase == ViewPhase.ACTIVE);
-        if (consents && !repeated) {
+        boolean retried = consentedView.exists(consented -> consented.changeId().equals(proposed.changeId()));
+        boolean consents = sameView && change.isEmpty() && (retried || phase == ViewPhase.ACTIVE);
+        if (consents && !retried) {
             consentedView = received;
             consentedProposer = host;
             enterPhase(ViewPhase.STOPPED);
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryAfterQueue.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryAfterQueue.java
@@ -27,7 +27,7 @@
     /** Fraction of a caller's remaining time that may be spent waiting; the rest is for its answer. */
     static final double MAX_REMAINING_FRACTION = 0.3;
 
-    private final Map<String, EnumMap<Urgency, Double>> nextReturnMillis = new HashMap<>();
+    private final Map<String, EnumMap<Urgency, Double>> nextRetryMillis = new HashMap<>();
 
     /**
      * Returns the time after which a rejected caller should retry.
@@ -43,7 +43,7 @@
     public long retryAfterMillis(
             String service, Urgency urgency, double costMillis, long remainingMillis, double draw, long nowMillis) {
         EnumMap<Urgency, Double> byUrgency =
-                nextReturnMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
+                nextRetryMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
         double maxMillis = Math.max(MIN_RETRY_AFTER_MILLIS, MAX_REMAINING_FRACTION * remainingMillis);
         double nextMillis = Math.max(byUrgency.getOrDefault(urgency, 0.0), nowMillis);
         // Callers that could only be given the maximum don't lengthen the queue: whatever comes later comes too late
--- a/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/NodeTest.java
@@ -33,7 +33,7 @@
     private final Node node = Node.of(new NodeIdentity("suva-1", 1, SUVA), Policy.COST, 1);
 
     @Test
-    void shouldAnswerWhenTargetReturnsWholeAnswer() {
+    void shouldAnswerWhenTargetReturnsCompleteAnswer() {
         configure();
         List<Action> started = node.handle(new Event.CallerRequestReceived(draft("r1")), 20);
         Action.StartAttempt attempt = assertInstanceOf(Action.StartAttempt.class, started.get(0));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetStreamsTest.java
@@ -135,7 +135,7 @@
                 1, engine.streams().ownStats(FIRST_EVENT_MILLIS + FAST_MILLIS).lagging());
     }
 
-    /** Guards against an engine that seems slow forever, as a host's streams there have ended or the host is disconnected. */
+    /** Guards against an engine that seems slow forever, as streams of a host ended or it disconnected. */
     @Test
     void shouldRemoveAnotherHostsStatsWhenItReportsNone() {
         TargetStreams streams = engine("a").streams();
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -39,10 +39,10 @@
     }
 
     @Test
-    void shouldReturnStoredAnswerWhenBookingIsRepeatedAtOtherHost() {
+    void shouldReturnStoredAnswerWhenBookingIsRetriedAtOtherHost() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         Outcome.Answered first = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         Outcome.Answered second = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
@@ -51,12 +51,12 @@
     }
 
     @Test
-    void shouldJoinRunningBookingWhenRepeatedBeforeItsEnd() {
+    void shouldJoinRunningBookingWhenRetriedBeforeItsEnd() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertEquals(List.of(), session.pendingTargets("r2"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
     }
@@ -79,7 +79,7 @@
         Session session = Koro.start();
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
@@ -90,7 +90,7 @@
         session.handleEvent("suva-1", new Event.DrainAsked());
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
@@ -115,7 +115,7 @@
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("booking-past-deadline");
@@ -180,13 +180,13 @@
         }
         session.advance(30_000);
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
-        session.end("r1", Koro.whole("steps"));
+        session.end("r1", Koro.completed("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
         assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
         session.request("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r2", Koro.whole("seal 7"));
+        session.end("r2", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("labasa-cut-off");
     }
@@ -203,7 +203,9 @@
         session.handleEvent("suva-1", new Event.DrainAsked()).advance(5_000);
         session.request("suva-1", Koro.draft(session, "r3", "suva"));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).advance(5_000);
+        session.end("r1", Koro.completed("steps"))
+                .end("r2", Koro.completed("seal 7"))
+                .advance(5_000);
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertTrue(Option.of(session.node("suva-1")).isEmpty(), "the host has stopped");
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Koro.java
@@ -78,7 +78,7 @@
     }
 
     /** Returns the result of an attempt with a complete answer. */
-    static AttemptResult whole(String body) {
+    static AttemptResult completed(String body) {
         byte[] bytes = body.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         return new AttemptResult.Completed(Answer.of(200, "application/json", bytes), List.of());
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
@@ -117,7 +117,7 @@
         String target = session.pendingTargets(id).get(0);
         AttemptResult result =
                 switch (resultKind) {
-                    case 0 -> Koro.whole(id);
+                    case 0 -> Koro.completed(id);
                     case 1 -> Koro.lost(target);
                     default -> Koro.refused(target);
                 };
@@ -125,7 +125,7 @@
             countRun(id);
         }
         session.end(id, result);
-        session.handleEvent(host(choice), new Event.AttemptEnded(id, 1, Koro.whole("late")));
+        session.handleEvent(host(choice), new Event.AttemptEnded(id, 1, Koro.completed("late")));
     }
 
     private void countRun(String id) {
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -21,7 +21,7 @@
         Session session = Koro.start();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         assertEquals(List.of("plank-suva"), session.pendingTargets("r1"));
-        session.end("r1", Koro.whole("steps"));
+        session.end("r1", Koro.completed("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         session.transcript().assertMatches("serve-at-home");
     }
@@ -66,7 +66,7 @@
         Session session = Koro.start().listAsLeaving("plank-suva").advance(4_000);
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         assertEquals(1, session.pendingTargets("r1").size());
-        session.end("r1", Koro.whole("steps"));
+        session.end("r1", Koro.completed("steps"));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertEquals(3, answered.path().size(), () -> "path " + answered.path());
     }
@@ -82,12 +82,12 @@
                 .publishList();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
-        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.completed("late")));
         assertEquals(List.of(), session.outcomes("r1"));
-        session.end("r1", Koro.whole("second"));
-        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.whole("late")));
+        session.end("r1", Koro.completed("second"));
+        session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.completed("late")));
         Outcome.Answered answered = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
-        assertEquals(((AttemptResult.Completed) Koro.whole("second")).answer(), answered.answer());
+        assertEquals(((AttemptResult.Completed) Koro.completed("second")).answer(), answered.answer());
         session.transcript().assertMatches("late-answer");
     }
 
@@ -148,7 +148,7 @@
     void shouldChooseTargetOfOwnServiceWhenOtherServiceHadSamePrefix() {
         Session session = Koro.start();
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
-        session.end("r1", Koro.whole("steps"));
+        session.end("r1", Koro.completed("steps"));
         session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
         assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -31,7 +31,7 @@
                                 .count()
                         >= 8,
                 "home has free slots");
-        requestIds.forEach(id -> session.end(id, Koro.whole("steps")));
+        requestIds.forEach(id -> session.end(id, Koro.completed("steps")));
         session.advance(2_000);
         for (String id : sendRequests(session, "idle", "suva", 4)) {
             assertTrue(isWaitingAt(session, id, "plank-suva"), "an idle home keeps its work");
@@ -68,7 +68,7 @@
      * only per request.
      */
     @Test
-    void shouldBoundAttemptsWhenBothTargetsRefuseAllRequests() {
+    void shouldBoundAttemptsWhenBothTargetsRejectAllRequests() {
         Session session = twoTargets("labasa");
         session.transcript().clear();
         int attempts = 0;
@@ -98,7 +98,7 @@
     private static void recordRunTimes(Session session, String region) {
         List<String> requestIds = sendRequests(session, "learn", region, 5);
         session.advance(4_000);
-        requestIds.forEach(id -> session.end(id, Koro.whole("steps")));
+        requestIds.forEach(id -> session.end(id, Koro.completed("steps")));
     }
 
     private static List<String> sendRequests(Session session, String name, String region, int count) {
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListPoller.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/platform/HostListPoller.java
@@ -54,11 +54,11 @@
         if (pollInFlight.compareAndSet(false, true)) {
             client.send(WebRequest.get(uri, timeoutMillis))
                     .whenComplete((result, error) -> pollInFlight.set(false))
-                    .thenAccept(this::handleReply);
+                    .thenAccept(this::handleResult);
         }
     }
 
-    private void handleReply(WebResult result) {
+    private void handleResult(WebResult result) {
         boolean valid = result.successBody()
                 .flatMap(body -> HostListJson.read(body).toOption())
                 .peek(this::publish)
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/store/EtcdStore.java
@@ -141,11 +141,11 @@
         } else if (webResult instanceof WebResult.Lost lost) {
             return replyWithoutResponse(command, lost.reason());
         }
-        WebResult.Response answered = (WebResult.Response) webResult;
-        if (!answered.isSuccess()) {
-            return replyWithoutResponse(command, "the store responded with status " + answered.status());
+        WebResult.Response response = (WebResult.Response) webResult;
+        if (!response.isSuccess()) {
+            return replyWithoutResponse(command, "the store responded with status " + response.status());
         }
-        return EtcdJson.replyOf(command, answered.body())
+        return EtcdJson.replyOf(command, response.body())
                 .getOrElse(() -> replyWithoutResponse(command, "the store's response could not be parsed"));
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
@@ -86,7 +86,7 @@
             if (finished) {
                 return;
             }
-            exchange = Option.some(exchangeClient.start(loop, targetCall.exchange(), this));
+            exchange = Option.some(exchangeClient.start(loop, targetCall.exchangeRequest(), this));
             deadlineTimer = Option.some(loop.schedule(this::expire, timeoutMillis, TimeUnit.MILLISECONDS));
             scheduleOverdueCheck();
         });
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetCall.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetCall.java
@@ -15,9 +15,10 @@
  * @param sentId the request identifier that the target has to echo
  * @param model whether the target is a model engine
  * @param resumeAtEvent the number of the first stream event to send, zero for a new execution
- * @param exchange the HTTP exchange to start
+ * @param exchangeRequest the HTTP exchange to start
  */
-record TargetCall(ListedHost target, String sentId, boolean model, long resumeAtEvent, ExchangeRequest exchange) {
+record TargetCall(
+        ListedHost target, String sentId, boolean model, long resumeAtEvent, ExchangeRequest exchangeRequest) {
     static final String REQUEST_ID = "X-Request-Id";
     private static final String STREAMS = "/v1/streams/";
     private static final String CHAT = "/v1/chat/completions";
@@ -38,13 +39,14 @@
         if (resumeAtEvent > 0) {
             String path = streamPath(sentId) + "?from=" + resumeAtEvent;
             return new TargetCall(
-                    target, sentId, model, resumeAtEvent, exchange(target, "GET", path, headers, new byte[0]));
+                    target, sentId, model, resumeAtEvent, exchangeRequest(target, "GET", path, headers, new byte[0]));
         }
         if (!envelope.contentType().isEmpty()) {
             headers.put("Content-Type", envelope.contentType());
         }
         request.idempotencyKey().forEach(key -> headers.put("Idempotency-Key", key));
-        ExchangeRequest exchange = exchange(target, envelope.method(), envelope.path(), headers, envelope.body());
+        ExchangeRequest exchange =
+                exchangeRequest(target, envelope.method(), envelope.path(), headers, envelope.body());
         return new TargetCall(target, sentId, model, 0, exchange);
     }
 
@@ -56,7 +58,7 @@
         return resumeAtEvent > 0;
     }
 
-    private static ExchangeRequest exchange(
+    private static ExchangeRequest exchangeRequest(
             ListedHost target, String method, String path, Map<String, String> headers, byte[] body) {
         return new ExchangeRequest(target.address(), target.port(), method, path, headers, body);
     }
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/Targets.java
@@ -115,9 +115,9 @@
                 .put("subject", order.subject())
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
-        WebRequest call = WebRequest.post(uriOf(target.get(), "/orders"), body, controlTimeoutMillis)
+        WebRequest request = WebRequest.post(uriOf(target.get(), "/orders"), body, controlTimeoutMillis)
                 .withHeader(TargetCall.REQUEST_ID, "order-" + order.orderId());
-        resources.webClient().send(call).thenAccept(webResult -> resources
+        resources.webClient().send(request).thenAccept(webResult -> resources
                 .eventSink()
                 .raise(new Event.OrderAnswered(order.orderId(), resultOf(webResult))));
     }
@@ -168,11 +168,11 @@
     }
 
     private static OrderResult resultOf(WebResult webResult) {
-        if (webResult instanceof WebResult.Response answered) {
-            if (answered.isSuccess()) {
+        if (webResult instanceof WebResult.Response response) {
+            if (response.isSuccess()) {
                 return OrderResult.TAKEN;
             }
-            return answered.status() == CONFLICT ? OrderResult.FENCED : OrderResult.REFUSED;
+            return response.status() == CONFLICT ? OrderResult.FENCED : OrderResult.REFUSED;
         }
         return webResult instanceof WebResult.NotSent ? OrderResult.REFUSED : OrderResult.UNSURE;
     }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/ClusterStateUpdater.java
@@ -48,7 +48,7 @@
             applyTargetEntry(registered.entry());
         } else if (event instanceof ClusterEvent.TargetRemoved removed) {
             state.pool().remove(removed.id(), state.nowMillis());
-            logTargetGone(removed.id(), "its entry was removed");
+            logTargetRemoved(removed.id(), "its entry was removed");
         } else if (event instanceof ClusterEvent.EvacuationChanged evacuation) {
             state.pool().evacuate(evacuation.dataCentre(), evacuation.active(), state.nowMillis());
             state.log()
@@ -99,7 +99,7 @@
     void tick(long nowMillis) {
         state.pool()
                 .tick(nowMillis)
-                .forEach(id -> logTargetGone(id, "its entry was not restored in time after the store returned"));
+                .forEach(id -> logTargetRemoved(id, "its entry was not restored in time after the store returned"));
     }
 
     private void applyConfiguration(GatewayConfiguration configuration) {
@@ -129,7 +129,7 @@
         state.markRetiringTargets();
         change.terminated().forEach(previous -> {
             state.connections().closeAll(previous);
-            logTargetGone(previous.incarnationText(), "the target has restarted");
+            logTargetRemoved(previous.incarnationText(), "the target has restarted");
         });
         change.changed().forEach(target -> state.log()
                 .writeImportant(LogLine.of(LogEvent.TARGET_CHANGED)
@@ -155,7 +155,7 @@
         }
     }
 
-    private void logTargetGone(String id, String reason) {
+    private void logTargetRemoved(String id, String reason) {
         state.log()
                 .writeImportant(
                         LogLine.of(LogEvent.TARGET_GONE).with("target", id).with("reason", reason));
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/Gateway.java
@@ -204,7 +204,7 @@
                 .with("reason", reason));
         Option.of(forwarded.remove(link))
                 .forEach(calls -> List.copyOf(calls.values()).forEach(ForwardedRequest::cancel));
-        stateExchange.lost(link);
+        stateExchange.disconnected(link);
     }
 
     @Override
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/GatewayStop.java
@@ -72,8 +72,8 @@
         return portsClosed ? 0 : plan.acceptMillis(stoppingMillis(), otherHosts());
     }
 
-    private boolean mayAccept(Option<Long> longestMillis) {
-        return !aborted && plan.mayAccept(stoppingMillis(), otherHosts(), longestMillis);
+    private boolean mayAccept(Option<Long> maxDurationMillis) {
+        return !aborted && plan.mayAccept(stoppingMillis(), otherHosts(), maxDurationMillis);
     }
 
     private long stoppingMillis() {
@@ -82,15 +82,16 @@
 
     private PeerAvailability otherHosts() {
         boolean anyAcceptsCallers = false;
-        long longestMillis = 0;
+        long maxPeerAcceptMillis = 0;
         for (PeerLink link : links.aliveLinks()) {
             if (link.isInOwnRegion()) {
                 anyAcceptsCallers |= link.state().acceptsCallers();
-                longestMillis = Math.max(longestMillis, link.state().acceptMillis() - link.stateAgeMillis());
+                maxPeerAcceptMillis =
+                        Math.max(maxPeerAcceptMillis, link.state().acceptMillis() - link.stateAgeMillis());
             }
         }
         long ownMillis = plan.acceptMillis(stoppingMillis(), PeerAvailability.UNAVAILABLE);
-        return PeerAvailability.of(links.knowsOthersInOwnRegion(), anyAcceptsCallers, longestMillis, ownMillis);
+        return PeerAvailability.of(links.knowsOthersInOwnRegion(), anyAcceptsCallers, maxPeerAcceptMillis, ownMillis);
     }
 
     /** Advances the stop; called periodically until the process terminates. */
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/PeerStateExchange.java
@@ -214,9 +214,9 @@
         }
     }
 
-    void lost(PeerLink link) {
+    void disconnected(PeerLink link) {
         lastReports.remove(link);
-        replication.lost(link);
+        replication.disconnected(link);
         link.host().forEach(host -> updateWorkOfHost(host.name(), List.of()));
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/RegionReplication.java
@@ -61,7 +61,7 @@
         replicator.tick(alive, this, nowMillis);
     }
 
-    void lost(PeerLink link) {
+    void disconnected(PeerLink link) {
         replicator.disconnected(link);
     }
 
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ForwardedRequest.java
@@ -121,12 +121,12 @@
     }
 
     @Override
-    public void head(int status, HttpHeaders headers) {
+    public void headersReceived(int status, HttpHeaders headers) {
         link.send(new PeerFrame.ResponseHead(frame.call(), status, PeerLink.flatten(headers), target));
     }
 
     @Override
-    public void content(ByteBuf bytes) {
+    public void contentReceived(ByteBuf bytes) {
         if (firstChunkAtMillis == 0) {
             firstChunkAtMillis = state.nowMillis();
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
@@ -83,7 +83,7 @@
     private long connectedPeersAtMillis = Long.MIN_VALUE / 2;
     private final long startedAtMillis;
     private final MaxDurations recentDurations = new MaxDurations();
-    private Predicate<Option<Long>> mayAccept = longestMillis -> true;
+    private Predicate<Option<Long>> mayAccept = maxDurationMillis -> true;
     private BooleanSupplier isFeedComplete = () -> false;
     private Consumer<GatewayTarget> largePrefillListener = target -> {};
 
@@ -330,7 +330,7 @@
     /**
      * Restricts which requests may start from now on.
      *
-     * @param limit decides whether a request may start, given the longest recent duration in milliseconds of requests
+     * @param limit decides whether a request may start, given the maximum recent duration in milliseconds of requests
      *     of its route
      */
     public void limitStarts(Predicate<Option<Long>> limit) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/LocalAttempt.java
@@ -60,15 +60,15 @@
     }
 
     @Override
-    public void head(int status, HttpHeaders headers) {
+    public void headersReceived(int status, HttpHeaders headers) {
         success = status < HttpResponseStatus.BAD_REQUEST.code();
-        listener.head(status, headers);
+        listener.headersReceived(status, headers);
     }
 
     @Override
-    public void content(ByteBuf bytes) {
+    public void contentReceived(ByteBuf bytes) {
         sentRequest.recordEvent(success, state.nowMillis());
-        listener.content(bytes);
+        listener.contentReceived(bytes);
     }
 
     @Override
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/ProxiedRequest.java
@@ -446,7 +446,7 @@
         }
 
         @Override
-        public void head(int status, HttpHeaders headers) {
+        public void headersReceived(int status, HttpHeaders headers) {
             if (!active || finished) {
                 return;
             }
@@ -462,7 +462,7 @@
         }
 
         @Override
-        public void content(ByteBuf bytes) {
+        public void contentReceived(ByteBuf bytes) {
             if (active && !finished) {
                 response.content(bytes, state.nowMillis());
             }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -370,12 +370,12 @@
             PeerAttempt call = calls.get(head.call());
             if (call != null) {
                 call.target = head.target();
-                call.listener.head(head.status(), unflatten(head.headers()));
+                call.listener.headersReceived(head.status(), unflatten(head.headers()));
             }
         } else if (frame instanceof PeerFrame.ResponseChunk chunk) {
             PeerAttempt call = calls.get(chunk.call());
             if (call != null) {
-                call.listener.content(Unpooled.wrappedBuffer(chunk.bytes()));
+                call.listener.contentReceived(Unpooled.wrappedBuffer(chunk.bytes()));
             }
         } else if (frame instanceof PeerFrame.ResponseEnd end) {
             Option.of(calls.remove(end.call())).forEach(call -> call.listener.completed());
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/AttemptListener.java
@@ -14,14 +14,14 @@
      * @param status the status
      * @param headers the headers, without hop-by-hop headers
      */
-    void head(int status, HttpHeaders headers);
+    void headersReceived(int status, HttpHeaders headers);
 
     /**
      * Called when a chunk of the response's body was received.
      *
      * @param bytes the chunk, which is valid only during the call
      */
-    void content(ByteBuf bytes);
+    void contentReceived(ByteBuf bytes);
 
     /** Called when the response is complete. */
     void completed();
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
@@ -120,12 +120,12 @@
         } else {
             target.recordSuccess();
         }
-        listener.head(status, headers);
+        listener.headersReceived(status, headers);
     }
 
     void content(ByteBuf bytes) {
         if (!finished && !rejected) {
-            listener.content(bytes);
+            listener.contentReceived(bytes);
         }
     }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/GatewayFlowTest.java
@@ -148,7 +148,7 @@
      * and another target resumes: a partial event was forwarded, or the second attempt resumed at the wrong event.
      */
     @Test
-    void shouldResumeAfterTheLastWholeEventWhenAResumableStreamBreaks() throws Exception {
+    void shouldResumeAfterTheLastCompleteEventWhenAResumableStreamBreaks() throws Exception {
         TestTarget.Script script = (request, out) -> {
             String last = TestTarget.header(request, "last-event-id");
             TestTarget.write(out, TestTarget.streamHead(request));
@@ -432,12 +432,12 @@
                 TestTarget restarted = new TestTarget(
                         (request, out) -> TestTarget.write(out, TestTarget.answer(request, 200, "later")))) {
             gateway.configure(RouteKind.UNSAFE, false, 1);
-            gateway.enterTarget(new TargetIncarnation("t1", 1_000), previous.port());
+            gateway.registerTarget(new TargetIncarnation("t1", 1_000), previous.port());
             gateway.awaitTargets(1);
             TestCaller waiting = gateway.caller().send(request("q1", "b"));
             previous.nextRequest();
 
-            gateway.enterTarget(new TargetIncarnation("t1", 2_000), restarted.port());
+            gateway.registerTarget(new TargetIncarnation("t1", 2_000), restarted.port());
 
             assertTrue(waiting.readUntil("\r\n\r\n").startsWith("HTTP/1.1 502"));
             assertTrue(
@@ -463,7 +463,7 @@
                     .send(request("q1", "b"))
                     .readUntil("\r\n\r\n")
                     .startsWith("HTTP/1.1 503"));
-            gateway.enterTarget(new TargetIncarnation("t1", 0), target.port());
+            gateway.registerTarget(new TargetIncarnation("t1", 0), target.port());
             gateway.target("t2", target.port());
             assertTrue(
                     gateway.caller().send(request("q2", "b")).readUntil("done").startsWith("HTTP/1.1 200"));
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -148,7 +148,7 @@
 
     /** Adds a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
-        enterTarget(new TargetIncarnation(id, 0), port);
+        registerTarget(new TargetIncarnation(id, 0), port);
         targets++;
         awaitMetric("targets " + targets);
         return this;
@@ -178,7 +178,7 @@
     }
 
     /** Adds an incarnation of a target. */
-    void enterTarget(TargetIncarnation incarnation, int port) {
+    void registerTarget(TargetIncarnation incarnation, int port) {
         TargetEntry entry = new TargetEntry(incarnation, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
         store.put("targets/" + incarnation.id(), new ClusterEvent.TargetRegistered(entry), false);
     }
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/peer/PeerLinksTest.java
@@ -45,12 +45,12 @@
 
         link.sendRequest(number -> null, new AttemptListener() {
             @Override
-            public void head(int status, HttpHeaders headers) {
+            public void headersReceived(int status, HttpHeaders headers) {
                 throw new AssertionError("unexpected response");
             }
 
             @Override
-            public void content(ByteBuf bytes) {
+            public void contentReceived(ByteBuf bytes) {
                 throw new AssertionError("unexpected response");
             }
 
