--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CatchUpOrder.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/CatchUpOrder.java
@@ -8,7 +8,7 @@
 /**
  * Staggers the hosts that could send a host the store contents it lacks.
  *
- * <p>It guards against a simultaneous catch-up: when a host starts while the store answers nobody, each of thirty hosts
+ * <p>It guards against a simultaneous catch-up: when a host starts while the store is unavailable, each of thirty hosts
  * would send it everything at the same moment, some 3 MB over a link that takes 2.4 s for them. Staggered, the first
  * live host sends it, and the others see from its next state report that it has caught up. Stateless and thread safe.
  */
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/GatewayTarget.java
@@ -23,7 +23,7 @@
     /** Fraction of an engine's KV cache that is assumed to hold cached prompt parts; running requests hold the rest. */
     private static final double PREFIX_CACHE_FRACTION = 0.5;
 
-    /** Bytes of any answer within this time show that a target is alive, whatever happens on a single connection. */
+    /** Bytes of any answer within this time show that a target is alive, regardless of failures of a single connection. */
     private static final long ACTIVITY_TIMEOUT_MILLIS = 1_000;
 
     private static final long SECOND_MILLIS = 1_000;
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanism.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/Mechanism.java
@@ -12,7 +12,7 @@
     FORWARD,
     /** Requests that failed and may run again are retried. */
     REPEAT,
-    /** Attempts at targets that respond to nobody are abandoned before a request's time is up. */
+    /** Attempts at unresponsive targets are abandoned before a request's time is up. */
     LEAVE_SILENT,
     /** Targets that fail are ejected for a while. */
     LEAVE_OUT_FAILING,
--- a/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryAfterQueue.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/gateway/RetryAfterQueue.java
@@ -46,8 +46,8 @@
                 nextRetryMillis.computeIfAbsent(service, name -> new EnumMap<>(Urgency.class));
         double maxMillis = Math.max(MIN_RETRY_AFTER_MILLIS, MAX_REMAINING_FRACTION * remainingMillis);
         double nextMillis = Math.max(byUrgency.getOrDefault(urgency, 0.0), nowMillis);
-        // Callers that could only be given the maximum don't lengthen the queue: whatever comes later comes too late
-        // for it.
+        // Callers whose delay is capped at the maximum don't lengthen the queue: a later retry would be too late for
+        // their deadline.
         byUrgency.put(urgency, Math.min(nextMillis + costMillis, nowMillis + maxMillis));
         double retryAfterMillis = nextMillis - nowMillis + MIN_RETRY_AFTER_MILLIS + JITTER_MILLIS * draw;
         return Math.round(Math.min(retryAfterMillis, maxMillis));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/AdmissionControl.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/AdmissionControl.java
@@ -86,7 +86,7 @@
         long untilWithinShareMillis =
                 backlog.depth() > FAIR_SHARE_MIN_DEPTH ? fairShare.millisUntilWithinShare(request.account()) : 0;
         if (untilWithinShareMillis > 0) {
-            // The account is admitted again when it is back within its share or when the backlog is gone, whichever
+            // The account is admitted again when it is back within its share or when the backlog is empty, whichever
             // comes first.
             double backlogMillis = backlog.queueWaitMillis() - FAIR_SHARE_MIN_DEPTH * backlog.meanRunMillis();
             long soonestMillis = Math.round(Math.min(untilWithinShareMillis, backlogMillis));
--- a/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/limit/RetryBudget.java
@@ -44,7 +44,7 @@
     public boolean tryAcquire(int attempts) {
         // Prevents retry storms: if all requests fail, each failed attempt would start another one and overload the
         // remaining targets; symptom: attempts grow while answers do not. The budget bounds retries by new requests,
-        // whatever fails.
+        // regardless of what fails.
         if (attempts >= MAX_ATTEMPTS || tokens < 1) {
             return false;
         }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CatchUpOrderTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/CatchUpOrderTest.java
@@ -18,7 +18,7 @@
     private static final long REPORT_DELAY_MILLIS = 600;
 
     /**
-     * Guards against a host that starts during a store outage serving nobody for seconds, though all others have the
+     * Guards against a host that starts during a store outage serving no requests for seconds, though all others have the
      * store's contents. It comes about when each of thirty hosts sees that the host lacks them and sends all of them at
      * once: its link takes seconds for thirty copies.
      */
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/TargetPoolTest.java
@@ -148,7 +148,7 @@
     /**
      * Guards against requests to an unintended address. Another writer replaces a target's entry by an unreadable one,
      * and the target's own next entry is readable; it comes about when the earlier entry stays in use, or the target is
-     * considered removed for good.
+     * considered removed permanently.
      */
     @Test
     void shouldSendNothingWhenATargetsEntryIsUnreadable() {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
@@ -102,7 +102,7 @@
         target.recordActivity(clock.nowMillis());
     }
 
-    void head(int status, HttpHeaders headers) {
+    void headersReceived(int status, HttpHeaders headers) {
         if (finished) {
             return;
         }
@@ -123,7 +123,7 @@
         listener.headersReceived(status, headers);
     }
 
-    void content(ByteBuf bytes) {
+    void contentReceived(ByteBuf bytes) {
         if (!finished && !rejected) {
             listener.contentReceived(bytes);
         }
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetConnection.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetConnection.java
@@ -157,7 +157,7 @@
         headers.remove(HttpHeaderNames.CONNECTION);
         headers.remove(HttpHeaderNames.TRANSFER_ENCODING);
         headers.remove("Keep-Alive");
-        attempt.head(status, headers);
+        attempt.headersReceived(status, headers);
     }
 
     private boolean isOwnResponse(int status, String echoed) {
@@ -188,7 +188,7 @@
 
     private void readContent(ByteBuf bytes) {
         if (!discarding && bytes.isReadable()) {
-            attempt.content(bytes);
+            attempt.contentReceived(bytes);
         }
     }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/PeerFlowTest.java
@@ -147,8 +147,8 @@
     @Test
     void shouldSendStoreItemsToAStartingHostWhenTheStoreIsUnavailable() throws Exception {
         gateway.configure(RouteKind.SAFE, false, 1);
-        gateway.loseStore();
-        gateway.awaitStoreLost();
+        gateway.makeStoreUnavailable();
+        gateway.awaitStoreUnavailable();
         try (TestPeer peer = gateway.peer()) {
             peer.reportEmptyCopy();
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/StoreBandwidthFlowTest.java
@@ -104,7 +104,7 @@
         awaitWatching(watchers.get(0), false);
         long lists = gateway.storeLists();
 
-        gateway.loseStore();
+        gateway.makeStoreUnavailable();
         gateway.awaitLogged("\"event\":\"lease_failed\"");
         for (int i = 0; i < ROUNDS; i++) {
             for (TestPeer watcher : watchers) {
@@ -129,7 +129,7 @@
         try (TestPeer peer = gateway.sameRegionPeer("n1")) {
             peer.drainInBackground();
             awaitWatching(watchers.get(0), false);
-            gateway.loseStore();
+            gateway.makeStoreUnavailable();
             keepReporting(watchers, peer);
             gateway.awaitLogged("\"event\":\"lease_failed\"");
             long bytesBefore = gateway.metric("peer_bytes_sent{kind=\"store\"}");
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -235,12 +235,12 @@
     }
 
     /** Makes the store answer no further call. */
-    void loseStore() {
+    void makeStoreUnavailable() {
         store.down(true);
     }
 
     /** Waits until the gateway has detected that the store does not answer. */
-    void awaitStoreLost() {
+    void awaitStoreUnavailable() {
         awaitLogged("\"event\":\"store_lost\"");
     }
 
