--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/IoResources.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/runtime/IoResources.java
@@ -25,7 +25,7 @@
         Objects.requireNonNull(loops, "loops");
         Objects.requireNonNull(webClient, "webClient");
         Objects.requireNonNull(exchangeClient, "exchangeClient");
-        Objects.requireNonNull(eventSink, "events");
+        Objects.requireNonNull(eventSink, "eventSink");
         Objects.requireNonNull(clock, "clock");
     }
 }
