--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -10,13 +10,13 @@
  *
  * @param requestId the request
  * @param service the requested service
- * @param decisions the routing decisions of its attempts, oldest first
+ * @param routings the routing decisions of its attempts, oldest first
  * @param outcome the outcome's label, empty while the request is in flight
  */
-public record Explanation(String requestId, String service, List<RoutingDecision> decisions, String outcome) {
+public record Explanation(String requestId, String service, List<RoutingDecision> routings, String outcome) {
     public Explanation {
         Objects.requireNonNull(requestId, "requestId");
-        decisions = List.copyOf(decisions);
+        routings = List.copyOf(routings);
         outcome = Objects.requireNonNullElse(outcome, "");
     }
 
@@ -24,11 +24,11 @@
         return new Explanation(
                 requestId,
                 service,
-                io.vavr.collection.List.ofAll(decisions).append(decision).asJava(),
+                io.vavr.collection.List.ofAll(routings).append(decision).asJava(),
                 outcome);
     }
 
     Explanation withOutcome(String label) {
-        return new Explanation(requestId, service, decisions, label);
+        return new Explanation(requestId, service, routings, label);
     }
 }
