--- a/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/Explanation.java
@@ -20,11 +20,11 @@
         outcome = Objects.requireNonNullElse(outcome, "");
     }
 
-    Explanation withRouting(RoutingDecision routing) {
+    Explanation withDecision(RoutingDecision decision) {
         return new Explanation(
                 requestId,
                 service,
-                io.vavr.collection.List.ofAll(routings).append(routing).asJava(),
+                io.vavr.collection.List.ofAll(routings).append(decision).asJava(),
                 outcome);
     }
 
--- a/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/claim/ViewManager.java
@@ -128,7 +128,7 @@
 
     /**
      * Returns whether no claim can be granted until the store recovers: the store is unavailable, and either no other
-     * member can be asked, or a member is lost and only the store could remove it.
+     * member can be queried, or a member is lost and only the store could remove it.
      */
     boolean isClaimingBlocked(long nowMillis) {
         if (!store.isUnavailable()) {
@@ -556,7 +556,7 @@
         } else if (reply instanceof StoreReply.Unavailable && change.get().canWithdraw()) {
             abandonChange(nowMillis, out);
         }
-        // A write with an unknown outcome is repeated unchanged when due: the record shows whether it was applied,
+        // A write with an unknown outcome is retried unchanged when due: the record shows whether it was applied,
         // whereas an unchanged record does not prove that it never will be.
     }
 
@@ -724,10 +724,9 @@
         }
         boolean sameView =
                 view.get().number() == message.fromNumber() && view.get().contains(new ViewMemberId(host, incarnation));
-        boolean repeated =
-                consentedView.exists(consented -> consented.changeId().equals(proposed.changeId()));
-        boolean consents = sameView && change.isEmpty() && (repeated || phase == ViewPhase.ACTIVE);
-        if (consents && !repeated) {
+        boolean retried = consentedView.exists(consented -> consented.changeId().equals(proposed.changeId()));
+        boolean consents = sameView && change.isEmpty() && (retried || phase == ViewPhase.ACTIVE);
+        if (consents && !retried) {
             consentedView = received;
             consentedProposer = host;
             enterPhase(ViewPhase.STOPPED);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/ClaimSessionTest.java
@@ -39,10 +39,10 @@
     }
 
     @Test
-    void shouldReturnStoredAnswerWhenBookingIsRepeatedAtOtherHost() {
+    void shouldReturnStoredAnswerWhenBookingIsRetriedAtOtherHost() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         Outcome.Answered first = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         Outcome.Answered second = assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
@@ -51,18 +51,18 @@
     }
 
     @Test
-    void shouldJoinRunningBookingWhenRepeatedBeforeItsEnd() {
+    void shouldJoinRunningBookingWhenRetriedBeforeItsEnd() {
         Session session = Koro.start();
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.request("suva-2", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertEquals(List.of(), session.pendingTargets("r2"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
     }
 
     /*
-     * Guards against reporting "not run" to a caller that joined a running call: a key is repeated while its first call
+     * Guards against reporting "not run" to a caller that joined a running call: a key is sent again while its first call
      * runs, and the second caller's deadline passes first. The joined request has no attempt of its own.
      */
     @Test
@@ -79,7 +79,7 @@
         Session session = Koro.start();
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
@@ -90,7 +90,7 @@
         session.handleEvent("suva-1", new Event.DrainAsked());
         session.request("lautoka-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         assertEquals(List.of("desk-suva"), session.pendingTargets("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
     }
 
@@ -107,7 +107,7 @@
 
     /*
      * Guards against losing the answer of a booking that outlasts its caller's deadline. The answer arrives late and
-     * the caller repeats its key; the claimed call must not be cancelled, and its late answer must be stored.
+     * the caller retries with its key; the claimed call must not be cancelled, and its late answer must be stored.
      */
     @Test
     void shouldStoreLateAnswerWhenCallersDeadlineHasPassed() {
@@ -115,7 +115,7 @@
         session.request("suva-1", Koro.booking(session, "r1", "suva", Koro.KEY));
         session.advance(Koro.TIMEOUT_MILLIS + Session.TICK_MILLIS);
         assertInstanceOf(Outcome.Unknown.class, session.onlyOutcome("r1"));
-        session.end("r1", Koro.whole("seal 7"));
+        session.end("r1", Koro.completed("seal 7"));
         session.request("suva-1", Koro.booking(session, "r2", "suva", Koro.KEY));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("booking-past-deadline");
@@ -123,7 +123,7 @@
 
     /*
      * Guards against running a booking twice. The host that accepted it is killed after sending it to the target, and
-     * the caller repeats its key at the other host, which must have a copy of the claim.
+     * the caller retries with its key at the other host, which must have a copy of the claim.
      */
     @Test
     void shouldRunBookingOnceWhenHostIsKilledAfterItsClaim() {
@@ -139,7 +139,7 @@
 
     /*
      * Guards against keeping a caller waiting until its deadline for a result that is lost. The store is unavailable,
-     * the host that runs a booking is killed, and the key is repeated at the other host, which holds the claim; the
+     * the host that runs a booking is killed, and the key is sent again to the other host, which holds the claim; the
      * lost host cannot be removed from the view while the store is unavailable.
      */
     @Test
@@ -155,7 +155,7 @@
     }
 
     /*
-     * Guards against running a booking again that is repeated the next day: its claim has been removed after the
+     * Guards against running a booking again that is retried the next day: its claim has been removed after the
      * retention period, and an old key without a timestamp cannot be distinguished from a new one.
      */
     @Test
@@ -169,7 +169,7 @@
 
     /*
      * Guards against running the same booking in Labasa and in Suva. Labasa is partitioned from the other regions and
-     * from the platform; a caller books there and repeats its key in Suva, which must not take over the key because
+     * from the platform; a caller books there and retries with its key in Suva, which must not take over the key because
      * Labasa is unresponsive.
      */
     @Test
@@ -180,13 +180,13 @@
         }
         session.advance(30_000);
         session.request("labasa-1", Koro.draft(session, "r1", "labasa"));
-        session.end("r1", Koro.whole("steps"));
+        session.end("r1", Koro.completed("steps"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         session.request("labasa-1", Koro.booking(session, "r2", "labasa", Koro.KEY));
         assertEquals(List.of("desk-labasa"), session.pendingTargets("r2"));
         session.request("suva-1", Koro.booking(session, "r3", "labasa", Koro.KEY));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r2", Koro.whole("seal 7"));
+        session.end("r2", Koro.completed("seal 7"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         session.transcript().assertMatches("labasa-cut-off");
     }
@@ -203,7 +203,9 @@
         session.handleEvent("suva-1", new Event.DrainAsked()).advance(5_000);
         session.request("suva-1", Koro.draft(session, "r3", "suva"));
         assertInstanceOf(Outcome.NotRun.class, session.onlyOutcome("r3"));
-        session.end("r1", Koro.whole("steps")).end("r2", Koro.whole("seal 7")).advance(5_000);
+        session.end("r1", Koro.completed("steps"))
+                .end("r2", Koro.completed("seal 7"))
+                .advance(5_000);
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r1"));
         assertInstanceOf(Outcome.Answered.class, session.onlyOutcome("r2"));
         assertTrue(Option.of(session.node("suva-1")).isEmpty(), "the host has stopped");
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/pass/GatewayState.java
@@ -83,7 +83,7 @@
     private long connectedPeersAtMillis = Long.MIN_VALUE / 2;
     private final long startedAtMillis;
     private final MaxDurations recentDurations = new MaxDurations();
-    private Predicate<Option<Long>> mayAccept = longestMillis -> true;
+    private Predicate<Option<Long>> mayAccept = maxDurationMillis -> true;
     private BooleanSupplier isFeedComplete = () -> false;
     private Consumer<GatewayTarget> largePrefillListener = target -> {};
 
@@ -206,14 +206,14 @@
     }
 
     /** Returns where a request could be sent now, and over which links. */
-    RoutingOptions routingOptions(PlacementRequest demand) {
-        Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(demand.route()) : Map.of();
+    RoutingOptions routingOptions(PlacementRequest request) {
+        Map<String, PeerLink> linksByRegion = uses(Mechanism.FORWARD) ? drawRemoteLinks(request.route()) : Map.of();
         Map<String, Double> networkRoundTripMillis = new HashMap<>();
         linksByRegion.forEach((region, link) -> networkRoundTripMillis.put(region, link.roundTripMillis()));
-        ClusterView surroundings =
+        ClusterView clusterView =
                 new ClusterView(self.location().region(), regionView(), networkRoundTripMillis, drawRegionsOverShare());
         return new RoutingOptions(
-                Placement.of(demand, surroundings, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
+                Placement.of(request, clusterView, chooser, regionLoads, mechanisms, nowMillis()), linksByRegion);
     }
 
     /** Draws the regions that accept no further request, each with probability 1 minus its configured share. */
@@ -330,7 +330,7 @@
     /**
      * Restricts which requests may start from now on.
      *
-     * @param limit decides whether a request may start, given the longest recent duration in milliseconds of requests
+     * @param limit decides whether a request may start, given the maximum recent duration in milliseconds of requests
      *     of its route
      */
     public void limitStarts(Predicate<Option<Long>> limit) {
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/peer/PeerLink.java
@@ -234,7 +234,7 @@
     }
 
     /**
-     * Closes the link gracefully: reads pending input in the same step, and sends the other host the number of the last
+     * Closes the link gracefully: reads pending input in the same event loop task, and sends the other host the number of the last
      * accepted call. Without that number it could not determine whether a call that crossed the close has run, and a
      * booking would end with an unknown outcome. Does nothing if a call has arrived.
      *
@@ -370,12 +370,12 @@
             PeerAttempt call = calls.get(head.call());
             if (call != null) {
                 call.target = head.target();
-                call.listener.head(head.status(), unflatten(head.headers()));
+                call.listener.headersReceived(head.status(), unflatten(head.headers()));
             }
         } else if (frame instanceof PeerFrame.ResponseChunk chunk) {
             PeerAttempt call = calls.get(chunk.call());
             if (call != null) {
-                call.listener.content(Unpooled.wrappedBuffer(chunk.bytes()));
+                call.listener.contentReceived(Unpooled.wrappedBuffer(chunk.bytes()));
             }
         } else if (frame instanceof PeerFrame.ResponseEnd end) {
             Option.of(calls.remove(end.call())).forEach(call -> call.listener.completed());
--- a/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
+++ b/rattanplank-gateway/src/main/java/org/rattanplank/gateway/target/TargetAttempt.java
@@ -102,7 +102,7 @@
         target.recordActivity(clock.nowMillis());
     }
 
-    void head(int status, HttpHeaders headers) {
+    void headersReceived(int status, HttpHeaders headers) {
         if (finished) {
             return;
         }
@@ -120,12 +120,12 @@
         } else {
             target.recordSuccess();
         }
-        listener.head(status, headers);
+        listener.headersReceived(status, headers);
     }
 
-    void content(ByteBuf bytes) {
+    void contentReceived(ByteBuf bytes) {
         if (!finished && !rejected) {
-            listener.content(bytes);
+            listener.contentReceived(bytes);
         }
     }
 
--- a/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
+++ b/rattanplank-gateway/src/test/java/org/rattanplank/gateway/TestGateway.java
@@ -148,7 +148,7 @@
 
     /** Adds a target and waits until the gateway knows it. */
     TestGateway target(String id, int port) throws IOException {
-        enterTarget(new TargetIncarnation(id, 0), port);
+        registerTarget(new TargetIncarnation(id, 0), port);
         targets++;
         awaitMetric("targets " + targets);
         return this;
@@ -178,9 +178,9 @@
     }
 
     /** Adds an incarnation of a target. */
-    void enterTarget(TargetIncarnation run, int port) {
-        TargetEntry entry = new TargetEntry(run, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
-        store.put("targets/" + run.id(), new ClusterEvent.TargetRegistered(entry), false);
+    void registerTarget(TargetIncarnation incarnation, int port) {
+        TargetEntry entry = new TargetEntry(incarnation, "desk", "127.0.0.1", port, DATA_CENTRE, 4, false, 0);
+        store.put("targets/" + incarnation.id(), new ClusterEvent.TargetRegistered(entry), false);
     }
 
     /** Waits for the final log line of a request, and returns all its lines. */
@@ -235,12 +235,12 @@
     }
 
     /** Makes the store answer no further call. */
-    void loseStore() {
+    void makeStoreUnavailable() {
         store.down(true);
     }
 
     /** Waits until the gateway has detected that the store does not answer. */
-    void awaitStoreLost() {
+    void awaitStoreUnavailable() {
         awaitLogged("\"event\":\"store_lost\"");
     }
 
