--- a/rattanplank-core/src/main/java/org/rattanplank/core/NodeIdentity.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/NodeIdentity.java
@@ -2,6 +2,7 @@
 
 import java.util.Objects;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import org.rattanplank.core.host.Location;
 
 /**
@@ -11,7 +12,7 @@
  * @param incarnation the process's start time in milliseconds; a later start of the same host has a higher one
  * @param location the host's region and data centre
  */
-public record NodeIdentity(String host, long incarnation, Location location) {
+public record NodeIdentity(String host, long incarnation, @JsonProperty("place") Location location) {
     public NodeIdentity {
         Objects.requireNonNull(host, "host");
         Objects.requireNonNull(location, "location");
--- a/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
+++ b/rattanplank-core/src/main/java/org/rattanplank/core/host/ListedHost.java
@@ -2,6 +2,8 @@
 
 import java.util.Objects;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
+
 /**
  * A host in the platform's host list. Immutable and thread safe.
  *
@@ -17,7 +19,7 @@
 public record ListedHost(
         String name,
         HostRole role,
-        Location location,
+        @JsonProperty("place") Location location,
         String address,
         int port,
         int peerPort,
