--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/path/DataPathMeasurement.java
@@ -42,8 +42,8 @@
         this.model = model;
     }
 
-    /** The cost of a batch of calls. Immutable and thread safe. */
-    private record Cost(int answered, double seconds, double cpuNanos) {}
+    /** The answered calls, the duration and the entry host's CPU time of a batch of calls. Immutable and thread safe. */
+    private record BatchUsage(int answered, double seconds, double cpuNanos) {}
 
     /**
      * Runs the measurement and prints the results of each round.
@@ -66,9 +66,9 @@
     }
 
     private void measure(int round) {
-        Cost queries = queries(round);
-        Cost shortStreams = streams(round, SHORT_STREAM_EVENTS);
-        Cost longStreams = streams(round, LONG_STREAM_EVENTS);
+        BatchUsage queries = queries(round);
+        BatchUsage shortStreams = streams(round, SHORT_STREAM_EVENTS);
+        BatchUsage longStreams = streams(round, LONG_STREAM_EVENTS);
         double eventNanos = (longStreams.cpuNanos() - shortStreams.cpuNanos())
                 / (STREAMS * (double) (LONG_STREAM_EVENTS - SHORT_STREAM_EVENTS));
         System.out.printf(
@@ -92,18 +92,19 @@
         streams(round, LONG_STREAM_EVENTS);
     }
 
-    private Cost queries(int round) {
-        return cost(QUERIES, number -> CallRequest.query("q" + round + "-" + number, model, "torque " + number, 1));
+    private BatchUsage queries(int round) {
+        return measureBatch(
+                QUERIES, number -> CallRequest.query("q" + round + "-" + number, model, "torque " + number, 1));
     }
 
-    private Cost streams(int round, int events) {
-        return cost(
+    private BatchUsage streams(int round, int events) {
+        return measureBatch(
                 STREAMS,
                 number -> CallRequest.draft(
                         "d" + round + "-" + events + "-" + number, model, "manual " + number, events));
     }
 
-    private Cost cost(int calls, IntFunction<CallRequest> call) {
+    private BatchUsage measureBatch(int calls, IntFunction<CallRequest> call) {
         long cpuStartNanos = cpuNanos();
         long startNanos = System.nanoTime();
         List<CompletableFuture<CallResult>> results = new ArrayList<>();
@@ -115,7 +116,7 @@
                 .filter(result -> result.outcome() == CallOutcome.ANSWERED)
                 .count();
         double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
-        return new Cost(Math.toIntExact(answered), seconds, cpuNanos() - cpuStartNanos);
+        return new BatchUsage(Math.toIntExact(answered), seconds, cpuNanos() - cpuStartNanos);
     }
 
     private long cpuNanos() {
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/ChildProcess.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/ChildProcess.java
@@ -29,7 +29,7 @@
 
     private static final Set<Process> RUNNING_PROCESSES = ConcurrentHashMap.newKeySet();
 
-    // A measurement that is terminated from outside would otherwise leave orphaned Java processes that hold ports and
+    // A measurement that is stopped by a signal would otherwise leave orphaned Java processes that hold ports and
     // memory.
     static {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> RUNNING_PROCESSES.forEach(Process::destroyForcibly)));
@@ -116,7 +116,7 @@
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted while waiting for " + name, e);
         }
-        return fields(lines().stream()
+        return parseFields(lines().stream()
                 .filter(line -> line.startsWith(readyPrefix))
                 .findFirst()
                 .orElseThrow());
@@ -136,7 +136,7 @@
     /**
      * Returns whether the process is alive; a suspended process is alive too.
      *
-     * @return false once it has terminated
+     * @return false once it has exited
      */
     public boolean isAlive() {
         return process.isAlive();
@@ -151,7 +151,7 @@
         return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
     }
 
-    /** Requests a graceful stop of the process (SIGTERM). */
+    /** Asks the process to shut down gracefully (SIGTERM); does not wait for its exit. */
     public void terminate() {
         signal("TERM");
     }
@@ -173,19 +173,19 @@
     }
 
     /**
-     * Waits until the process has terminated.
+     * Waits until the process has exited.
      *
      * @return the exit code
      */
     public int awaitExit() {
         try {
             if (!process.waitFor(EXIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException(name + " did not terminate in time");
+                throw new IllegalStateException(name + " did not exit in time");
             }
             return process.exitValue();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IllegalStateException("interrupted while waiting for the termination of " + name, e);
+            throw new IllegalStateException("interrupted while waiting for the exit of " + name, e);
         }
     }
 
@@ -194,7 +194,8 @@
         process.destroyForcibly();
     }
 
-    static Map<String, String> fields(String line) {
+    /** Parses the NAME=VALUE pairs of a line; words of another form are skipped. */
+    static Map<String, String> parseFields(String line) {
         Map<String, String> fields = new LinkedHashMap<>();
         for (String field : line.split(" ")) {
             int equals = field.indexOf('=');
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Deployment.java
@@ -8,7 +8,7 @@
 
 /** The users' deployments, at their current sizes. */
 public enum Deployment {
-    /** Three regions, routed by the cost policy. */
+    /** Three regions of one data centre each, routed by the cost policy. */
     KORO(
             "plank-serve",
             "crew-desk",
@@ -21,7 +21,7 @@
                     new ClientAccount("suva-floor", "suva-hall", Set.of("suva", "lautoka", "labasa")),
                     new ClientAccount("lautoka-floor", "lautoka-hall", Set.of("suva", "lautoka", "labasa")),
                     new ClientAccount("labasa-floor", "labasa-hall", Set.of("labasa")))),
-    /** Three regions, routed by the tail latency policy. */
+    /** Three regions of one data centre each, routed by the tail latency policy. */
     BRAZOS(
             "quote-writer",
             "fleet-desk",
@@ -41,18 +41,23 @@
     private final List<Site> sites;
     private final List<ClientAccount> clientAccounts;
 
-    Deployment(String modelService, String plainService, String policy, List<Site> sites, List<ClientAccount> clients) {
+    Deployment(
+            String modelService,
+            String plainService,
+            String policy,
+            List<Site> sites,
+            List<ClientAccount> clientAccounts) {
         this.modelService = modelService;
         this.plainService = plainService;
         this.policy = policy;
         this.sites = sites;
-        this.clientAccounts = clients;
+        this.clientAccounts = clientAccounts;
     }
 
     /**
-     * Returns the deployment with the given lower-case name.
+     * Returns the deployment with the given label.
      *
-     * @param name the lower-case name
+     * @param name the label
      * @return the deployment, or none
      */
     public static Option<Deployment> of(String name) {
@@ -65,9 +70,10 @@
     }
 
     /**
-     * Returns the lower-case name, which is also the name of the folder with its example configuration.
+     * Returns the label: the deployment's name in lower case, which is also the name of the folder that contains its
+     * example configuration.
      *
-     * @return the lower-case name
+     * @return the label
      */
     public String label() {
         return name().toLowerCase(Locale.ROOT);
@@ -103,7 +109,7 @@
     /**
      * Returns the data centres.
      *
-     * @return the sites
+     * @return the data centres
      */
     public List<Site> sites() {
         return sites;
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/process/Fleet.java
@@ -276,7 +276,7 @@
     private void registerTargets(HostsClient view, Site from, Site to) {
         for (String line : targetProcess(to.dataCentre()).lines()) {
             if (line.startsWith("target ready")) {
-                Map<String, String> target = ChildProcess.fields(line);
+                Map<String, String> target = ChildProcess.parseFields(line);
                 String name = target.get("name");
                 String address = to.equals(from)
                         ? links.toTarget(to.dataCentre(), name, target.get("address"))
--- a/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
+++ b/rattanplank-bench/src/main/java/org/rattanplank/bench/route/Call.java
@@ -29,12 +29,14 @@
     private final Arrival arrival;
     private final Request request;
     private final OutcomeListener listener;
+    /** The names of the targets and hosts that an attempt was sent to. */
     private final Set<String> triedPeers = new HashSet<>();
+
     private Runnable cancelAttempt = () -> {};
     private Option<Route> route = Option.none();
     private int currentAttempt;
-    private long attemptAtMillis;
-    private boolean done;
+    private long attemptStartedAtMillis;
+    private boolean finished;
 
     Call(Simulation simulation, Host host, Arrival arrival, Request request, OutcomeListener listener) {
         this.simulation = simulation;
@@ -47,7 +49,7 @@
     void start() {
         Option<RoutingDecision.Reject> rejection = host.router.admit(request, now());
         if (rejection.isDefined()) {
-            done = true;
+            finished = true;
             listener.notRun(rejection.get().retryAfterMillis());
             return;
         }
@@ -57,7 +59,7 @@
 
     /** Cancels the request, because its requester no longer waits for it. */
     void cancel() {
-        if (!done) {
+        if (!finished) {
             finish();
             cancelAttempt.run();
         }
@@ -66,20 +68,21 @@
     void linkDisconnected(int region) {
         boolean isForwardedToRegion = route.exists(chosen ->
                 chosen instanceof Route.ToHost toHost && toHost.region().equals(simulation.regionName(region)));
-        if (!done && isForwardedToRegion) {
+        if (!finished && isForwardedToRegion) {
             attemptFailed(currentAttempt, new AttemptResult.Lost(Failure.of(Step.FORWARD, "", "link disconnected"), 0));
         }
     }
 
+    /** Cancels the request at its deadline and reports its outcome as unknown, because an attempt may have run. */
     private void expire() {
-        if (!done) {
+        if (!finished) {
             cancel();
             listener.unknown();
         }
     }
 
     private void finish() {
-        done = true;
+        finished = true;
         host.removeForwarded(this);
         host.router.recordFinish(request, now());
     }
@@ -88,18 +91,18 @@
         Set<String> allowed = arrival.allRegionsAllowed() ? simulation.regionNames() : Set.of(request.homeRegion());
         RoutingDecision routing =
                 host.router.choose(request, new Eligibility(allowed, !request.isForwarded(), triedPeers), now());
-        if (routing instanceof RoutingDecision.Dispatch go) {
-            startAttempt(go.route());
-        } else if (routing instanceof RoutingDecision.Reject refuse) {
+        if (routing instanceof RoutingDecision.Dispatch dispatch) {
+            startAttempt(dispatch.route());
+        } else if (routing instanceof RoutingDecision.Reject reject) {
             finish();
-            listener.notRun(refuse.retryAfterMillis());
+            listener.notRun(reject.retryAfterMillis());
         }
     }
 
     private void startAttempt(Route next) {
         currentAttempt++;
         simulation.results().recordAttempt(request.isForwarded(), currentAttempt);
-        attemptAtMillis = now();
+        attemptStartedAtMillis = now();
         route = Option.some(next);
         triedPeers.add(next.peer());
         host.router.recordStart(request, next, now());
@@ -122,7 +125,7 @@
         StandInTarget.Job job = target.submit(arrival, new StandInTarget.JobListener() {
             @Override
             public void completed(long firstTokenMillis) {
-                attemptAnswered(number, target.region, firstTokenMillis);
+                attemptCompleted(number, target.region, firstTokenMillis);
             }
 
             @Override
@@ -149,7 +152,7 @@
         Call remoteCall = new Call(simulation, other, arrival, forwardedRequest, new OutcomeListener() {
             @Override
             public void answered(int region, long firstTokenMillis) {
-                sendBack(() -> attemptAnswered(number, region, firstTokenMillis + delayMillis));
+                sendBack(() -> attemptCompleted(number, region, firstTokenMillis + delayMillis));
             }
 
             @Override
@@ -174,11 +177,11 @@
         cancelAttempt = () -> simulation.scheduler().schedule(delayMillis, remoteCall::cancel);
     }
 
-    private void attemptAnswered(int number, int region, long firstTokenMillis) {
-        if (done || number != currentAttempt) {
+    private void attemptCompleted(int number, int region, long firstTokenMillis) {
+        if (finished || number != currentAttempt) {
             return;
         }
-        long elapsedMillis = now() - attemptAtMillis;
+        long elapsedMillis = now() - attemptStartedAtMillis;
         host.router.recordEnd(
                 request, route.get(), new AttemptResult.Completed(EMPTY_RESPONSE, List.of()), elapsedMillis, now());
         finish();
@@ -186,12 +189,12 @@
     }
 
     private void attemptFailed(int number, AttemptResult result) {
-        if (done || number != currentAttempt) {
+        if (finished || number != currentAttempt) {
             return;
         }
         host.removeForwarded(this);
         cancelAttempt = () -> {};
-        host.router.recordEnd(request, route.get(), result, now() - attemptAtMillis, now());
+        host.router.recordEnd(request, route.get(), result, now() - attemptStartedAtMillis, now());
         boolean isSafeToRetry = result instanceof AttemptResult.NotRun || request.repeatable();
         if (isSafeToRetry && host.router.mayRetry(request, currentAttempt, now())) {
             chooseRoute();
--- a/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RetryBudgetTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/gateway/RetryBudgetTest.java
@@ -11,13 +11,13 @@
 
 class RetryBudgetTest {
     private static final double RATIO = 0.2;
-    private static final double SLACK = 52;
+    private static final double SLACK_RETRIES = 52;
     private static final long WINDOW_MILLIS = 10_000;
     private static final int MIN_HOSTS = 16;
 
     @Test
     void shouldCountServicesSeparatelyWhenOneHasSpentItsShare() {
-        RetryBudget budget = RetryBudget.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
+        RetryBudget budget = RetryBudget.of(RATIO, SLACK_RETRIES, MIN_HOSTS, WINDOW_MILLIS);
         while (budget.trySpend("a", 0)) {
             assertTrue(budget.remaining("a", 0) >= 0);
         }
@@ -27,20 +27,20 @@
     }
 
     /**
-     * Guards against targets being overloaded by retries though each host keeps its own bound. Any number of hosts,
-     * each with any view of the others, retry all that they may; it comes about when the shares of the hosts exceed the
-     * total. Each host's share depends on nothing that it knows of others, so the sum is bounded.
+     * Guards against targets being overloaded by retries though each host stays within its own share. Any number of
+     * hosts retry all that they may. This happens when the shares of the hosts add up to more than the total. A host's
+     * share does not depend on what it knows of other hosts, so the total is bounded.
      */
     @Property(tries = 200)
-    void shouldKeepTheSumUnderTheBoundWhenAllHostsRetryAllTheyMay(
+    void shouldKeepTheTotalUnderTheBoundWhenAllHostsRetryAllTheyMay(
             @ForAll @IntRange(min = 1, max = MIN_HOSTS) int hosts,
             @ForAll @Size(min = 1, max = 40) java.util.List<@IntRange(min = 0, max = 400) Integer> attemptsPerStep) {
         RetryBudget[] budgets = new RetryBudget[hosts];
         for (int host = 0; host < hosts; host++) {
-            budgets[host] = RetryBudget.of(RATIO, SLACK, MIN_HOSTS, WINDOW_MILLIS);
+            budgets[host] = RetryBudget.of(RATIO, SLACK_RETRIES, MIN_HOSTS, WINDOW_MILLIS);
         }
-        // A retry of this window was granted for first attempts of the window that ended with it: two windows contain
-        // both.
+        // A retry may be granted for a first attempt up to one window earlier, so first attempts are counted over two
+        // windows.
         SlidingWindowCounter firstAttempts = new SlidingWindowCounter(2 * WINDOW_MILLIS);
         SlidingWindowCounter retries = new SlidingWindowCounter(WINDOW_MILLIS);
         long now = 0;
@@ -55,19 +55,19 @@
                     retries.add(now);
                 }
             }
-            double bound = RATIO * firstAttempts.count(now) + SLACK;
+            double bound = RATIO * firstAttempts.count(now) + SLACK_RETRIES;
             assertTrue(retries.count(now) <= bound, "retries over the bound");
         }
     }
 
     /**
      * Guards against targets being overloaded by retries in a large system. More hosts than the configured minimum
-     * retry all that they may after a fault that fails everything; each knows at least four fifths of the others. It
-     * comes about when the slack is divided by sixteen whatever the number of hosts: ninety of them get five times the
+     * retry all that they may after a fault that fails every request; each knows at least four fifths of the hosts.
+     * This happens when the slack is always divided by the minimum of 16 hosts: 90 hosts then get over five times the
      * total.
      */
     @Property(tries = 100)
-    void shouldKeepTheSumUnderTheSlackWhenHostsKnowMostOthers(
+    void shouldKeepTheTotalUnderTheSlackWhenHostsKnowMostOthers(
             @ForAll @IntRange(min = 1, max = 400) int hosts,
             @ForAll @IntRange(min = 0, max = 20) int unknownPercent,
             @ForAll @IntRange(min = 0, max = 500) int slack) {
@@ -84,18 +84,18 @@
         assertTrue(granted <= slack, granted + " of " + slack);
     }
 
-    /** Covers every order of first attempts, retries and steps in time that two hosts can make in eight moves. */
+    /** Tries every sequence of eight steps: a first attempt or a retry at either of two hosts, or an advance of time. */
     @Test
-    void shouldKeepTheSumUnderTheBoundWhenTwoHostsMakeEightMovesInAnyOrder() {
-        int moves = 8;
+    void shouldKeepTheTotalUnderTheBoundWhenTwoHostsMakeEightStepsInAnyOrder() {
+        int steps = 8;
         int kinds = 5;
-        int orders = (int) Math.pow(kinds, moves);
+        int orders = (int) Math.pow(kinds, steps);
         for (int order = 0; order < orders; order++) {
-            simulate(order, moves, kinds);
+            simulate(order, steps, kinds);
         }
     }
 
-    private static void simulate(int order, int moves, int kinds) {
+    private static void simulate(int order, int steps, int kinds) {
         double ratio = 1;
         double slack = 2;
         long windowMillis = 10;
@@ -105,14 +105,14 @@
         SlidingWindowCounter firstAttempts = new SlidingWindowCounter(2 * windowMillis);
         SlidingWindowCounter retries = new SlidingWindowCounter(windowMillis);
         long now = 0;
-        for (int rest = order, i = 0; i < moves; rest /= kinds, i++) {
-            int move = rest % kinds;
-            if (move == kinds - 1) {
+        for (int rest = order, i = 0; i < steps; rest /= kinds, i++) {
+            int step = rest % kinds;
+            if (step == kinds - 1) {
                 now += windowMillis / 2;
-            } else if (move < 2) {
-                hosts[move].recordFirstAttempt("s", now);
+            } else if (step < 2) {
+                hosts[step].recordFirstAttempt("s", now);
                 firstAttempts.add(now);
-            } else if (hosts[move - 2].trySpend("s", now)) {
+            } else if (hosts[step - 2].trySpend("s", now)) {
                 retries.add(now);
             }
             assertTrue(retries.count(now) <= ratio * firstAttempts.count(now) + slack, "order " + order);
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RandomSessionTest.java
@@ -18,7 +18,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Random sessions of six hosts under faults, checked against a ledger of the requests that ran.
+ * Runs a simulated cluster of six hosts under random faults, and checks the outcomes against a record of the requests
+ * that ran.
+ *
+ * <p>A booking is a keyed request that must run at most once; a draft is a request that may be repeated.
  *
  * <p>Each number of a script is one step, so that a failing script can be shrunk.
  */
@@ -28,17 +31,18 @@
 
     private final Map<String, String> keyOfRequest = new HashMap<>();
     private final Set<String> requestsThatRan = new HashSet<>();
-    private final Map<String, Integer> runsOfKey = new HashMap<>();
-    private final Set<String> terminatedHosts = new HashSet<>();
+    private final Map<String, Integer> runsByKey = new HashMap<>();
+    // Killed or drained, and not restarted since.
+    private final Set<String> stoppedHosts = new HashSet<>();
     private final List<String> requests = new ArrayList<>();
 
     /*
-     * Guards against two bookings under one key, a request that ran but ended as "not run", and two outcomes of one
-     * request, after any order of requests, answers, lost and late results, partitions, kills, restarts, drains and
+     * Guards against a key whose booking runs twice, a request that ran but ended as "not run", and two outcomes of one
+     * request, after any order of requests, results (also lost and late ones), partitions, kills, restarts, drains and
      * store outages.
      */
     @Property(tries = 400, seed = "20261202")
-    void shouldRunEachKeyOnceAndReportTrueOutcomesWhenFaultsAreRandom(
+    void shouldRunAtMostOncePerKeyAndReportTrueOutcomesWhenFaultsAreRandom(
             @ForAll @Size(min = 5, max = 60) List<@IntRange(min = 0, max = 1_000_000) Integer> script) {
         reset();
         Session session = Koro.start();
@@ -46,8 +50,9 @@
             runStep(step, session);
         }
         session.advance(5_000);
+        // A cancelled attempt had reached its target, which may have run it before the cancellation.
         session.cancelled().forEach(this::countRun);
-        runsOfKey.forEach((key, runs) -> assertTrue(runs <= 1, () -> key + " ran " + runs + " times"));
+        runsByKey.forEach((key, runs) -> assertTrue(runs <= 1, () -> key + " ran " + runs + " times"));
         for (String request : requests) {
             List<Outcome> outcomes = session.outcomes(request);
             assertTrue(outcomes.size() <= 1, () -> request + " had " + outcomes);
@@ -60,8 +65,8 @@
     private void reset() {
         keyOfRequest.clear();
         requestsThatRan.clear();
-        runsOfKey.clear();
-        terminatedHosts.clear();
+        runsByKey.clear();
+        stoppedHosts.clear();
         requests.clear();
     }
 
@@ -87,7 +92,7 @@
         String region = REGIONS.get(choice % 3);
         String key = Koro.key(choice / 3 % KEYS);
         String host = host(choice / 9);
-        if (terminatedHosts.contains(host)) {
+        if (stoppedHosts.contains(host)) {
             return;
         }
         String id = "b" + requests.size();
@@ -98,7 +103,7 @@
 
     private void draft(int choice, Session session) {
         String host = host(choice / 3);
-        if (terminatedHosts.contains(host)) {
+        if (stoppedHosts.contains(host)) {
             return;
         }
         String id = "d" + requests.size();
@@ -131,13 +136,13 @@
     private void countRun(String id) {
         requestsThatRan.add(id);
         if (keyOfRequest.containsKey(id)) {
-            runsOfKey.merge(keyOfRequest.get(id), 1, Integer::sum);
+            runsByKey.merge(keyOfRequest.get(id), 1, Integer::sum);
         }
     }
 
     private void kill(int choice, Session session) {
         String host = host(choice);
-        if (terminatedHosts.add(host)) {
+        if (stoppedHosts.add(host)) {
             requests.stream()
                     .filter(id -> keyOfRequest.containsKey(id) && session.hasAttemptAtTarget(host, id))
                     .forEach(this::countRun);
@@ -147,9 +152,9 @@
 
     private void restart(int choice, Session session) {
         String host = host(choice);
-        if (terminatedHosts.remove(host)) {
+        if (stoppedHosts.remove(host)) {
             String region = host.substring(0, host.indexOf('-'));
-            session.start(host, region, region + "-hall").publishList().advance(500);
+            session.start(host, region, region + "-hall").publishHostList().advance(500);
         }
     }
 
@@ -163,10 +168,10 @@
 
     private void drain(int choice, Session session) {
         String host = host(choice);
-        if (choice % 4 == 0 && !terminatedHosts.contains(host)) {
+        if (choice % 4 == 0 && !stoppedHosts.contains(host)) {
             session.handleEvent(host, new Event.DrainAsked()).advance(1_000);
             if (session.node(host) == null) {
-                terminatedHosts.add(host);
+                stoppedHosts.add(host);
             }
         }
     }
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RequestSessionTest.java
@@ -79,7 +79,7 @@
     void shouldDropLateAnswerWhenAttemptWasAbandoned() {
         Session session = Koro.start()
                 .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .publishList();
+                .publishHostList();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
         session.handleEvent("suva-1", new Event.AttemptEnded("r1", 1, Koro.completed("late")));
@@ -130,7 +130,7 @@
     void shouldNotReportNotRunWhenEarlierAttemptMayHaveRun() {
         Session session = Koro.start()
                 .addTarget("plank-suva-2", "plank-serve", "suva", "suva-hall")
-                .publishList();
+                .publishHostList();
         session.request("suva-1", Koro.draft(session, "r1", "suva"));
         session.end("r1", Koro.lost(session.pendingTargets("r1").get(0)));
         session.end("r1", Koro.refused(session.pendingTargets("r1").get(0)));
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/RoutingSessionTest.java
@@ -90,7 +90,7 @@
     private static Session twoTargets(String region) {
         return Koro.start()
                 .addTarget("plank-" + region + "-2", "plank-serve", region, region + "-hall")
-                .publishList()
+                .publishHostList()
                 .advance(5_000);
     }
 
--- a/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
+++ b/rattanplank-core/src/test/java/org/rattanplank/core/session/Session.java
@@ -139,12 +139,12 @@
     /** Applies a configuration document, and lets every running node read the host list and the document. */
     Session configure(String document) {
         store.write(ConfigurationManager.KEY, document);
-        publishList();
+        publishHostList();
         return advance(2_000);
     }
 
     /** Delivers a new version of the platform's host list to every node. */
-    Session publishList() {
+    Session publishHostList() {
         listRevision++;
         HostList list = new HostList(listRevision, listed);
         nodes.keySet().forEach(host -> handleEvent(host, new Event.HostsListed(list)));
@@ -164,7 +164,7 @@
                         known.service(),
                         true)
                 : known);
-        return publishList();
+        return publishHostList();
     }
 
     /** Advances the time in steps, with a tick of every node at each step. */
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/call/Call.java
@@ -7,7 +7,8 @@
 import org.rattanplank.core.request.Request;
 
 /**
- * A request in flight together with its requester.
+ * A request in flight together with its requester: the side that receives the response, which is a caller's connection
+ * or the link to the host that forwarded the request.
  *
  * <p>Invariants: the requester receives stream events of the current attempt only, each once and in order, and at most
  * one outcome; nothing follows the outcome. Thread safe; one lock guards all state and is held while the requester is
@@ -22,7 +23,7 @@
     private final Requester requester;
     private int currentAttempt = NO_ATTEMPT;
     private String streamId = "";
-    private long streamEventsDelivered;
+    private long streamEventsRelayed;
     private boolean finished;
 
     private Call(Request request, Envelope envelope, Requester requester) {
@@ -62,14 +63,14 @@
     }
 
     /**
-     * Returns the number of stream events delivered to the requester.
+     * Returns the number of stream events relayed to the requester.
      *
      * @return the number of events
      */
-    public long streamEventsDelivered() {
+    public long streamEventsRelayed() {
         lock.lock();
         try {
-            return streamEventsDelivered;
+            return streamEventsRelayed;
         } finally {
             lock.unlock();
         }
@@ -97,7 +98,7 @@
     }
 
     /**
-     * Ends an attempt; none of its stream events are delivered from now on.
+     * Ends an attempt; none of its stream events are relayed from now on.
      *
      * @param attempt the attempt's number
      */
@@ -113,13 +114,13 @@
     }
 
     /**
-     * Delivers an event of a streamed response to the requester if it is the next one of the current attempt.
+     * Relays an event of a streamed response to the requester if it is the next one of the current attempt.
      *
      * @param attempt the number of the attempt that received the event
      * @param number the event's sequence number
      * @param event one encoded server-sent event
-     * @param path the hosts and the target behind this host that the event passed through
-     * @return whether the event was delivered, or why not
+     * @param path the target and the hosts that the event came through before this host
+     * @return whether the event was relayed, or why not
      */
     public RelayResult relay(int attempt, long number, byte[] event, List<String> path) {
         lock.lock();
@@ -127,14 +128,14 @@
             if (finished || attempt != currentAttempt) {
                 return RelayResult.STALE;
             }
-            if (number < streamEventsDelivered) {
+            if (number < streamEventsRelayed) {
                 return RelayResult.DUPLICATE;
             }
-            if (number > streamEventsDelivered) {
+            if (number > streamEventsRelayed) {
                 return RelayResult.GAP;
             }
             requester.streamEvent(number, event, path);
-            streamEventsDelivered++;
+            streamEventsRelayed++;
             return RelayResult.PASSED_ON;
         } finally {
             lock.unlock();
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardAttempt.java
@@ -82,7 +82,7 @@
     }
 
     synchronized AttemptResult lost(String reason) {
-        return new AttemptResult.Lost(Failure.of(Step.FORWARD, host, reason), call.streamEventsDelivered());
+        return new AttemptResult.Lost(Failure.of(Step.FORWARD, host, reason), call.streamEventsRelayed());
     }
 
     AttemptResult notRun(String reason) {
@@ -117,7 +117,7 @@
         return switch (end.outcome()) {
             case "answered" -> completeResult(end);
             case "not run" -> new AttemptResult.NotRun(failureOf(end), end.retryAfterMillis());
-            default -> new AttemptResult.Lost(failureOf(end), call.streamEventsDelivered());
+            default -> new AttemptResult.Lost(failureOf(end), call.streamEventsRelayed());
         };
     }
 
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/peer/ForwardedAttempts.java
@@ -106,7 +106,7 @@
         }
         attempt.get().receive(message).forEach(result -> end(key, result));
         if (message instanceof ForwardChunk && active.containsKey(key)) {
-            long eventsDelivered = attempt.get().call().streamEventsDelivered();
+            long eventsDelivered = attempt.get().call().streamEventsRelayed();
             if (eventsDelivered > 0) {
                 resources
                         .eventSink()
--- a/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
+++ b/rattanplank-daemon/src/main/java/org/rattanplank/daemon/target/TargetAttempt.java
@@ -222,7 +222,7 @@
     }
 
     private long overdueMillis() {
-        boolean eventsDelivered = streaming && call.streamEventsDelivered() > targetCall.resumeAtEvent();
+        boolean eventsDelivered = streaming && call.streamEventsRelayed() > targetCall.resumeAtEvent();
         return limits.overdue().thresholdMillis(targetCall.model(), eventsDelivered || targetCall.isResumed());
     }
 
@@ -251,7 +251,7 @@
     }
 
     private void endAsLost(String reason) {
-        end(new AttemptResult.Lost(failure(Step.RECEIVE, reason), call.streamEventsDelivered()));
+        end(new AttemptResult.Lost(failure(Step.RECEIVE, reason), call.streamEventsRelayed()));
     }
 
     private void end(AttemptResult result) {
--- a/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CallCounts.java
+++ b/rattanplank-standins/src/main/java/org/rattanplank/standins/platform/CallCounts.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.rattanplank.standins.http.Json;
 
-/** Counts calls by kind; a watch counts as one call. Not thread safe: confined to the platform's thread. */
+/** Counts calls by kind; a watch counts as one call. Not thread safe: confined to the platform's event loop. */
 final class CallCounts {
     private final Map<String, Long> calls = new TreeMap<>();
 
